--- a/crates/crosspath/src/commands/evacuate.rs
+++ b/crates/crosspath/src/commands/evacuate.rs
@@ -8,7 +8,9 @@
 use std::time::Duration;
 
 use crosspath_border::operator::{Change, Evacuation};
-use crosspath_border::store::{Error as StoreError, Guard, Partition, Store as _, Stored, Topic};
+use crosspath_border::store::{
+    Error as StoreError, Partition, Precondition, Store as _, Stored, Topic,
+};
 use crosspath_border::worker::Entry;
 use crosspath_platform::LogStore;
 use serde::Serialize;
@@ -45,9 +47,10 @@
         let known = Vec::from_iter(known).join(", ");
         return NoDataCentreSnafu { data_centre, known }.fail();
     }
-    let word = Evacuation { data_centre: data_centre.into(), asked: !undo };
+    let word = Evacuation { data_centre: data_centre.into(), requested: !undo };
     let record = LogStore::evacuation(&word);
-    let appended = store.append(only(Topic::Operators), &[record], Guard::Free).await;
+    let appended =
+        store.append(only(Topic::Operators), &[record], Precondition::Unconditional).await;
     appended.context(StoreSnafu)?;
     print(format, &store, &workers).await
 }
@@ -61,8 +64,8 @@
 
 async fn print(format: Format, store: &LogStore, workers: &[Entry]) -> Result<ExitStatus, Error> {
     let records = newest(store, Topic::Operators).await.context(StoreSnafu)?;
-    let evacuated = records.iter().filter_map(|record| match store.change(record) {
-        Ok(Change::Evacuation(word)) if word.asked => Some(word.data_centre),
+    let evacuated = records.iter().filter_map(|record| match store.decode_change(record) {
+        Ok(Change::Evacuation(word)) if word.requested => Some(word.data_centre),
         _ => None,
     });
     let mut data_centres: DataCentres = evacuated.map(|name| (name, BTreeMap::new())).collect();
@@ -97,7 +100,7 @@
 /// Entries of the worker list that can be read.
 async fn workers(store: &LogStore) -> Result<Vec<Entry>, StoreError> {
     let records = newest(store, Topic::Workers).await?;
-    Ok(records.iter().filter_map(|record| store.worker(record).ok()).collect())
+    Ok(records.iter().filter_map(|record| store.decode_worker(record).ok()).collect())
 }
 
 /// The newest record of each key of a topic with one partition.
--- a/crates/crosspath/src/error.rs
+++ b/crates/crosspath/src/error.rs
@@ -68,7 +68,7 @@
             Self::Refused { status: 504, .. } => ExitStatus::Unknown,
             Self::Refused { .. } => ExitStatus::Refused,
             Self::Call { source: client::Error::NotSent { .. } } => ExitStatus::NotAccepted,
-            Self::Store { source } if source.is_not_done() => ExitStatus::NotAccepted,
+            Self::Store { source } if source.had_no_effect() => ExitStatus::NotAccepted,
             Self::Store { .. } | Self::Call { .. } | Self::Wait { .. } => ExitStatus::Unknown,
         }
     }
--- a/crates/crosspath_border/src/advice.rs
+++ b/crates/crosspath_border/src/advice.rs
@@ -12,7 +12,7 @@
     /// The job.
     pub job: JobId,
     /// Which of its times.
-    pub time: u32,
+    pub occurrence: u32,
     /// Which step.
     pub step: u32,
 }
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Answer {
     /// Worker and the ticket that its starts carry.
-    pub good: Vec<(Arc<str>, Arc<str>)>,
+    pub approved: Vec<(Arc<str>, Arc<str>)>,
     /// How long the tickets hold, in ms.
     pub valid_ms: u64,
 }
--- a/crates/crosspath_border/src/customer.rs
+++ b/crates/crosspath_border/src/customer.rs
@@ -8,7 +8,7 @@
 use std::fmt;
 use std::sync::Arc;
 
-use crosspath_job::spec::Room;
+use crosspath_job::spec::Resources;
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
@@ -22,8 +22,8 @@
     pub name: Arc<str>,
     /// Jobs a second that it is owed when all is full.
     pub weight: f64,
-    /// What its tasks may use at one time, over all workers; [`Room::UNLIMITED`] where nothing is said.
-    pub maximum: Room,
+    /// What its tasks may use at one time, over all workers; [`Resources::UNLIMITED`] where nothing is said.
+    pub maximum: Resources,
 }
 
 /// A customer and its keys as operators write them.
@@ -40,13 +40,13 @@
 pub enum Error {
     /// A customer stands there twice.
     #[snafu(display("customer {name} stands there twice; give each a name of its own"))]
-    Twice {
+    Duplicate {
         /// Its name.
         name: Arc<str>,
     },
     /// Two customers have one key.
     #[snafu(display("customers {one} and {other} have the same key; take it from one of them"))]
-    Shared {
+    SharedKey {
         /// One of them.
         one: Arc<str>,
         /// The other.
@@ -74,12 +74,12 @@
         for Registration { customer, keys: own } in registrations {
             let name = &customer.name;
             if !names.insert(name) {
-                return TwiceSnafu { name: Arc::clone(name) }.fail();
+                return DuplicateSnafu { name: Arc::clone(name) }.fail();
             }
             for key in own {
-                let before = keys.owners.insert(keys.hash(key), Arc::clone(name));
-                if let Some(one) = before.filter(|before| before != name) {
-                    return SharedSnafu { one, other: Arc::clone(name) }.fail();
+                let previous = keys.owners.insert(keys.hash(key), Arc::clone(name));
+                if let Some(one) = previous.filter(|previous| previous != name) {
+                    return SharedKeySnafu { one, other: Arc::clone(name) }.fail();
                 }
             }
         }
--- a/crates/crosspath_border/src/entry.rs
+++ b/crates/crosspath_border/src/ingress.rs
@@ -17,17 +17,17 @@
     /// The customer whose key it carries; none where the queue needs none.
     pub customer: Option<Arc<str>>,
     /// What follows the queue's path.
-    pub rest: String,
+    pub subpath: String,
 }
 
 /// Where a request leads.
 #[derive(Debug, Clone)]
 pub enum Resolved {
     /// There is no configuration yet.
-    Unready,
+    NotReady,
     /// By the newest configuration that is known there is no such queue or key, but a newer one may have
     /// come: come back after so many seconds.
-    Unsure {
+    MaybeStale {
         /// Seconds.
         retry_after_s: u32,
     },
@@ -57,7 +57,7 @@
 
 /// Answer to a question for a job's state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Shown {
+pub enum Lookup {
     /// Its state.
     State(State),
     /// There is no such job.
@@ -99,11 +99,11 @@
     async fn submit(&self, access: &Access, job: JobId, spec: Spec, within: Duration) -> Submitted;
 
     /// Tells a job's state; the caller waits for `within`.
-    async fn state(&self, access: &Access, job: JobId, within: Duration) -> Shown;
+    async fn state(&self, access: &Access, job: JobId, within: Duration) -> Lookup;
 
     /// Cancels a job; the caller waits for `within`.
     async fn cancel(&self, access: &Access, job: JobId, within: Duration) -> Cancelled;
 
     /// Number of the queue's jobs of which no task has begun; none when it cannot be told now.
-    async fn waiting(&self, queue: &Queue) -> Option<u64>;
+    async fn queued_jobs(&self, queue: &Queue) -> Option<u64>;
 }
--- a/crates/crosspath_border/src/lib.rs
+++ b/crates/crosspath_border/src/lib.rs
@@ -5,7 +5,7 @@
 
 pub mod advice;
 pub mod customer;
-pub mod entry;
+pub mod ingress;
 pub mod operator;
 pub mod store;
 pub mod vm;
--- a/crates/crosspath_border/src/operator.rs
+++ b/crates/crosspath_border/src/operator.rs
@@ -67,7 +67,7 @@
     /// Time that it may take, in ms from when it was written.
     pub deadline_ms: u64,
     /// VMs in upkeep at one time.
-    pub maximum: u32,
+    pub max_concurrent: u32,
 }
 
 /// How far a wave is.
@@ -85,7 +85,7 @@
     /// The data centre.
     pub data_centre: Arc<str>,
     /// Whether it is to get none; else what was asked for is taken back.
-    pub asked: bool,
+    pub requested: bool,
 }
 
 /// One record of the operators.
--- a/crates/crosspath_border/src/store.rs
+++ b/crates/crosspath_border/src/store.rs
@@ -43,7 +43,7 @@
 
 /// A record to append; an empty value drops the key.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Keyed {
+pub struct NewRecord {
     /// Its key, at most 255 bytes.
     pub key: String,
     /// Its value.
@@ -63,11 +63,11 @@
 
 /// Condition of an append.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Guard {
+pub enum Precondition {
     /// None.
-    Free,
+    Unconditional,
     /// The partition ends at this offset.
-    At(u64),
+    EndOffset(u64),
     /// No owner with a higher epoch has appended.
     Owner {
         /// Epoch of the owner.
@@ -114,20 +114,20 @@
         epoch: u64,
     },
     /// The append's number is not the next one.
-    #[snafu(display("append number is not the next one, {wanted}"))]
+    #[snafu(display("append number is not the next one, {expected}"))]
     Sequence {
         /// The next one.
-        wanted: u64,
+        expected: u64,
     },
     /// The partition does not end where the append wanted it.
     #[snafu(display("the partition ends at {end}"))]
-    Moved {
+    EndMismatch {
         /// Where it ends.
         end: u64,
     },
     /// Records that were asked for are gone.
     #[snafu(display("records before {first} are gone"))]
-    Gone {
+    Truncated {
         /// The first that is kept.
         first: u64,
     },
@@ -139,7 +139,7 @@
 impl Error {
     /// Whether the call surely had no effect and never will.
     #[must_use]
-    pub fn is_not_done(&self) -> bool {
+    pub fn had_no_effect(&self) -> bool {
         !matches!(self, Self::NoAnswer | Self::Malformed { .. })
     }
 }
@@ -200,12 +200,12 @@
     ///
     /// # Errors
     ///
-    /// [`Error`]; [`Error::is_not_done`] tells whether the append may still take place.
+    /// [`Error`]; [`Error::had_no_effect`] tells whether the append may still take place.
     async fn append(
         &self,
         partition: Partition,
-        records: &[Keyed],
-        guard: Guard,
+        records: &[NewRecord],
+        precondition: Precondition,
     ) -> Result<Appended, Error>;
 
     /// Reads records from an offset on, waiting for the first at most `wait`.
@@ -248,24 +248,24 @@
     /// # Errors
     ///
     /// [`DecodeError`].
-    fn change(&self, record: &Stored) -> Result<Change, DecodeError>;
+    fn decode_change(&self, record: &Stored) -> Result<Change, DecodeError>;
 
     /// Reads a record of [`Topic::Workers`].
     ///
     /// # Errors
     ///
     /// [`DecodeError`].
-    fn worker(&self, record: &Stored) -> Result<worker::Entry, DecodeError>;
+    fn decode_worker(&self, record: &Stored) -> Result<worker::Entry, DecodeError>;
 
     /// The record of [`Topic::WaveStatus`] that tells how far a wave is.
-    fn wave_status(&self, wave: u64, state: WaveState) -> Keyed;
+    fn encode_wave_status(&self, wave: u64, state: WaveState) -> NewRecord;
 
     /// Reads a record of [`Topic::WaveStatus`].
     ///
     /// # Errors
     ///
     /// [`DecodeError`].
-    fn wave_state(&self, record: &Stored) -> Result<(u64, WaveState), DecodeError>;
+    fn decode_wave_status(&self, record: &Stored) -> Result<(u64, WaveState), DecodeError>;
 }
 
 /// A record of others that cannot be read.
--- a/crates/crosspath_border/src/vm.rs
+++ b/crates/crosspath_border/src/vm.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use async_trait::async_trait;
-use crosspath_job::spec::Room;
+use crosspath_job::spec::Resources;
 use snafu::Snafu;
 
 /// What a VM is doing.
@@ -14,7 +14,7 @@
     /// It is on its way to another pool.
     Moving,
     /// It has its upkeep.
-    Upkeep,
+    Maintenance,
     /// It is down.
     Down,
 }
@@ -33,7 +33,7 @@
     /// Kind, rack, and others.
     pub labels: Vec<Arc<str>>,
     /// What it has.
-    pub capacity: Room,
+    pub capacity: Resources,
     /// The worker on it; none when it runs none.
     pub worker: Option<Arc<str>>,
 }
--- a/crates/crosspath_border/src/worker.rs
+++ b/crates/crosspath_border/src/worker.rs
@@ -6,7 +6,7 @@
 
 use async_trait::async_trait;
 use crosspath_job::TaskId;
-use crosspath_job::spec::Room;
+use crosspath_job::spec::Resources;
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
@@ -28,20 +28,21 @@
     /// Least time left while draining, in ms.
     pub remaining_ms: u64,
     /// What it has.
-    pub capacity: Room,
+    pub capacity: Resources,
     /// Kind, rack, and others.
     pub labels: Vec<Arc<str>>,
     /// Its own clock, in ms.
     pub clock_ms: u64,
     /// When this life of it began, in ms since 1970; a later life may have the same identifier. 0 where that is
     /// not told.
-    pub born_ms: u64,
+    #[serde(rename = "born_ms")]
+    pub started_ms: u64,
 }
 
 impl Entry {
     /// Whether it tells the same as `other`, but for when it was written.
     #[must_use]
-    pub fn says_same(&self, other: &Self) -> bool {
+    pub fn eq_ignoring_clock(&self, other: &Self) -> bool {
         Self { clock_ms: other.clock_ms, ..self.clone() } == *other
     }
 }
@@ -53,8 +54,8 @@
     pub address: SocketAddr,
     /// Its identifier.
     pub id: Arc<str>,
-    /// Which life, as [`Entry::born_ms`].
-    pub born_ms: u64,
+    /// Which life, as [`Entry::started_ms`].
+    pub started_ms: u64,
 }
 
 /// An order to start a task.
@@ -115,7 +116,7 @@
 
 /// How a run ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum How {
+pub enum Outcome {
     /// Successfully.
     Done,
     /// It failed.
@@ -140,14 +141,14 @@
     /// Number of the run.
     pub run: u64,
     /// How.
-    pub how: How,
+    pub outcome: Outcome,
     /// Newest checkpoint.
     pub checkpoint: Option<Arc<str>>,
 }
 
 /// An order to look, and to extend leases.
 #[derive(Debug, Clone, Copy)]
-pub struct Hold {
+pub struct Poll {
     /// Fencing token of the shard's owner.
     pub token: u64,
     /// Ends up to this number of the life that is meant are kept and may be forgotten. No other life is told so.
@@ -158,13 +159,13 @@
     pub wait: Duration,
 }
 
-/// A worker's answer to [`Hold`].
+/// A worker's answer to [`Poll`].
 #[derive(Debug, Clone, Default)]
-pub struct Held {
+pub struct PollReply {
     /// The worker's clock, in ms.
     pub clock_ms: u64,
-    /// When the life that answers began, as [`Entry::born_ms`].
-    pub born_ms: u64,
+    /// When the life that answers began, as [`Entry::started_ms`].
+    pub started_ms: u64,
     /// What runs.
     pub running: Vec<Running>,
     /// Ends that are not acknowledged.
@@ -173,7 +174,7 @@
 
 /// An answer and the worker's clock when it was given.
 #[derive(Debug, Clone, Copy)]
-pub struct Clocked<T> {
+pub struct Timestamped<T> {
     /// The answer.
     pub value: T,
     /// The worker's clock, in ms; none when the answer has none.
@@ -211,7 +212,7 @@
     /// # Errors
     ///
     /// [`Error`].
-    async fn start(&self, target: &Target, start: &Start) -> Result<Clocked<Started>, Error>;
+    async fn start(&self, target: &Target, start: &Start) -> Result<Timestamped<Started>, Error>;
 
     /// Stops a run; a run that is not there yet never will be.
     ///
@@ -224,28 +225,28 @@
         task: TaskId,
         run: u64,
         token: u64,
-    ) -> Result<Clocked<()>, Error>;
+    ) -> Result<Timestamped<()>, Error>;
 
     /// Looks at what runs and has ended, and extends leases.
     ///
     /// # Errors
     ///
     /// [`Error`].
-    async fn hold(&self, target: &Target, hold: &Hold) -> Result<Held, Error>;
+    async fn poll(&self, target: &Target, poll: &Poll) -> Result<PollReply, Error>;
 
     /// Lets a run work at a share of its speed, in percent.
     ///
     /// # Errors
     ///
     /// [`Error`].
-    async fn pace(
+    async fn throttle(
         &self,
         target: &Target,
         task: TaskId,
         run: u64,
         percent: u32,
         token: u64,
-    ) -> Result<Clocked<()>, Error>;
+    ) -> Result<Timestamped<()>, Error>;
 
     /// Forgets the connections to a worker that is gone.
     fn forget(&self, target: &Target);
--- a/crates/crosspath_fakes/src/memory_store.rs
+++ b/crates/crosspath_fakes/src/memory_store.rs
@@ -10,8 +10,8 @@
 use async_trait::async_trait;
 use crosspath_border::operator::{Change, WaveState};
 use crosspath_border::store::{
-    Appended, DecodeError, Error, Guard, Holder, Join, Keyed, Membership, NewestPage, Page,
-    Partition, Store, Stored,
+    Appended, DecodeError, Error, Holder, Join, Membership, NewRecord, NewestPage, Page, Partition,
+    Precondition, Store, Stored,
 };
 use crosspath_border::worker;
 
@@ -31,38 +31,38 @@
         self.records.len() as u64
     }
 
-    fn check(&self, guard: Guard) -> Result<Option<Appended>, Error> {
+    fn check(&self, guard: Precondition) -> Result<Option<Appended>, Error> {
         match guard {
-            Guard::Free => Ok(None),
-            Guard::At(at) if at == self.end() => Ok(None),
-            Guard::At(_) => Err(Error::Moved { end: self.end() }),
-            Guard::Owner { epoch, .. } if epoch < self.epoch => {
+            Precondition::Unconditional => Ok(None),
+            Precondition::EndOffset(at) if at == self.end() => Ok(None),
+            Precondition::EndOffset(_) => Err(Error::EndMismatch { end: self.end() }),
+            Precondition::Owner { epoch, .. } if epoch < self.epoch => {
                 Err(Error::Fenced { epoch: self.epoch })
             }
-            Guard::Owner { epoch, .. } if epoch > self.epoch => Ok(None),
-            Guard::Owner { sequence, .. } => {
+            Precondition::Owner { epoch, .. } if epoch > self.epoch => Ok(None),
+            Precondition::Owner { sequence, .. } => {
                 let repeated = self.answers.iter().find(|(number, _)| *number == sequence);
                 let last = self.answers.back().map_or(0, |(number, _)| *number);
                 match repeated {
                     Some((_, answer)) => Ok(Some(*answer)),
                     None if sequence == last + 1 => Ok(None),
-                    None => Err(Error::Sequence { wanted: last + 1 }),
+                    None => Err(Error::Sequence { expected: last + 1 }),
                 }
             }
         }
     }
 
-    fn append(&mut self, records: &[Keyed], guard: Guard) -> Result<Appended, Error> {
+    fn append(&mut self, records: &[NewRecord], guard: Precondition) -> Result<Appended, Error> {
         if let Some(answer) = self.check(guard)? {
             return Ok(answer);
         }
         let offset = self.end();
         for (record, offset) in records.iter().zip(offset..) {
-            let Keyed { key, value } = record.clone();
+            let NewRecord { key, value } = record.clone();
             self.records.push(Stored { offset, key, value });
         }
         let appended = Appended { offset, end: self.end() };
-        if let Guard::Owner { epoch, sequence } = guard {
+        if let Precondition::Owner { epoch, sequence } = guard {
             if epoch > self.epoch {
                 self.epoch = epoch;
                 self.answers.clear();
@@ -124,8 +124,8 @@
     async fn append(
         &self,
         partition: Partition,
-        records: &[Keyed],
-        guard: Guard,
+        records: &[NewRecord],
+        guard: Precondition,
     ) -> Result<Appended, Error> {
         let mut state = self.state();
         let appended = state.logs.entry(partition).or_default().append(records, guard)?;
@@ -184,19 +184,19 @@
         Ok((0..self.shards).filter_map(holder).collect())
     }
 
-    fn change(&self, record: &Stored) -> Result<Change, DecodeError> {
+    fn decode_change(&self, record: &Stored) -> Result<Change, DecodeError> {
         Err(foreign(record))
     }
 
-    fn worker(&self, record: &Stored) -> Result<worker::Entry, DecodeError> {
+    fn decode_worker(&self, record: &Stored) -> Result<worker::Entry, DecodeError> {
         Err(foreign(record))
     }
 
-    fn wave_status(&self, wave: u64, state: WaveState) -> Keyed {
-        Keyed { key: wave.to_string(), value: format!("{state:?}").into() }
+    fn encode_wave_status(&self, wave: u64, state: WaveState) -> NewRecord {
+        NewRecord { key: wave.to_string(), value: format!("{state:?}").into() }
     }
 
-    fn wave_state(&self, record: &Stored) -> Result<(u64, WaveState), DecodeError> {
+    fn decode_wave_status(&self, record: &Stored) -> Result<(u64, WaveState), DecodeError> {
         Err(foreign(record))
     }
 }
--- a/crates/crosspath_fleet/src/wave.rs
+++ b/crates/crosspath_fleet/src/wave.rs
@@ -86,7 +86,7 @@
     pub(crate) fn upkeep_orders_left(&self, now: Duration, wave: &Wave, view: &View) -> usize {
         let elsewhere = view.elsewhere.get(&wave.number).copied().unwrap_or(0);
         let under_way = self.under_way(now, wave, view) + elsewhere;
-        (wave.maximum.max(1) as usize).saturating_sub(under_way)
+        (wave.max_concurrent.max(1) as usize).saturating_sub(under_way)
     }
 
     /// VMs of a wave that can be taken out now, in the order in which they are wanted out.
@@ -108,7 +108,7 @@
             let intent = self.intents.get(&vm.name);
             let ordered = intent.is_some_and(|intent| intent.is_ordered_for(wave.number));
             let rests = self.not_before.get(&vm.name).is_some_and(|until| now < *until);
-            ordered || vm.state == State::Upkeep || rests
+            ordered || vm.state == State::Maintenance || rests
         });
         busy.count()
     }
@@ -168,7 +168,7 @@
 
 /// Whether a wave has no time left to wait for quiet pools.
 fn hurries(now: Duration, wave: &Wave, end: Duration, index: &Index<'_>) -> bool {
-    let share = (wave.maximum / index.view.slices.max(1)).max(1);
+    let share = (wave.max_concurrent / index.view.slices.max(1)).max(1);
     let rounds = index.left(wave).len().div_ceil(share as usize);
     now + ROUND * u32::try_from(rounds).unwrap_or(u32::MAX) > end
 }
--- a/crates/crosspath_fleet/tests/fleet/common.rs
+++ b/crates/crosspath_fleet/tests/fleet/common.rs
@@ -7,7 +7,7 @@
 use crosspath_border::operator::Wave;
 use crosspath_border::vm::{Error, Order, State, Verdict, Vm};
 use crosspath_fleet::{Planner, Settings, View};
-use crosspath_job::spec::Room;
+use crosspath_job::spec::Resources;
 use crosspath_schedule::report;
 
 pub(crate) const VM_MILLIS: u64 = 32_000;
@@ -30,7 +30,7 @@
         data_centre: "a".into(),
         state: State::Up,
         labels: Vec::new(),
-        capacity: Room { cpu_millis: VM_MILLIS, mem_mb: 1, gpus: 0 },
+        capacity: Resources { cpu_millis: VM_MILLIS, mem_mb: 1, gpus: 0 },
         worker: None,
     }
 }
@@ -96,7 +96,7 @@
 
     pub(crate) fn wave(&mut self, vms: &[&str], maximum: u32) {
         let vms = vms.iter().map(|vm| (*vm).into()).collect();
-        let wave = Wave { number: 1, vms, deadline_ms: 27_000, maximum };
+        let wave = Wave { number: 1, vms, deadline_ms: 27_000, max_concurrent: maximum };
         self.view.waves = vec![(Arc::new(wave), self.now)];
     }
 
@@ -138,7 +138,7 @@
         self.now += ROUND;
         for vm in &mut self.view.vms {
             let is_down = self.down_until.get(&vm.name).is_some_and(|until| self.now < *until);
-            vm.state = if is_down { State::Upkeep } else { State::Up };
+            vm.state = if is_down { State::Maintenance } else { State::Up };
         }
         self.view.listed = self.now;
         let pools: Vec<_> = self.view.serving.clone();
--- a/crates/crosspath_fleet/tests/fleet/wave.rs
+++ b/crates/crosspath_fleet/tests/fleet/wave.rs
@@ -58,8 +58,8 @@
 #[test]
 fn a_new_owner_counts_upkeep_that_the_list_shows() {
     let mut bed = bed();
-    bed.view.vms[0].state = State::Upkeep;
-    bed.view.vms[1].state = State::Upkeep;
+    bed.view.vms[0].state = State::Maintenance;
+    bed.view.vms[1].state = State::Maintenance;
     let pools = bed.view.serving.clone();
     bed.view.pools = pools.into_iter().map(|pool| (pool, Default::default())).collect();
     let plan = bed.planner.plan(bed.now, &bed.view);
--- a/crates/crosspath_job/src/id.rs
+++ b/crates/crosspath_job/src/id.rs
@@ -10,14 +10,14 @@
 
 /// A text that is not an identifier.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
-#[snafu(display("\"{text}\" is not {wanted}"))]
+#[snafu(display("\"{text}\" is not {expected}"))]
 pub struct ParseError {
     text: String,
-    wanted: &'static str,
+    expected: &'static str,
 }
 
-fn malformed(text: &str, wanted: &'static str) -> ParseError {
-    ParseError { text: text.to_owned(), wanted }
+fn malformed(text: &str, expected: &'static str) -> ParseError {
+    ParseError { text: text.to_owned(), expected }
 }
 
 /// Identifier of a job, chosen by its caller: 16 hexadecimal digits.
@@ -68,7 +68,7 @@
     /// Its job.
     pub job: JobId,
     /// Which of the job's times, from 0.
-    pub time: u32,
+    pub occurrence: u32,
     /// Which step, from 0.
     pub step: u32,
     /// Which task of the step, from 0.
@@ -77,7 +77,7 @@
 
 impl fmt::Display for TaskId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}.{}.{}.{}", self.job, self.time, self.step, self.index)
+        write!(f, "{}.{}.{}.{}", self.job, self.occurrence, self.step, self.index)
     }
 }
 
@@ -91,17 +91,17 @@
     type Err = ParseError;
 
     fn from_str(text: &str) -> Result<Self, ParseError> {
-        let wanted = "JOB.TIME.STEP.INDEX";
+        let expected = "JOB.TIME.STEP.INDEX";
         let mut parts = text.split('.');
         let job = parts.next().unwrap_or_default().parse()?;
         let mut number = || -> Result<u32, ParseError> {
             let part = parts.next().unwrap_or_default();
-            part.parse().map_err(|_| malformed(text, wanted))
+            part.parse().map_err(|_| malformed(text, expected))
         };
-        let (time, step, index) = (number()?, number()?, number()?);
+        let (occurrence, step, index) = (number()?, number()?, number()?);
         if parts.next().is_some() {
-            return Err(malformed(text, wanted));
+            return Err(malformed(text, expected));
         }
-        Ok(Self { job, time, step, index })
+        Ok(Self { job, occurrence, step, index })
     }
 }
--- a/crates/crosspath_job/src/progress.rs
+++ b/crates/crosspath_job/src/progress.rs
@@ -25,7 +25,7 @@
 impl State {
     /// Whether it never changes again.
     #[must_use]
-    pub fn is_final(self) -> bool {
+    pub fn is_terminal(self) -> bool {
         matches!(self, Self::Completed | Self::Failed | Self::Cancelled)
     }
 }
--- a/crates/crosspath_job/src/record.rs
+++ b/crates/crosspath_job/src/record.rs
@@ -57,25 +57,25 @@
 impl Accepted {
     /// Whether the job belongs to who asks. A job without a customer belongs to whoever knows its identifier.
     #[must_use]
-    pub fn belongs_to(&self, asker: &Asker) -> bool {
-        match (&self.customer, &asker.customer) {
+    pub fn belongs_to(&self, requester: &Requester) -> bool {
+        match (&self.customer, &requester.customer) {
             (None, _) => true,
             // The queue needed a key when the job came.
-            (Some(_), None) => self.queue == asker.queue,
+            (Some(_), None) => self.queue == requester.queue,
             (Some(own), Some(other)) => own == other,
         }
     }
 
     /// Who handed the job in.
     #[must_use]
-    pub fn asker(&self) -> Asker {
-        Asker { queue: Arc::clone(&self.queue), customer: self.customer.clone() }
+    pub fn requester(&self) -> Requester {
+        Requester { queue: Arc::clone(&self.queue), customer: self.customer.clone() }
     }
 }
 
 /// Who asks for or about a job: that counts only for one that belongs to the asker.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Asker {
+pub struct Requester {
     /// Name of the queue where it was asked for.
     #[serde(default, skip_serializing_if = "str::is_empty")]
     pub queue: Arc<str>,
@@ -101,11 +101,11 @@
     /// How far a job is.
     Progress(JobId, Progress),
     /// A job's cancelling was asked for.
-    Cancelled(JobId, Asker),
+    Cancelled(JobId, Requester),
     /// The shard was claimed.
     Claim(Claim),
     /// A key was dropped.
-    Dropped(String),
+    Tombstone(String),
 }
 
 /// A record that cannot be read.
@@ -134,7 +134,7 @@
 
 /// Keys of a job, all of which go when it is forgotten.
 #[must_use]
-pub fn keys_of(job: JobId) -> [String; 3] {
+pub fn job_keys(job: JobId) -> [String; 3] {
     [ACCEPTED, PROGRESS, CANCELLED].map(|prefix| format!("{prefix}{job}"))
 }
 
@@ -155,7 +155,7 @@
             Self::Progress(job, _) => format!("{PROGRESS}{job}"),
             Self::Cancelled(job, _) => format!("{CANCELLED}{job}"),
             Self::Claim(_) => CLAIM_KEY.to_owned(),
-            Self::Dropped(key) => key.clone(),
+            Self::Tombstone(key) => key.clone(),
         }
     }
 
@@ -167,7 +167,7 @@
             Self::Progress(_, progress) => json(progress),
             Self::Cancelled(_, by) => json(by),
             Self::Claim(claim) => json(claim),
-            Self::Dropped(_) => Vec::new(),
+            Self::Tombstone(_) => Vec::new(),
         }
     }
 
@@ -178,7 +178,7 @@
     /// [`RecordError`] when key or value have no known form.
     pub fn decode(key: &str, bytes: &[u8]) -> Result<Self, RecordError> {
         if bytes.is_empty() {
-            return Ok(Self::Dropped(key.to_owned()));
+            return Ok(Self::Tombstone(key.to_owned()));
         }
         if key == CLAIM_KEY {
             return value(key, bytes).map(Self::Claim);
--- a/crates/crosspath_job/src/spec.rs
+++ b/crates/crosspath_job/src/spec.rs
@@ -12,11 +12,11 @@
 /// Steps of one job at most; bounds as [`MAX_STEP_TASKS`] does.
 pub const MAX_STEPS: usize = 256;
 /// Times of one job at most; bounds as [`MAX_STEP_TASKS`] does.
-pub const MAX_TIMES: u32 = 10_000;
+pub const MAX_OCCURRENCES: u32 = 10_000;
 
 /// What a task needs of a worker, or what a worker has.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Room {
+pub struct Resources {
     /// Thousandths of a core.
     pub cpu_millis: u64,
     /// Memory in MB.
@@ -25,7 +25,7 @@
     pub gpus: u64,
 }
 
-impl Room {
+impl Resources {
     /// More than anything needs.
     pub const UNLIMITED: Self = Self { cpu_millis: u64::MAX, mem_mb: u64::MAX, gpus: u64::MAX };
 
@@ -43,33 +43,33 @@
     /// Both together.
     #[must_use]
     pub fn plus(&self, other: &Self) -> Self {
-        self.each(other, u64::saturating_add)
+        self.zip_with(other, u64::saturating_add)
     }
 
     /// The smaller of each.
     #[must_use]
-    pub fn least(&self, other: &Self) -> Self {
-        self.each(other, u64::min)
+    pub fn component_min(&self, other: &Self) -> Self {
+        self.zip_with(other, u64::min)
     }
 
     /// The larger of each.
     #[must_use]
-    pub fn most(&self, other: &Self) -> Self {
-        self.each(other, u64::max)
+    pub fn component_max(&self, other: &Self) -> Self {
+        self.zip_with(other, u64::max)
     }
 
-    fn each(&self, other: &Self, of: impl Fn(u64, u64) -> u64) -> Self {
+    fn zip_with(&self, other: &Self, combine: impl Fn(u64, u64) -> u64) -> Self {
         Self {
-            cpu_millis: of(self.cpu_millis, other.cpu_millis),
-            mem_mb: of(self.mem_mb, other.mem_mb),
-            gpus: of(self.gpus, other.gpus),
+            cpu_millis: combine(self.cpu_millis, other.cpu_millis),
+            mem_mb: combine(self.mem_mb, other.mem_mb),
+            gpus: combine(self.gpus, other.gpus),
         }
     }
 
     /// What is left after taking `other`; 0 where `other` is larger.
     #[must_use]
     pub fn minus(&self, other: &Self) -> Self {
-        self.each(other, u64::saturating_sub)
+        self.zip_with(other, u64::saturating_sub)
     }
 }
 
@@ -80,7 +80,8 @@
     /// Number of tasks.
     pub tasks: u32,
     /// What each needs.
-    pub room: Room,
+    #[serde(rename = "room")]
+    pub resources: Resources,
     /// The caller's guess of one task's duration, in ms.
     #[serde(skip_serializing_if = "is_default")]
     pub estimate_ms: u64,
@@ -100,17 +101,17 @@
     #[serde(skip_serializing_if = "is_default")]
     pub requires: Option<Arc<str>>,
     /// Rack near the step's data.
-    #[serde(skip_serializing_if = "is_default")]
-    pub near: Option<Arc<str>>,
+    #[serde(rename = "near", skip_serializing_if = "is_default")]
+    pub preferred_rack: Option<Arc<str>>,
     /// Most tasks of the step on one worker; 0 is no limit.
-    #[serde(skip_serializing_if = "is_default")]
-    pub per_worker: u32,
+    #[serde(rename = "per_worker", skip_serializing_if = "is_default")]
+    pub max_per_worker: u32,
     /// Whether a second copy of a task may run beside the first.
     #[serde(skip_serializing_if = "is_default")]
     pub speculative: bool,
     /// Whether tasks run until the job is cancelled.
-    #[serde(skip_serializing_if = "is_default")]
-    pub lasting: bool,
+    #[serde(rename = "lasting", skip_serializing_if = "is_default")]
+    pub long_running: bool,
     /// What the tasks execute; tasks of one image behave alike.
     #[serde(skip_serializing_if = "is_default")]
     pub image: Option<Arc<str>>,
@@ -118,19 +119,19 @@
     #[serde(skip_serializing_if = "is_default")]
     pub tail_target_ms: u64,
     /// Whether the tasks use only processor time that others leave.
-    #[serde(skip_serializing_if = "is_default")]
-    pub filler: bool,
+    #[serde(rename = "filler", skip_serializing_if = "is_default")]
+    pub best_effort: bool,
     /// Tasks of a lasting step that the system may take away at one time.
-    #[serde(skip_serializing_if = "is_default")]
-    pub may_miss: Option<u32>,
+    #[serde(rename = "may_miss", skip_serializing_if = "is_default")]
+    pub max_unavailable: Option<u32>,
 }
 
 impl Step {
     /// What one task reserves of a worker.
     #[must_use]
-    pub fn reserved(&self) -> Room {
-        let cpu_millis = if self.filler { 0 } else { self.room.cpu_millis };
-        Room { cpu_millis, ..self.room }
+    pub fn reserved(&self) -> Resources {
+        let cpu_millis = if self.best_effort { 0 } else { self.resources.cpu_millis };
+        Resources { cpu_millis, ..self.resources }
     }
 }
 
@@ -186,32 +187,32 @@
     },
     /// A step waits for one that is not before it.
     #[snafu(display("steps[{step}] comes after step {after}, which is not an earlier one"))]
-    After {
+    DependencyOrder {
         /// The step.
         step: usize,
         /// What it waits for.
         after: u32,
     },
     /// Too many times.
-    #[snafu(display("{times} times; at most {MAX_TIMES} are taken"))]
-    TimeCount {
+    #[snafu(display("{occurrences} times; at most {MAX_OCCURRENCES} are taken"))]
+    OccurrenceCount {
         /// Their number.
-        times: u32,
+        occurrences: u32,
     },
 }
 
 impl Spec {
     /// Number of times that the steps run.
     #[must_use]
-    pub fn times(&self) -> u32 {
+    pub fn occurrences(&self) -> u32 {
         self.repeat.map_or(1, |repeat| repeat.count.max(1))
     }
 
     /// When a time is due, in ms since 1970; 0 without times.
     #[must_use]
-    pub fn due_ms(&self, time: u32) -> u64 {
+    pub fn due_ms(&self, occurrence: u32) -> u64 {
         self.repeat.map_or(0, |repeat| {
-            repeat.first_ms.saturating_add(u64::from(time).saturating_mul(repeat.every_ms))
+            repeat.first_ms.saturating_add(u64::from(occurrence).saturating_mul(repeat.every_ms))
         })
     }
 
@@ -229,8 +230,8 @@
         if steps == 0 || steps > MAX_STEPS {
             return StepCountSnafu { steps }.fail();
         }
-        if self.times() > MAX_TIMES {
-            return TimeCountSnafu { times: self.times() }.fail();
+        if self.occurrences() > MAX_OCCURRENCES {
+            return OccurrenceCountSnafu { occurrences: self.occurrences() }.fail();
         }
         for (number, step) in self.steps.iter().enumerate() {
             if step.tasks == 0 || step.tasks > MAX_STEP_TASKS {
@@ -238,7 +239,7 @@
             }
             let later = step.after.iter().find(|after| **after as usize >= number);
             if let Some(after) = later {
-                return AfterSnafu { step: number, after: *after }.fail();
+                return DependencyOrderSnafu { step: number, after: *after }.fail();
             }
         }
         Ok(())
@@ -246,16 +247,16 @@
 
     /// Longest chain of the caller's estimates from a step to the end, per step, in ms.
     #[must_use]
-    pub fn chains_ms(&self) -> Vec<u64> {
-        let mut rest = vec![0; self.steps.len()];
+    pub fn critical_paths_ms(&self) -> Vec<u64> {
+        let mut remaining = vec![0; self.steps.len()];
         for (number, step) in self.steps.iter().enumerate().rev() {
-            rest[number] += step.estimate_ms;
-            let through = rest[number];
+            remaining[number] += step.estimate_ms;
+            let through = remaining[number];
             for after in &step.after {
-                let before = &mut rest[*after as usize];
+                let before = &mut remaining[*after as usize];
                 *before = through.max(*before);
             }
         }
-        rest
+        remaining
     }
 }
--- a/crates/crosspath_node/src/appender.rs
+++ b/crates/crosspath_node/src/appender.rs
@@ -13,7 +13,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use crosspath_border::store::{Error, Keyed};
+use crosspath_border::store::{Error, NewRecord};
 use crosspath_job::record::Record;
 use futures::future::{Either, join_all, select};
 use futures::stream::{FuturesUnordered, StreamExt as _};
@@ -67,7 +67,7 @@
     record: &Record,
     patience: Patience,
 ) -> Outcome {
-    let record = Keyed { key: record.key(), value: record.value().into() };
+    let record = NewRecord { key: record.key(), value: record.value().into() };
     if rpc::is_taken_here(node, shard, &record) {
         return Outcome::Taken;
     }
@@ -141,7 +141,7 @@
 /// Appends records until each has its outcome; whether the last try failed.
 async fn append_batch(node: &Arc<Node>, shard: u32, mut batch: Vec<Pending>) -> bool {
     loop {
-        let records: Vec<Keyed> = batch.iter().map(|pending| pending.record.clone()).collect();
+        let records: Vec<NewRecord> = batch.iter().map(|pending| pending.record.clone()).collect();
         let appended = append_somehow(node, shard, &records).await;
         node.append_ended(clock::now(), appended.as_ref().err());
         match appended {
@@ -159,7 +159,7 @@
                     batch.len()
                 );
                 for pending in &mut batch {
-                    pending.failed(!error.is_not_done());
+                    pending.failed(!error.had_no_effect());
                 }
                 batch = give_up(node, batch);
                 if batch.is_empty() {
@@ -188,11 +188,15 @@
 
 /// What an append that failed says of its records.
 pub(crate) fn outcome_of(error: Error) -> Outcome {
-    if error.is_not_done() { Outcome::NotKept } else { Outcome::Unknown }
+    if error.had_no_effect() { Outcome::NotKept } else { Outcome::Unknown }
 }
 
 /// Appends what another daemon was asked for, with what this one was asked for; one outcome for all.
-pub(crate) async fn append_as_owner(node: &Arc<Node>, shard: u32, records: Vec<Keyed>) -> Outcome {
+pub(crate) async fn append_as_owner(
+    node: &Arc<Node>,
+    shard: u32,
+    records: Vec<NewRecord>,
+) -> Outcome {
     let now = clock::now();
     let patience = Patience {
         waits_until: now + OWNER_WAIT,
@@ -210,7 +214,7 @@
 }
 
 /// Appends through the shard's owner, or else directly or through any daemon that the store serves.
-async fn append_somehow(node: &Arc<Node>, shard: u32, records: &[Keyed]) -> Result<By, Error> {
+async fn append_somehow(node: &Arc<Node>, shard: u32, records: &[NewRecord]) -> Result<By, Error> {
     let owner = node.holder(shard).filter(|_| !node.owned().contains_key(&shard));
     let by_any = async || append_by_any(node, shard, records).await.map(|()| By::Other);
     let Some(owner) = owner else { return by_any().await };
@@ -254,7 +258,7 @@
 impl By {
     /// Has the owner hear of records sooner than by the log, if it does not know of them; nobody waits
     /// for that.
-    fn tell_owner(&self, node: &Arc<Node>, shard: u32, records: &[Keyed]) {
+    fn tell_owner(&self, node: &Arc<Node>, shard: u32, records: &[NewRecord]) {
         if matches!(self, Self::Owner { .. }) {
             return;
         }
@@ -289,10 +293,10 @@
 
 /// What two failed ways say together: what is in doubt by one of them is in doubt.
 fn worse(one: Error, other: Error) -> Error {
-    if one.is_not_done() { other } else { one }
+    if one.had_no_effect() { other } else { one }
 }
 
-async fn append_by_any(node: &Arc<Node>, shard: u32, records: &[Keyed]) -> Result<(), Error> {
+async fn append_by_any(node: &Arc<Node>, shard: u32, records: &[NewRecord]) -> Result<(), Error> {
     let mut error = match node.append(shard, records).await {
         Ok(()) => return Ok(()),
         Err(error) => error,
--- a/crates/crosspath_node/src/claim.rs
+++ b/crates/crosspath_node/src/claim.rs
@@ -1,6 +1,6 @@
 //! Claiming a shard: from then on nobody with an earlier claim can append as its owner.
 
-use crosspath_border::store::{Error, Guard, Keyed, Partition, Store};
+use crosspath_border::store::{Error, NewRecord, Partition, Precondition, Store};
 use crosspath_job::record;
 
 use crate::backoff::{self, Backoff};
@@ -26,9 +26,9 @@
     let mut backoff = Backoff::new(backoff::OWNERS);
     loop {
         let record = record::Record::Claim(record::Claim { owner: owner.into(), epoch });
-        let records = [Keyed { key: record.key(), value: record.value().into() }];
+        let records = [NewRecord { key: record.key(), value: record.value().into() }];
         let sequence = rand::random_range(1..NUMBERS);
-        match store.append(shard, &records, Guard::Owner { epoch, sequence }).await {
+        match store.append(shard, &records, Precondition::Owner { epoch, sequence }).await {
             Ok(appended) => {
                 let token = appended.offset + 1;
                 log::info!(
@@ -46,7 +46,7 @@
                     shard.number
                 );
                 // The claim may yet be carried out, so the next one has a higher epoch.
-                epoch += u64::from(!error.is_not_done());
+                epoch += u64::from(!error.had_no_effect());
                 tokio::time::sleep(backoff.pause(rand::random())).await;
             }
         }
--- a/crates/crosspath_node/src/daemon.rs
+++ b/crates/crosspath_node/src/daemon.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use crosspath_border::advice::Advisor;
-use crosspath_border::entry::Handler;
+use crosspath_border::ingress::Handler;
 use crosspath_border::store::Store;
 use crosspath_border::vm::Fleet;
 use crosspath_border::worker::Runner;
--- a/crates/crosspath_node/src/directory.rs
+++ b/crates/crosspath_node/src/directory.rs
@@ -192,7 +192,7 @@
 
     fn note(&mut self, entry: Entry) -> Option<Change> {
         let known = self.entries.insert(Arc::clone(&entry.id), entry.clone());
-        if known.is_some_and(|known| known.says_same(&entry)) {
+        if known.is_some_and(|known| known.eq_ignoring_clock(&entry)) {
             return None;
         }
         self.changes.changed(&entry.id);
--- a/crates/crosspath_node/src/evacuation.rs
+++ b/crates/crosspath_node/src/evacuation.rs
@@ -70,11 +70,11 @@
         }
         self.check(evacuation)?;
         self.newest.read_to = at + 1;
-        if evacuation.asked == self.newest.data_centres.contains(&evacuation.data_centre) {
+        if evacuation.requested == self.newest.data_centres.contains(&evacuation.data_centre) {
             return Ok(());
         }
         let mut data_centres = BTreeSet::clone(&self.newest.data_centres);
-        if evacuation.asked {
+        if evacuation.requested {
             data_centres.insert(Arc::clone(&evacuation.data_centre));
         } else {
             data_centres.remove(&evacuation.data_centre);
@@ -88,7 +88,7 @@
     pub fn replace(&mut self, records: &[Evacuation], read_to: u64) -> Vec<UnknownError> {
         let mut asked = BTreeSet::new();
         let mut unknown = Vec::new();
-        for evacuation in records.iter().filter(|evacuation| evacuation.asked) {
+        for evacuation in records.iter().filter(|evacuation| evacuation.requested) {
             match self.check(evacuation) {
                 Ok(()) => drop(asked.insert(Arc::clone(&evacuation.data_centre))),
                 Err(error) => unknown.push(error),
--- a/crates/crosspath_node/src/feed.rs
+++ b/crates/crosspath_node/src/feed.rs
@@ -52,7 +52,7 @@
                 self.next = Some(next + page.records.len() as u64);
                 Ok(page.records)
             }
-            Err(Error::Gone { first }) => {
+            Err(Error::Truncated { first }) => {
                 log::info!("event=records_gone partition={} first={first}", self.partition);
                 self.next = None;
                 Ok(Vec::new())
@@ -112,7 +112,7 @@
 fn take_operators(node: &Node, records: &[Stored]) -> Vec<(u64, Evacuation)> {
     let mut evacuations = Vec::new();
     for record in records {
-        match node.store.change(record) {
+        match node.store.decode_change(record) {
             Ok(Change::Config(config)) => take_config(node, config),
             Ok(Change::Wave(wave)) => take_wave(node, wave),
             Ok(Change::Evacuation(evacuation)) => evacuations.push((record.offset, evacuation)),
@@ -129,7 +129,7 @@
         wave.number,
         wave.vms.len(),
         wave.deadline_ms,
-        wave.maximum
+        wave.max_concurrent
     );
     node.waves().entry(wave.number).or_insert((Arc::new(wave), clock::now()));
 }
--- a/crates/crosspath_node/src/fleet.rs
+++ b/crates/crosspath_node/src/fleet.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use crosspath_border::operator::{Wave, WaveState};
-use crosspath_border::store::{Guard, Keyed, Topic};
+use crosspath_border::store::{NewRecord, Precondition, Topic};
 use crosspath_border::vm::{Authority, Error, Fleet, Order, Verdict, Vm};
 use crosspath_fleet::{Outcome, Planner, Settings, View};
 use crosspath_quota::Ledger;
@@ -359,9 +359,9 @@
     }
 
     /// Keeps records as owner; whether the shard is still owned.
-    async fn keep(&mut self, records: Vec<Keyed>) -> bool {
+    async fn keep(&mut self, records: Vec<NewRecord>) -> bool {
         self.sequence += 1;
-        let guard = Guard::Owner { epoch: self.claimed.epoch, sequence: self.sequence };
+        let guard = Precondition::Owner { epoch: self.claimed.epoch, sequence: self.sequence };
         let partition = shard_partition(self.node.fleet_shard());
         shard_log::append_owned(&self.node, partition, &records, guard).await
     }
@@ -374,9 +374,9 @@
             if self.told.get(&number) == Some(&state) {
                 continue;
             }
-            let record = self.node.store.wave_status(number, state);
+            let record = self.node.store.encode_wave_status(number, state);
             let partition = only_partition(Topic::WaveStatus);
-            match self.node.store.append(partition, &[record], Guard::Free).await {
+            match self.node.store.append(partition, &[record], Precondition::Unconditional).await {
                 Ok(_) => {
                     log::info!("event=wave_told wave={number} state={state:?}");
                     self.told.insert(number, state);
--- a/crates/crosspath_node/src/gateway.rs
+++ b/crates/crosspath_node/src/gateway.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 
 use async_trait::async_trait;
-use crosspath_border::entry::{Access, Cancelled, Handler, Resolved, Shown, Submitted};
+use crosspath_border::ingress::{Access, Cancelled, Handler, Lookup, Resolved, Submitted};
 use crosspath_border::operator::{DEFAULT_BODY_BYTES, Queue};
 use crosspath_job::progress::State;
-use crosspath_job::record::{Accepted, Asker, Record};
+use crosspath_job::record::{Accepted, Record, Requester};
 use crosspath_job::{JobId, Spec};
 use futures::future::join_all;
 
@@ -137,7 +137,7 @@
         &self,
         shard: u32,
         job: JobId,
-        asker: Asker,
+        asker: Requester,
         until: Duration,
     ) -> Option<Option<State>> {
         loop {
@@ -153,17 +153,17 @@
     }
 }
 
-fn asker(access: &Access) -> Asker {
-    Asker { queue: Arc::clone(&access.queue.name), customer: access.customer.clone() }
+fn asker(access: &Access) -> Requester {
+    Requester { queue: Arc::clone(&access.queue.name), customer: access.customer.clone() }
 }
 
 #[async_trait]
 impl Handler for Gateway {
     fn resolve(&self, host: &str, path: &str, key: Option<&str>) -> Resolved {
-        let Some(table) = self.node.table() else { return Resolved::Unready };
+        let Some(table) = self.node.table() else { return Resolved::NotReady };
         let refused = |refusal| {
             if fresh::may_be_old(self.node.operators_heard(), clock::now()) {
-                Resolved::Unsure { retry_after_s: RETRY_AFTER_S }
+                Resolved::MaybeStale { retry_after_s: RETRY_AFTER_S }
             } else {
                 refusal
             }
@@ -172,7 +172,9 @@
             return refused(Resolved::Unknown);
         };
         match table.caller(&queue, key) {
-            Some(caller) => Resolved::Access(Access { queue, customer: caller.customer(), rest }),
+            Some(caller) => {
+                Resolved::Access(Access { queue, customer: caller.customer(), subpath: rest })
+            }
             None => refused(Resolved::Unauthorized),
         }
     }
@@ -201,7 +203,7 @@
                 Found::Unsure => return Submitted::NotTaken { retry_after_s: RETRY_AFTER_S },
             }
         }
-        let lasts = spec.steps.iter().any(|step| step.lasting);
+        let lasts = spec.steps.iter().any(|step| step.long_running);
         let Some(shard) = self.node.map().shard_of_job(&queue.pool, job, lasts) else {
             log::info!("event=submit job={job} queue={} outcome=no_shard", queue.name);
             return Submitted::NotTaken { retry_after_s: RETRY_AFTER_S };
@@ -235,12 +237,12 @@
         }
     }
 
-    async fn state(&self, access: &Access, job: JobId, within: Duration) -> Shown {
+    async fn state(&self, access: &Access, job: JobId, within: Duration) -> Lookup {
         let began = clock::now();
         let shown = match self.find(access, job, self.until(within)).await {
-            Found::At(_, state) => Shown::State(state),
-            Found::Nowhere => Shown::None,
-            Found::Unsure => Shown::Unavailable { retry_after_s: RETRY_AFTER_S },
+            Found::At(_, state) => Lookup::State(state),
+            Found::Nowhere => Lookup::None,
+            Found::Unsure => Lookup::Unavailable { retry_after_s: RETRY_AFTER_S },
         };
         let took = clock::now().saturating_sub(began);
         log::info!("event=state job={job} shown={shown:?} took_ms={}", took.as_millis());
@@ -274,7 +276,7 @@
         }
     }
 
-    async fn waiting(&self, queue: &Queue) -> Option<u64> {
+    async fn queued_jobs(&self, queue: &Queue) -> Option<u64> {
         let table = self.node.table()?;
         let map = self.node.map();
         let pools = table.pools_of(queue);
--- a/crates/crosspath_node/src/handover.rs
+++ b/crates/crosspath_node/src/handover.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crosspath_border::store::{Keyed, Stored};
+use crosspath_border::store::{NewRecord, Stored};
 use crosspath_border::vm::Order;
 use serde::{Deserialize, Serialize};
 
@@ -103,15 +103,15 @@
 
 /// The record that an order is about to be given.
 #[must_use]
-pub fn order_record(vm: &str, order: &Order, giver: &Arc<str>, at_ms: u64) -> Keyed {
+pub fn order_record(vm: &str, order: &Order, giver: &Arc<str>, at_ms: u64) -> NewRecord {
     let upkeep = matches!(order, Order::Maintain { .. });
     let last = LastOrder { at_ms, giver: Arc::clone(giver), upkeep };
     let value = serde_json::to_vec(&last).expect("records have a JSON form");
-    Keyed { key: format!("{ORDER_KEY}{vm}"), value: value.into() }
+    NewRecord { key: format!("{ORDER_KEY}{vm}"), value: value.into() }
 }
 
 /// The record that a VM has had its upkeep.
 #[must_use]
-pub fn upkeep_record(vm: &str, wave: u64) -> Keyed {
-    Keyed { key: format!("{UPKEEP_KEY}{wave}/{vm}"), value: "{}".into() }
+pub fn upkeep_record(vm: &str, wave: u64) -> NewRecord {
+    NewRecord { key: format!("{UPKEEP_KEY}{wave}/{vm}"), value: "{}".into() }
 }
--- a/crates/crosspath_node/src/map.rs
+++ b/crates/crosspath_node/src/map.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crosspath_border::store::{Error, Guard, Keyed, Stored, Topic};
+use crosspath_border::store::{Error, NewRecord, Precondition, Stored, Topic};
 use crosspath_job::JobId;
 use serde::{Deserialize, Serialize};
 use siphasher::sip::SipHasher13;
@@ -196,8 +196,8 @@
         vms: usize,
         millicores: u32,
         end: u32,
-    ) -> Vec<Keyed> {
-        let keyed = |key: String, number: u32| Keyed { key, value: number.to_string().into() };
+    ) -> Vec<NewRecord> {
+        let keyed = |key: String, number: u32| NewRecord { key, value: number.to_string().into() };
         let mut whole = self.clone();
         let mut records = Vec::new();
         if whole.slices == 0 {
@@ -303,7 +303,7 @@
     if records.is_empty() {
         return Err(ExtendError::NoShardLeft { pools: pools.len() });
     }
-    node.store.append(partition, &records, Guard::At(end)).await?;
+    node.store.append(partition, &records, Precondition::EndOffset(end)).await?;
     log::info!("event=map_extended records={} vms={vms}", records.len());
     for (record, offset) in records.into_iter().zip(end..) {
         map.take(&Stored { offset, key: record.key, value: record.value });
--- a/crates/crosspath_node/src/node.rs
+++ b/crates/crosspath_node/src/node.rs
@@ -9,11 +9,11 @@
 
 use crosspath_border::advice::Advisor;
 use crosspath_border::operator::Wave;
-use crosspath_border::store::{Error, Guard, Keyed, Partition, Store, Topic};
+use crosspath_border::store::{Error, NewRecord, Partition, Precondition, Store, Topic};
 use crosspath_border::vm::Fleet;
 use crosspath_border::worker::Runner;
 use crosspath_http::server::Stage;
-use crosspath_quota::{Ask, Deal, Ledger};
+use crosspath_quota::{Grant, Ledger, Request};
 use crosspath_schedule::takeover::Legacy;
 use tokio::sync::{Notify, watch};
 
@@ -279,13 +279,13 @@
 
     /// Deals parts of customers' maxima to a shard; none where this daemon does not own the fleet, or the
     /// question is an old one.
-    pub(crate) fn deal(&self, now: Duration, ask: &Ask) -> Option<Deal> {
+    pub(crate) fn deal(&self, now: Duration, ask: &Request) -> Option<Grant> {
         if !self.may_act(now) || !self.owned().contains_key(&self.fleet_shard()) {
             return None;
         }
         let limits = self.table()?.limits();
         let shards = self.map().by_shard().into_keys().collect();
-        lock(&self.ledger).as_mut()?.deal(ask, &limits, &shards)
+        lock(&self.ledger).as_mut()?.grant(ask, &limits, &shards)
     }
 
     pub(crate) fn standing(&self) -> Standing {
@@ -312,7 +312,7 @@
         let contact = &mut lock(&self.standing).contact;
         match failure {
             None => contact.kept(),
-            Some(error) if error.is_not_done() => contact.refused(now),
+            Some(error) if error.had_no_effect() => contact.refused(now),
             Some(_) => {}
         }
     }
@@ -323,12 +323,12 @@
     }
 
     /// Appends records of callers to a shard; nothing is sent to a silent store.
-    pub(crate) async fn append(&self, shard: u32, records: &[Keyed]) -> Result<(), Error> {
+    pub(crate) async fn append(&self, shard: u32, records: &[NewRecord]) -> Result<(), Error> {
         if self.is_store_silent(clock::now()) {
             return Err(Error::NotReached);
         }
         self.store_asked(clock::now());
-        self.store.append(shard_partition(shard), records, Guard::Free).await?;
+        self.store.append(shard_partition(shard), records, Precondition::Unconditional).await?;
         self.store_answers(clock::now());
         Ok(())
     }
--- a/crates/crosspath_node/src/order.rs
+++ b/crates/crosspath_node/src/order.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crosspath_border::worker::{Error, Hold, Start, Started};
+use crosspath_border::worker::{Error, Poll, Start, Started};
 use crosspath_job::TaskId;
 use crosspath_schedule::Event;
 use crosspath_schedule::lease::Terms;
@@ -80,9 +80,9 @@
         let sent = clock::now();
         let acknowledged = self.watch.acknowledged();
         let wait = Duration::ZERO;
-        let hold = Hold { token: self.token, acknowledged, deadline_ms: None, wait };
+        let hold = Poll { token: self.token, acknowledged, deadline_ms: None, wait };
         let worker = Arc::clone(&self.watch.target.id);
-        match self.node.runner.hold(&self.watch.target, &hold).await {
+        match self.node.runner.poll(&self.watch.target, &hold).await {
             Ok(held) => {
                 self.watch.heard(held.clock_ms);
                 self.events.send(Event::Held { worker, sent, extended: false, held }).ok();
@@ -94,7 +94,7 @@
 
     pub(crate) async fn pace(self, task: TaskId, run: u64, percent: u32) {
         let target = &self.watch.target;
-        let answer = self.node.runner.pace(target, task, run, percent, self.token).await;
+        let answer = self.node.runner.throttle(target, task, run, percent, self.token).await;
         if let Err(error) = answer {
             let worker = &target.id;
             log::info!("event=pace_failed task={task} run={run} worker={worker} error=\"{error}\"");
--- a/crates/crosspath_node/src/pending.rs
+++ b/crates/crosspath_node/src/pending.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-use crosspath_border::store::Keyed;
+use crosspath_border::store::NewRecord;
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
@@ -42,7 +42,7 @@
 #[derive(Debug)]
 pub struct Pending {
     /// What is to be kept.
-    pub record: Keyed,
+    pub record: NewRecord,
     patience: Patience,
     /// Whether an append of it got no answer.
     doubtful: bool,
@@ -60,7 +60,7 @@
 
 /// Both sides of a record.
 #[must_use]
-pub fn pair(record: Keyed, patience: Patience) -> (Pending, Waiter) {
+pub fn pair(record: NewRecord, patience: Patience) -> (Pending, Waiter) {
     let (answer, outcome) = oneshot::channel();
     let taken = Arc::<AtomicBool>::default();
     let waiter = Waiter { patience, taken: Arc::clone(&taken), outcome };
--- a/crates/crosspath_node/src/rpc.rs
+++ b/crates/crosspath_node/src/rpc.rs
@@ -6,14 +6,14 @@
 use std::time::Duration;
 
 use crosspath_border::operator::Config;
-use crosspath_border::store::{Error, Keyed};
+use crosspath_border::store::{Error, NewRecord};
 use crosspath_http::body::{self, Body};
 use crosspath_http::client::{Client, Error as CallError, Method};
 use crosspath_http::server::{self, Limits, Stage};
 use crosspath_job::JobId;
 use crosspath_job::progress::State;
-use crosspath_job::record::{Asker, Record};
-use crosspath_quota::{Ask, Deal};
+use crosspath_job::record::{Record, Requester};
+use crosspath_quota::{Grant as QuotaGrant, Request as QuotaRequest};
 use crosspath_schedule::report;
 use http::{Request, Response, StatusCode};
 use hyper::body::Incoming;
@@ -44,7 +44,7 @@
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Question {
     /// State of a job.
-    State { shard: u32, job: JobId, asker: Asker },
+    State { shard: u32, job: JobId, asker: Requester },
     /// Number of a queue's jobs that wait.
     Waiting { shard: u32, queue: Arc<str> },
     /// VMs that are to become vacant, and how the pool is.
@@ -54,7 +54,7 @@
     /// A record that a caller's request has just added to a shard, for its owner.
     Kept { shard: u32, key: String, value: String },
     /// Parts of customers' maxima, of the fleet's owner.
-    Parts(Ask),
+    Parts(QuotaRequest),
     /// What operators have written, for a daemon that knows a version of the configuration and that the store does
     /// not tell of anything newer.
     Config { known: Option<u64> },
@@ -81,7 +81,7 @@
     /// Records were appended, but those with these keys: other customers' jobs have the identifiers.
     Appended { taken: Vec<String> },
     /// Parts of customers' maxima.
-    Parts(Deal),
+    Parts(QuotaGrant),
     /// A newer configuration, none when there is none; what is evacuated; and how long ago the store told so.
     Config { newer: Option<Box<Config>>, evacuated: Evacuated, heard_ms_ago: u64 },
     /// Workers.
@@ -160,11 +160,12 @@
     node: &Node,
     peer: SocketAddr,
     shard: u32,
-    records: &[Keyed],
+    records: &[NewRecord],
     timeout: Duration,
 ) -> Result<Vec<String>, Failure> {
-    let text =
-        |record: &Keyed| (record.key.clone(), String::from_utf8_lossy(&record.value).into_owned());
+    let text = |record: &NewRecord| {
+        (record.key.clone(), String::from_utf8_lossy(&record.value).into_owned())
+    };
     let records = records.iter().map(text).collect();
     match node.peers.ask_to_append(peer, &Question::Append { shard, records }, timeout).await {
         Ok(Answer::Appended { taken }) => Ok(taken),
@@ -254,7 +255,7 @@
 }
 
 async fn append(node: &Arc<Node>, shard: u32, records: Vec<(String, String)>) -> Answer {
-    let keyed = |(key, value): (String, String)| Keyed { key, value: value.into() };
+    let keyed = |(key, value): (String, String)| NewRecord { key, value: value.into() };
     let (taken, records): (Vec<_>, Vec<_>) =
         records.into_iter().map(keyed).partition(|record| is_taken_here(node, shard, record));
     let taken: Vec<_> = taken.into_iter().map(|record| record.key).collect();
@@ -276,7 +277,7 @@
 }
 
 /// Whether this daemon owns the shard and knows that another customer's job has the record's identifier.
-pub(crate) fn is_taken_here(node: &Node, shard: u32, record: &Keyed) -> bool {
+pub(crate) fn is_taken_here(node: &Node, shard: u32, record: &NewRecord) -> bool {
     let owned = node.owned();
     let Some(handle) = owned.get(&shard) else { return false };
     let record = Record::decode(&record.key, &record.value);
@@ -296,7 +297,7 @@
 
 /// Tells a shard's owner of a record that is kept. The owner reads it in the log anyway, a little
 /// later, so nothing depends on this.
-pub(crate) async fn tell_kept(node: &Arc<Node>, shard: u32, record: &Keyed) {
+pub(crate) async fn tell_kept(node: &Arc<Node>, shard: u32, record: &NewRecord) {
     if tell_owner_here(node, shard, &record.key, &record.value) {
         return;
     }
--- a/crates/crosspath_node/src/shard.rs
+++ b/crates/crosspath_node/src/shard.rs
@@ -6,11 +6,11 @@
 use std::time::Duration;
 
 use crosspath_border::advice::Error as AdviceError;
-use crosspath_border::store::{Guard, Keyed, Stored};
+use crosspath_border::store::{NewRecord, Precondition, Stored};
 use crosspath_border::worker::{Entry, Start};
 use crosspath_job::JobId;
 use crosspath_job::progress::State;
-use crosspath_job::record::{Asker, Record};
+use crosspath_job::record::{Record, Requester};
 use crosspath_schedule::lease::Terms;
 use crosspath_schedule::{Action, Event, Scheduler, Settings, report};
 use tokio::sync::mpsc;
@@ -97,7 +97,7 @@
     }
 
     /// State of a job that belongs to the asker, none within when there is none; none while taking over.
-    pub(crate) fn state(&self, job: JobId, asker: &Asker) -> Option<Option<State>> {
+    pub(crate) fn state(&self, job: JobId, asker: &Requester) -> Option<Option<State>> {
         let shared = scheduler(&self.scheduler);
         let scheduler = shared.as_ref()?;
         let own = scheduler.accepted(job).is_some_and(|accepted| accepted.belongs_to(asker));
@@ -109,7 +109,7 @@
         let Record::Accepted(job, accepted) = record else { return false };
         let shared = scheduler(&self.scheduler);
         let known = shared.as_ref().and_then(|scheduler| scheduler.accepted(*job));
-        known.is_some_and(|known| !known.belongs_to(&accepted.asker()))
+        known.is_some_and(|known| !known.belongs_to(&accepted.requester()))
     }
 
     pub(crate) fn waiting(&self, queue: &str) -> Option<u64> {
@@ -335,9 +335,10 @@
             }
             Action::Commit { records } => {
                 duties.sequence += 1;
-                let guard = Guard::Owner { epoch: duties.claimed.epoch, sequence: duties.sequence };
+                let guard =
+                    Precondition::Owner { epoch: duties.claimed.epoch, sequence: duties.sequence };
                 let keyed =
-                    |record: &Record| Keyed { key: record.key(), value: record.value().into() };
+                    |record: &Record| NewRecord { key: record.key(), value: record.value().into() };
                 let records: Vec<_> = records.iter().map(keyed).collect();
                 let (node, events) = (Arc::clone(&self.node), self.events.clone());
                 let partition = shard_partition(self.number);
--- a/crates/crosspath_node/src/shard_log.rs
+++ b/crates/crosspath_node/src/shard_log.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crosspath_border::store::{Error, Guard, Keyed, Partition, Stored};
+use crosspath_border::store::{Error, NewRecord, Partition, Precondition, Stored};
 use crosspath_job::record::Record;
 use crosspath_schedule::Event;
 use tokio::sync::mpsc;
@@ -26,7 +26,7 @@
     match record {
         Record::Accepted(job, accepted) => Some(Event::Accepted(job, accepted)),
         Record::Cancelled(job, by) => Some(Event::Cancelled(job, by)),
-        Record::Claim(_) | Record::Progress(..) | Record::Dropped(_) => None,
+        Record::Claim(_) | Record::Progress(..) | Record::Tombstone(_) => None,
     }
 }
 
@@ -42,8 +42,8 @@
 pub(crate) async fn append_owned(
     node: &Node,
     partition: Partition,
-    records: &[Keyed],
-    guard: Guard,
+    records: &[NewRecord],
+    guard: Precondition,
 ) -> bool {
     let mut backoff = Backoff::new(backoff::OWNERS);
     loop {
--- a/crates/crosspath_node/src/table.rs
+++ b/crates/crosspath_node/src/table.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use crosspath_border::operator::{Config, Queue};
-use crosspath_job::spec::Room;
+use crosspath_job::spec::Resources;
 use crosspath_quota::{Limits, Weights};
 
 /// Queues of the newest configuration, and pools that queues had before.
@@ -73,7 +73,7 @@
     /// Maximum of each customer that has one.
     pub(crate) fn limits(&self) -> Limits {
         let customers = self.config.customers.iter();
-        let limited = customers.filter(|customer| customer.maximum != Room::UNLIMITED);
+        let limited = customers.filter(|customer| customer.maximum != Resources::UNLIMITED);
         limited.map(|customer| (Arc::clone(&customer.name), customer.maximum)).collect()
     }
 
--- a/crates/crosspath_node/src/watch.rs
+++ b/crates/crosspath_node/src/watch.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use crosspath_border::worker::{Error, Hold, Target};
+use crosspath_border::worker::{Error, Poll, Target};
 use crosspath_schedule::Event;
 use crosspath_schedule::lease::{Clock, Terms};
 use tokio::sync::{Notify, Semaphore, mpsc};
@@ -98,8 +98,8 @@
         let extended = !failing && node.may_act(sent);
         let wait = if first || failing || unkept > acknowledged { Duration::ZERO } else { WAIT };
         let deadline_ms = extended.then(|| watch.deadline_ms(sent, terms.hold));
-        let hold = Hold { token, acknowledged, deadline_ms, wait };
-        let answer = node.runner.hold(&watch.target, &hold).await;
+        let hold = Poll { token, acknowledged, deadline_ms, wait };
+        let answer = node.runner.poll(&watch.target, &hold).await;
         if watch.is_over() {
             return;
         }
--- a/crates/crosspath_node/src/workers.rs
+++ b/crates/crosspath_node/src/workers.rs
@@ -152,7 +152,7 @@
             Ok(records) => {
                 self.backoff.reset();
                 let whole = whole && self.feed.is_started();
-                let read = |record: &_| self.node.store.worker(record);
+                let read = |record: &_| self.node.store.decode_worker(record);
                 let changes = self.node.directory().take(&records, whole, read);
                 pass_on(&self.node, changes);
                 tokio::time::sleep(READ_PAUSE).await;
--- a/crates/crosspath_node/tests/node/appends.rs
+++ b/crates/crosspath_node/tests/node/appends.rs
@@ -1,6 +1,6 @@
 //! Who appends what callers ask for: two daemons on one log in memory.
 
-use crosspath_border::entry::Submitted;
+use crosspath_border::ingress::Submitted;
 
 use crate::common::{Daemon, SETTLED, log_of_one_pool};
 
--- a/crates/crosspath_node/tests/node/claim.rs
+++ b/crates/crosspath_node/tests/node/claim.rs
@@ -1,13 +1,13 @@
 //! Claims: one epoch and one token for each, whatever answers are lost.
 
-use crosspath_border::store::{Error, Guard, Keyed, Partition, Store as _, Topic};
+use crosspath_border::store::{Error, NewRecord, Partition, Precondition, Store as _, Topic};
 use crosspath_fakes::memory_store::MemoryStore;
 use crosspath_node::claim::claim;
 
 const SHARD: Partition = Partition { topic: Topic::Shards, number: 3 };
 
-fn record() -> [Keyed; 1] {
-    [Keyed { key: "key".to_owned(), value: "value".into() }]
+fn record() -> [NewRecord; 1] {
+    [NewRecord { key: "key".to_owned(), value: "value".into() }]
 }
 
 #[tokio::test]
@@ -23,10 +23,10 @@
 async fn the_owner_before_cannot_append_any_more() {
     let store = MemoryStore::new(24);
     let first = claim(&store, SHARD, "first").await;
-    let guard = Guard::Owner { epoch: first.epoch, sequence: first.sequence + 1 };
+    let guard = Precondition::Owner { epoch: first.epoch, sequence: first.sequence + 1 };
     store.append(SHARD, &record(), guard).await.expect("the owner appends");
     let second = claim(&store, SHARD, "second").await;
-    let guard = Guard::Owner { epoch: first.epoch, sequence: first.sequence + 2 };
+    let guard = Precondition::Owner { epoch: first.epoch, sequence: first.sequence + 2 };
     let refused = store.append(SHARD, &record(), guard).await;
     assert_eq!(refused, Err(Error::Fenced { epoch: second.epoch }));
 }
@@ -45,7 +45,7 @@
 async fn a_repeated_append_of_the_owner_is_done_once() {
     let store = MemoryStore::new(24);
     let owner = claim(&store, SHARD, "first").await;
-    let guard = Guard::Owner { epoch: owner.epoch, sequence: owner.sequence + 1 };
+    let guard = Precondition::Owner { epoch: owner.epoch, sequence: owner.sequence + 1 };
     store.lose_answers(1);
     assert_eq!(store.append(SHARD, &record(), guard).await, Err(Error::NoAnswer));
     store.append(SHARD, &record(), guard).await.expect("the first answer again");
--- a/crates/crosspath_node/tests/node/common.rs
+++ b/crates/crosspath_node/tests/node/common.rs
@@ -9,18 +9,20 @@
 
 use async_trait::async_trait;
 use crosspath_border::customer::{Customer, Keys, Registration};
-use crosspath_border::entry::{Access, Handler, Resolved, Shown, Submitted};
+use crosspath_border::ingress::{Access, Handler, Lookup, Resolved, Submitted};
 use crosspath_border::operator::{Change, Config, DEFAULT_BODY_BYTES, Pool, Queue, WaveState};
 use crosspath_border::store::{
-    Appended, DecodeError, Error, Guard, Holder, Join, Keyed, Membership, NewestPage, Page,
-    Partition, Store, Stored, Topic,
+    Appended, DecodeError, Error, Holder, Join, Membership, NewRecord, NewestPage, Page, Partition,
+    Precondition, Store, Stored, Topic,
 };
 use crosspath_border::vm::{self, Authority, Fleet, Order, State, Verdict, Vm};
-use crosspath_border::worker::{self, Clocked, Held, Hold, Runner, Start, Started, Target};
+use crosspath_border::worker::{
+    self, Poll, PollReply, Runner, Start, Started, Target, Timestamped,
+};
 use crosspath_fakes::memory_store::MemoryStore;
 use crosspath_http::server::{Limits, Stage};
 use crosspath_job::record::Policy;
-use crosspath_job::spec::{Room, Spec, Step};
+use crosspath_job::spec::{Resources, Spec, Step};
 use crosspath_job::{JobId, TaskId};
 use crosspath_node::settings::Costs;
 use crosspath_node::{Ports, Settings};
@@ -74,10 +76,10 @@
     async fn append(
         &self,
         partition: Partition,
-        records: &[Keyed],
-        guard: Guard,
+        records: &[NewRecord],
+        guard: Precondition,
     ) -> Result<Appended, Error> {
-        if matches!(guard, Guard::Free) {
+        if matches!(guard, Precondition::Unconditional) {
             if self.refuses.load(Ordering::SeqCst) || self.down.load(Ordering::SeqCst) {
                 self.refused.fetch_add(1, Ordering::SeqCst);
                 return Err(Error::Refused { status: 503 });
@@ -119,7 +121,7 @@
         self.log.holders().await
     }
 
-    fn change(&self, record: &Stored) -> Result<Change, DecodeError> {
+    fn decode_change(&self, record: &Stored) -> Result<Change, DecodeError> {
         let pools = vec![Pool { name: "counter".into(), spare: false }];
         let queues = vec![queue()];
         let text = String::from_utf8_lossy(&record.value);
@@ -130,16 +132,16 @@
         Ok(Change::Config(Config { version, queues, pools, customers, keys, body_bytes }))
     }
 
-    fn worker(&self, record: &Stored) -> Result<worker::Entry, DecodeError> {
-        self.log.worker(record)
+    fn decode_worker(&self, record: &Stored) -> Result<worker::Entry, DecodeError> {
+        self.log.decode_worker(record)
     }
 
-    fn wave_status(&self, wave: u64, state: WaveState) -> Keyed {
-        self.log.wave_status(wave, state)
+    fn encode_wave_status(&self, wave: u64, state: WaveState) -> NewRecord {
+        self.log.encode_wave_status(wave, state)
     }
 
-    fn wave_state(&self, record: &Stored) -> Result<(u64, WaveState), DecodeError> {
-        self.log.wave_state(record)
+    fn decode_wave_status(&self, record: &Stored) -> Result<(u64, WaveState), DecodeError> {
+        self.log.decode_wave_status(record)
     }
 }
 
@@ -149,7 +151,7 @@
     let version = words.next().and_then(|word| word.parse().ok()).expect("a version");
     let row = |word: &str| {
         let (name, keys) = word.split_once('=').expect("a customer with keys");
-        let customer = Customer { name: name.into(), weight: 1.0, maximum: Room::UNLIMITED };
+        let customer = Customer { name: name.into(), weight: 1.0, maximum: Resources::UNLIMITED };
         let keys = keys.split(',').filter(|key| !key.is_empty()).map(str::to_owned).collect();
         Registration { customer, keys }
     };
@@ -162,7 +164,7 @@
 
 #[async_trait]
 impl Runner for NoWorkers {
-    async fn start(&self, _: &Target, _: &Start) -> Result<Clocked<Started>, worker::Error> {
+    async fn start(&self, _: &Target, _: &Start) -> Result<Timestamped<Started>, worker::Error> {
         Err(worker::Error::NotReached)
     }
 
@@ -172,22 +174,22 @@
         _: TaskId,
         _: u64,
         _: u64,
-    ) -> Result<Clocked<()>, worker::Error> {
+    ) -> Result<Timestamped<()>, worker::Error> {
         Err(worker::Error::NotReached)
     }
 
-    async fn hold(&self, _: &Target, _: &Hold) -> Result<Held, worker::Error> {
+    async fn poll(&self, _: &Target, _: &Poll) -> Result<PollReply, worker::Error> {
         Err(worker::Error::NotReached)
     }
 
-    async fn pace(
+    async fn throttle(
         &self,
         _: &Target,
         _: TaskId,
         _: u64,
         _: u32,
         _: u64,
-    ) -> Result<Clocked<()>, worker::Error> {
+    ) -> Result<Timestamped<()>, worker::Error> {
         Err(worker::Error::NotReached)
     }
 
@@ -208,12 +210,12 @@
 }
 
 fn access(customer: Option<&str>) -> Access {
-    Access { queue: Arc::new(queue()), customer: customer.map(Arc::from), rest: String::new() }
+    Access { queue: Arc::new(queue()), customer: customer.map(Arc::from), subpath: String::new() }
 }
 
 fn spec() -> Spec {
-    let room = Room { cpu_millis: 1_000, mem_mb: 100, gpus: 0 };
-    let step = Step { tasks: 1, room, estimate_ms: 800, ..Step::default() };
+    let room = Resources { cpu_millis: 1_000, mem_mb: 100, gpus: 0 };
+    let step = Step { tasks: 1, resources: room, estimate_ms: 800, ..Step::default() };
     Spec { text: "text".into(), steps: vec![step], repeat: None }
 }
 
@@ -348,7 +350,7 @@
     }
 
     /// Asks for a job of a customer.
-    pub(crate) async fn state_for(&self, customer: Option<&str>, job: u64) -> Shown {
+    pub(crate) async fn state_for(&self, customer: Option<&str>, job: u64) -> Lookup {
         self.handler.state(&access(customer), JobId(job), PATIENCE).await
     }
 
@@ -392,9 +394,9 @@
 
 /// Writes a configuration, as "VERSION CUSTOMER=KEY,KEY ...".
 pub(crate) async fn configure(log: &MemoryStore, text: &str) {
-    let config = Keyed { key: "config".into(), value: text.to_owned().into() };
+    let config = NewRecord { key: "config".into(), value: text.to_owned().into() };
     let operators = Partition { topic: Topic::Operators, number: 0 };
-    log.append(operators, &[config], Guard::Free).await.expect("a log");
+    log.append(operators, &[config], Precondition::Unconditional).await.expect("a log");
 }
 
 /// A list of VMs that refuses the first calls.
@@ -430,7 +432,7 @@
             data_centre: "a".into(),
             state: State::Up,
             labels: Vec::new(),
-            capacity: Room { cpu_millis: 32_000, mem_mb: 1, gpus: 0 },
+            capacity: Resources { cpu_millis: 32_000, mem_mb: 1, gpus: 0 },
             worker: None,
         };
         if self.calls.fetch_add(1, Ordering::SeqCst) < self.refuses {
--- a/crates/crosspath_node/tests/node/directory.rs
+++ b/crates/crosspath_node/tests/node/directory.rs
@@ -4,7 +4,7 @@
 
 use crosspath_border::store::{DecodeError, Stored};
 use crosspath_border::worker::Entry;
-use crosspath_job::spec::Room;
+use crosspath_job::spec::Resources;
 use crosspath_node::directory::{Change, Directory};
 use crosspath_schedule::Event;
 
@@ -29,10 +29,10 @@
         address: "127.0.0.1:9".parse().expect("an address"),
         draining: false,
         remaining_ms: 0,
-        capacity: Room { cpu_millis: 32_000, mem_mb: 128_000, gpus: 0 },
+        capacity: Resources { cpu_millis: 32_000, mem_mb: 128_000, gpus: 0 },
         labels: Vec::new(),
         clock_ms: 1_000,
-        born_ms: 0,
+        started_ms: 0,
     })
 }
 
--- a/crates/crosspath_node/tests/node/evacuation.rs
+++ b/crates/crosspath_node/tests/node/evacuation.rs
@@ -15,7 +15,7 @@
 const START_TIME: Duration = Duration::from_millis(500);
 
 fn word(data_centre: &str, asked: bool) -> Evacuation {
-    Evacuation { data_centre: data_centre.into(), asked }
+    Evacuation { data_centre: data_centre.into(), requested: asked }
 }
 
 fn names(evacuations: &Evacuations) -> Vec<String> {
@@ -113,7 +113,7 @@
     fn asked(&self, until: Duration) -> BTreeSet<Arc<str>> {
         let mut newest = BTreeMap::new();
         for (at, word) in self.log.iter().filter(|(at, _)| *at <= until) {
-            newest.insert(Arc::clone(&word.data_centre), (*at, word.asked));
+            newest.insert(Arc::clone(&word.data_centre), (*at, word.requested));
         }
         newest.into_iter().filter(|(_, (_, asked))| *asked).map(|(name, _)| name).collect()
     }
@@ -136,7 +136,7 @@
                 for (_, word) in &self.log {
                     newest.insert(Arc::clone(&word.data_centre), word.clone());
                 }
-                let left: Vec<_> = newest.into_values().filter(|word| word.asked).collect();
+                let left: Vec<_> = newest.into_values().filter(|word| word.requested).collect();
                 assert_eq!(daemon.known.replace(&left, end), Vec::new());
             }
         }
--- a/crates/crosspath_node/tests/node/keys.rs
+++ b/crates/crosspath_node/tests/node/keys.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crosspath_border::entry::{Resolved, Shown, Submitted};
+use crosspath_border::ingress::{Lookup, Resolved, Submitted};
 use crosspath_job::progress::State;
 
 use crate::common::{Daemon, SETTLED, configure, log_of_one_pool};
@@ -44,8 +44,8 @@
     tokio::time::sleep(SETTLED).await;
     for daemon in [&one, &other] {
         assert_eq!(daemon.submit_for(Some("water"), 1).await, Submitted::Accepted);
-        assert_eq!(daemon.state_for(Some("water"), 1).await, Shown::State(State::Queued));
-        assert_eq!(daemon.state_for(Some("power"), 1).await, Shown::None);
+        assert_eq!(daemon.state_for(Some("water"), 1).await, Lookup::State(State::Queued));
+        assert_eq!(daemon.state_for(Some("power"), 1).await, Lookup::None);
         assert_eq!(daemon.submit_for(Some("power"), 1).await, Submitted::Taken);
     }
 }
@@ -76,6 +76,6 @@
     daemon.take_log_down(true);
     tokio::time::sleep(IN_FORCE).await;
     let answer = daemon.resolve(Some("w-2"));
-    assert!(matches!(answer, Resolved::Unsure { .. }), "{answer:?}");
+    assert!(matches!(answer, Resolved::MaybeStale { .. }), "{answer:?}");
     assert_eq!(customer(&daemon, "w-1").as_deref(), Some("water"), "a known key is served on");
 }
--- a/crates/crosspath_node/tests/node/map.rs
+++ b/crates/crosspath_node/tests/node/map.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use crosspath_border::store::{Keyed, Stored};
+use crosspath_border::store::{NewRecord, Stored};
 use crosspath_job::JobId;
 use crosspath_node::map::Map;
 
@@ -13,7 +13,7 @@
 
 /// Adds what the map lacks for `pools` on `vms` VMs, with 23 shards to give.
 fn extend(map: &mut Map, pools: &BTreeSet<Arc<str>>, vms: usize) {
-    for Keyed { key, value } in map.missing(pools, vms, 120, 23) {
+    for NewRecord { key, value } in map.missing(pools, vms, 120, 23) {
         map.take(&Stored { offset: 0, key, value });
     }
 }
--- a/crates/crosspath_node/tests/node/pending.rs
+++ b/crates/crosspath_node/tests/node/pending.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crosspath_border::store::Keyed;
+use crosspath_border::store::NewRecord;
 use crosspath_node::pending::{self, Outcome, Patience, Pending, Waiter};
 use tokio::time::Instant;
 
@@ -13,7 +13,7 @@
 };
 
 fn pair() -> (Pending, Waiter) {
-    let record = Keyed { key: "a/1".to_owned(), value: Vec::from("{}").into() };
+    let record = NewRecord { key: "a/1".to_owned(), value: Vec::from("{}").into() };
     pending::pair(record, PATIENCE)
 }
 
--- a/crates/crosspath_node/tests/node/standby.rs
+++ b/crates/crosspath_node/tests/node/standby.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crosspath_border::entry::{Shown, Submitted};
+use crosspath_border::ingress::{Lookup, Submitted};
 use crosspath_job::progress::State;
 
 use crate::common::{Daemon, SETTLED, log_of_one_pool};
@@ -21,7 +21,7 @@
     assert_eq!(small.submit(1).await, Submitted::Accepted);
     let before = small.holder_reads();
     tokio::time::sleep(CALM).await;
-    assert_eq!(small.state_for(None, 1).await, Shown::State(State::Queued));
+    assert_eq!(small.state_for(None, 1).await, Lookup::State(State::Queued));
     let read = small.holder_reads() - before;
     assert!(read <= 2, "{read} readings in {CALM:?}");
     assert!(large.appends() > 0, "the owner appends for it");
@@ -38,5 +38,5 @@
     // Shards are dealt anew among more.
     let _other = Daemon::start("entry-3", &log).await;
     let _third = Daemon::start("entry-4", &log).await;
-    assert_eq!(small.state_for(None, 1).await, Shown::State(State::Queued));
+    assert_eq!(small.state_for(None, 1).await, Lookup::State(State::Queued));
 }
--- a/crates/crosspath_node/tests/node/workers.rs
+++ b/crates/crosspath_node/tests/node/workers.rs
@@ -6,7 +6,7 @@
 
 use crosspath_border::store::Stored;
 use crosspath_border::worker::Entry;
-use crosspath_job::spec::Room;
+use crosspath_job::spec::Resources;
 use crosspath_node::directory::{Directory, Update};
 use crosspath_node::map::{Map, Unit};
 use crosspath_node::workers::{Source, source};
@@ -30,10 +30,10 @@
         address: "127.0.0.1:9".parse().expect("an address"),
         draining: false,
         remaining_ms: 0,
-        capacity: Room { cpu_millis: cores * 1_000, mem_mb: 128_000, gpus: 0 },
+        capacity: Resources { cpu_millis: cores * 1_000, mem_mb: 128_000, gpus: 0 },
         labels: Vec::new(),
         clock_ms: 1_000,
-        born_ms: 0,
+        started_ms: 0,
     }
 }
 
--- a/crates/crosspath_quota/src/ledger.rs
+++ b/crates/crosspath_quota/src/ledger.rs
@@ -3,15 +3,15 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use crosspath_job::spec::Room;
+use crosspath_job::spec::Resources;
 
 use crate::Limits;
-use crate::message::{Ask, Deal, Part, Wish};
+use crate::message::{Allotment, Demand, Grant, Request};
 
 /// Share of what is left that is dealt out unasked, to all shards together. A shard with some at hand starts
 /// the first tasks of a rise without asking, also while there is no ledger; a shard that wants more than is
 /// left waits until the others say again what they keep.
-const SPARE_SHARE: u64 = 2;
+const HEADROOM_DIVISOR: u64 = 2;
 
 /// What one shard holds, by its owner's last question.
 #[derive(Debug, Default)]
@@ -19,14 +19,14 @@
     epoch: u64,
     number: u64,
     /// Whether some owner of the shard has taken this ledger's term.
-    settled: bool,
-    held: BTreeMap<Arc<str>, Room>,
+    acknowledged_term: bool,
+    held: BTreeMap<Arc<str>, Resources>,
 }
 
 impl Account {
     /// Whether a question is later than the last one.
-    fn is_news(&self, ask: &Ask) -> bool {
-        (ask.epoch, ask.number) > (self.epoch, self.number)
+    fn is_newer(&self, request: &Request) -> bool {
+        (request.epoch, request.number) > (self.epoch, self.number)
     }
 }
 
@@ -52,71 +52,86 @@
 
     /// Takes in what a shard keeps, and deals it what it wants as far as `limits` leave it. `shards` are
     /// all that may hold something. None for a question that is older than one before.
-    pub fn deal(&mut self, ask: &Ask, limits: &Limits, shards: &BTreeSet<u32>) -> Option<Deal> {
-        let account = self.accounts.entry(ask.shard).or_default();
-        if !account.is_news(ask) {
+    pub fn grant(
+        &mut self,
+        request: &Request,
+        limits: &Limits,
+        shards: &BTreeSet<u32>,
+    ) -> Option<Grant> {
+        let account = self.accounts.entry(request.shard).or_default();
+        if !account.is_newer(request) {
             return None;
         }
-        account.epoch = ask.epoch;
-        account.number = ask.number;
+        account.epoch = request.epoch;
+        account.number = request.number;
         account.held =
-            ask.wishes.iter().map(|(name, wish)| (Arc::clone(name), wish.keep)).collect();
-        let has_term = ask.term == self.term;
-        account.settled |= has_term;
-        let settled = has_term && shards.iter().all(|shard| self.is_settled(*shard));
-        let mut parts = BTreeMap::new();
-        for (name, wish) in &ask.wishes {
-            let limit = limits.get(name).copied().unwrap_or(Room::UNLIMITED);
-            let held =
-                if settled { self.part(name, wish, &limit, shards.len()) } else { wish.keep };
-            parts.insert(Arc::clone(name), Part { held, limit });
+            request.demands.iter().map(|(name, demand)| (Arc::clone(name), demand.keep)).collect();
+        let has_term = request.term == self.term;
+        account.acknowledged_term |= has_term;
+        let active = has_term && shards.iter().all(|shard| self.has_acknowledged(*shard));
+        let mut allotments = BTreeMap::new();
+        for (name, demand) in &request.demands {
+            let limit = limits.get(name).copied().unwrap_or(Resources::UNLIMITED);
+            let held = if active {
+                self.allotment(name, demand, &limit, shards.len())
+            } else {
+                demand.keep
+            };
+            allotments.insert(Arc::clone(name), Allotment { held, limit });
         }
-        if let Some(account) = self.accounts.get_mut(&ask.shard) {
+        if let Some(account) = self.accounts.get_mut(&request.shard) {
             // What runs counts, also where no more may start.
             for (name, held) in &mut account.held {
-                *held = held.most(&parts[name].held);
+                *held = held.component_max(&allotments[name].held);
             }
         }
-        Some(Deal { number: ask.number, term: self.term, settled, parts })
+        Some(Grant { number: request.number, term: self.term, active, allotments })
     }
 
-    fn is_settled(&self, shard: u32) -> bool {
-        self.accounts.get(&shard).is_some_and(|account| account.settled)
+    fn has_acknowledged(&self, shard: u32) -> bool {
+        self.accounts.get(&shard).is_some_and(|account| account.acknowledged_term)
     }
 
     /// What is held of a customer's maximum, over all shards.
     #[must_use]
-    pub fn held(&self, customer: &str) -> Room {
+    pub fn held(&self, customer: &str) -> Resources {
         let held = self.accounts.values().filter_map(|account| account.held.get(customer));
-        held.fold(Room::default(), |sum, room| sum.plus(room))
+        held.fold(Resources::default(), |sum, resources| sum.plus(resources))
     }
 
     /// What a shard holds from now on. What it keeps is in the books already.
-    fn part(&self, name: &str, wish: &Wish, limit: &Room, shards: usize) -> Room {
+    fn allotment(
+        &self,
+        name: &str,
+        demand: &Demand,
+        limit: &Resources,
+        shards: usize,
+    ) -> Resources {
         let held = self.held(name);
         // The maximum has fallen, or its last task was larger than what was left: what ends is not replaced.
         if !held.fits(limit) {
-            return Room::default();
+            return Resources::default();
         }
-        let left = limit.minus(&held);
-        let mut more = wish.want.least(&left);
-        if !wish.least.fits(&more) {
+        let remaining = limit.minus(&held);
+        let mut more = demand.requested.component_min(&remaining);
+        if !demand.minimum.fits(&more) {
             // A task that does not fit into what is left may start while anything is left: a customer's
             // maximum may be smaller than its task.
-            more = if leaves_some(&held, limit) { wish.least } else { Room::default() };
+            more = if is_below_limit(&held, limit) { demand.minimum } else { Resources::default() };
         }
-        let spare = left.minus(&more);
-        let share = SPARE_SHARE.saturating_mul(u64::try_from(shards.max(1)).unwrap_or(u64::MAX));
-        let spare = Room {
-            cpu_millis: spare.cpu_millis / share,
-            mem_mb: spare.mem_mb / share,
-            gpus: spare.gpus / share,
+        let headroom = remaining.minus(&more);
+        let divisor =
+            HEADROOM_DIVISOR.saturating_mul(u64::try_from(shards.max(1)).unwrap_or(u64::MAX));
+        let headroom = Resources {
+            cpu_millis: headroom.cpu_millis / divisor,
+            mem_mb: headroom.mem_mb / divisor,
+            gpus: headroom.gpus / divisor,
         };
-        wish.keep.plus(&more).plus(&spare)
+        demand.keep.plus(&more).plus(&headroom)
     }
 }
 
 /// Whether something is left of everything.
-fn leaves_some(held: &Room, limit: &Room) -> bool {
+fn is_below_limit(held: &Resources, limit: &Resources) -> bool {
     held.cpu_millis < limit.cpu_millis && held.mem_mb < limit.mem_mb && held.gpus < limit.gpus
 }
--- a/crates/crosspath_quota/src/lib.rs
+++ b/crates/crosspath_quota/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! A customer's maximum is one number for all workers, and its tasks are started by the owners of many
 //! shards. So one daemon, the fleet's owner, keeps a [`Ledger`] of what each shard holds of each maximum, and each
-//! shard's owner keeps a [`Holding`] and starts nothing beyond it. All held parts of a customer together are never
+//! shard's owner keeps a [`Allowance`] and starts nothing beyond it. All held parts of a customer together are never
 //! more than its maximum and one task.
 //!
 //! A shard asks often and always says everything: what it keeps (what runs, or may run) and what it wants on
@@ -17,21 +17,21 @@
 //!
 //! Nothing here reads a clock or does I/O.
 
-mod holding;
+mod allowance;
 mod ledger;
 mod message;
 
-pub use holding::{Holding, Need};
+pub use allowance::{Allowance, Usage};
 pub use ledger::Ledger;
-pub use message::{Ask, Deal, Part, Wish};
+pub use message::{Allotment, Demand, Grant, Request};
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use crosspath_job::spec::Room;
+use crosspath_job::spec::Resources;
 
 /// Maximum of each customer that has one.
-pub type Limits = BTreeMap<Arc<str>, Room>;
+pub type Limits = BTreeMap<Arc<str>, Resources>;
 
 /// Jobs a second that each customer is owed when all is full.
 pub type Weights = BTreeMap<Arc<str>, f64>;
--- a/crates/crosspath_quota/src/message.rs
+++ b/crates/crosspath_quota/src/message.rs
@@ -3,23 +3,25 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use crosspath_job::spec::Room;
+use crosspath_job::spec::Resources;
 use serde::{Deserialize, Serialize};
 
 /// What a shard says of one customer.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Wish {
+pub struct Demand {
     /// It starts nothing beyond this before it is answered.
-    pub keep: Room,
+    pub keep: Resources,
     /// What tasks that could start now want on top.
-    pub want: Room,
+    #[serde(rename = "want")]
+    pub requested: Resources,
     /// What the first of those tasks wants; zero when none waits.
-    pub least: Room,
+    #[serde(rename = "least")]
+    pub minimum: Resources,
 }
 
 /// A shard's question for parts.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct Request {
     /// The shard.
     pub shard: u32,
     /// Epoch of its owner.
@@ -29,27 +31,30 @@
     /// The latest ledger whose answer it took; it takes none of an earlier one.
     pub term: u64,
     /// All customers of which it keeps or wants something.
-    pub wishes: BTreeMap<Arc<str>, Wish>,
+    #[serde(rename = "wishes")]
+    pub demands: BTreeMap<Arc<str>, Demand>,
 }
 
 /// Part of a customer's maximum that a shard holds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Part {
+pub struct Allotment {
     /// What it may have running.
-    pub held: Room,
+    pub held: Resources,
     /// The maximum of which that is a part.
-    pub limit: Room,
+    pub limit: Resources,
 }
 
 /// The ledger's answer.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Deal {
+pub struct Grant {
     /// Number of the question.
     pub number: u64,
     /// Term of the ledger.
     pub term: u64,
     /// Whether it deals: a new ledger does not before each shard has taken its term.
-    pub settled: bool,
+    #[serde(rename = "settled")]
+    pub active: bool,
     /// What the shard holds now, of each customer that it named.
-    pub parts: BTreeMap<Arc<str>, Part>,
+    #[serde(rename = "parts")]
+    pub allotments: BTreeMap<Arc<str>, Allotment>,
 }
--- a/crates/crosspath_quota/tests/quota/main.rs
+++ b/crates/crosspath_quota/tests/quota/main.rs
@@ -2,4 +2,4 @@
 
 mod cases;
 mod histories;
-mod world;
+mod simulation;
--- a/crates/crosspath_quota/tests/quota/world.rs
+++ b/crates/crosspath_quota/tests/quota/simulation.rs
@@ -8,15 +8,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crosspath_job::spec::Room;
-use crosspath_quota::{Ask, Deal, Holding, Ledger, Limits, Need};
+use crosspath_job::spec::Resources;
+use crosspath_quota::{Allowance, Grant, Ledger, Limits, Request, Usage};
 use rand::rngs::StdRng;
 use rand::{RngExt as _, SeedableRng as _};
 
 const SHARDS: u32 = 4;
 const STEP: Duration = Duration::from_millis(10);
 /// Time after which a maximum has reached every shard and ledger.
-const IN_FORCE: Duration = Duration::from_millis(300);
+const PROPAGATION_LIMIT: Duration = Duration::from_millis(300);
 const CUSTOMER: &str = "water";
 const LARGEST_TASK: u64 = 9;
 
@@ -26,15 +26,15 @@
     pub(crate) ledger: u32,
     pub(crate) owner: u32,
     pub(crate) lost: u32,
-    pub(crate) doubled: u32,
+    pub(crate) duplicated: u32,
     pub(crate) limit: u32,
-    pub(crate) slowest_ms: u64,
+    pub(crate) max_delay_ms: u64,
 }
 
 #[derive(Debug)]
 struct Shard {
     epoch: u64,
-    holding: Holding,
+    allowance: Allowance,
     limit: u64,
     /// Cores of the tasks that run, which a new owner finds in the log.
     running: Vec<u64>,
@@ -44,12 +44,12 @@
 
 #[derive(Debug, Clone)]
 enum Message {
-    Ask(usize, Ask),
-    Deal(u32, u64, Deal),
+    Request(usize, Request),
+    Grant(u32, u64, Grant),
 }
 
 #[derive(Debug)]
-pub(crate) struct World {
+pub(crate) struct Simulation {
     rng: StdRng,
     faults: Faults,
     now: Duration,
@@ -63,19 +63,19 @@
 }
 
 fn limits(cores: u64) -> Limits {
-    let room = Room { cpu_millis: cores, ..Room::UNLIMITED };
-    [(Arc::from(CUSTOMER), room)].into()
+    let resources = Resources { cpu_millis: cores, ..Resources::UNLIMITED };
+    [(Arc::from(CUSTOMER), resources)].into()
 }
 
-fn cores(cores: u64) -> Room {
-    Room { cpu_millis: cores, mem_mb: 0, gpus: 0 }
+fn cores(cores: u64) -> Resources {
+    Resources { cpu_millis: cores, mem_mb: 0, gpus: 0 }
 }
 
-impl World {
+impl Simulation {
     pub(crate) fn new(seed: u64, faults: Faults) -> Self {
         let shard = |number| Shard {
             epoch: 1,
-            holding: Holding::new(number, 1),
+            allowance: Allowance::new(number, 1),
             limit: 40,
             running: Vec::new(),
             waiting: Vec::new(),
@@ -97,18 +97,19 @@
     }
 
     /// No further faults: everything must settle.
-    pub(crate) fn heal(&mut self) {
-        self.faults = Faults { ledger: 0, owner: 0, lost: 0, doubled: 0, limit: 0, ..self.faults };
+    pub(crate) fn stop_faults(&mut self) {
+        self.faults =
+            Faults { ledger: 0, owner: 0, lost: 0, duplicated: 0, limit: 0, ..self.faults };
     }
 
-    pub(crate) fn waits(&self) -> usize {
+    pub(crate) fn waiting_tasks(&self) -> usize {
         self.shards.iter().map(|shard| shard.waiting.len()).sum()
     }
 
     pub(crate) fn step(&mut self, arrivals: u32) {
         self.now += STEP;
-        self.strike();
-        self.pass_on_maximum();
+        self.inject_faults();
+        self.propagate_maximum();
         self.deliver();
         for number in 0..self.shards.len() {
             if self.chance(arrivals) {
@@ -119,11 +120,11 @@
                 let at = self.rng.random_range(0..self.shards[number].running.len());
                 self.shards[number].running.swap_remove(at);
             }
-            self.act(number);
+            self.run_shard(number);
         }
     }
 
-    fn strike(&mut self) {
+    fn inject_faults(&mut self) {
         if self.chance(self.faults.ledger) {
             let term = self.ledgers.len() as u64 + 1;
             self.ledgers.push((Ledger::new(term), self.newest_maximum()));
@@ -132,7 +133,7 @@
             let at = self.rng.random_range(0..self.shards.len());
             let shard = &mut self.shards[at];
             shard.epoch += 1;
-            shard.holding = Holding::new(u32::try_from(at).expect("few shards"), shard.epoch);
+            shard.allowance = Allowance::new(u32::try_from(at).expect("few shards"), shard.epoch);
         }
         if self.chance(self.faults.limit) {
             let maximum = self.rng.random_range(5..80);
@@ -148,39 +149,39 @@
     fn highest_maximum(&self) -> u64 {
         let replaced = self.maxima.iter().skip(1).map(|(at, _)| *at).chain([self.now]);
         let in_force = self.maxima.iter().zip(replaced);
-        let in_force = in_force.filter(|(_, replaced)| *replaced + IN_FORCE >= self.now);
+        let in_force = in_force.filter(|(_, replaced)| *replaced + PROPAGATION_LIMIT >= self.now);
         in_force.map(|((_, maximum), _)| *maximum).max().expect("one maximum")
     }
 
     /// Shards and ledgers hear of the newest maximum at times of their own, the last in time.
-    fn pass_on_maximum(&mut self) {
+    fn propagate_maximum(&mut self) {
         let newest = self.newest_maximum();
         for number in 0..self.shards.len() {
-            if self.is_overdue(self.shards[number].limit) || self.chance(100) {
+            if self.is_superseded(self.shards[number].limit) || self.chance(100) {
                 self.shards[number].limit = newest;
             }
         }
         for number in 0..self.ledgers.len() {
-            if self.is_overdue(self.ledgers[number].1) || self.chance(100) {
+            if self.is_superseded(self.ledgers[number].1) || self.chance(100) {
                 self.ledgers[number].1 = newest;
             }
         }
     }
 
     /// Whether a maximum was replaced so long ago that nobody may go by it.
-    fn is_overdue(&self, maximum: u64) -> bool {
+    fn is_superseded(&self, maximum: u64) -> bool {
         let known = self.maxima.iter().rposition(|(_, other)| *other == maximum);
         let replaced = known.and_then(|at| self.maxima.get(at + 1));
-        replaced.is_some_and(|(at, _)| self.now + STEP >= *at + IN_FORCE)
+        replaced.is_some_and(|(at, _)| self.now + STEP >= *at + PROPAGATION_LIMIT)
     }
 
     fn send(&mut self, message: Message) {
         if self.chance(self.faults.lost) {
             return;
         }
-        let copies = if self.chance(self.faults.doubled) { 2 } else { 1 };
+        let copies = if self.chance(self.faults.duplicated) { 2 } else { 1 };
         for _ in 0..copies {
-            let delay = self.rng.random_range(1..=self.faults.slowest_ms);
+            let delay = self.rng.random_range(1..=self.faults.max_delay_ms);
             self.messages.push((self.now + Duration::from_millis(delay), message.clone()));
         }
     }
@@ -192,43 +193,45 @@
         self.messages = later;
         for (_, message) in due {
             match message {
-                Message::Ask(ledger, ask) => self.answer(ledger, &ask),
-                Message::Deal(shard, epoch, deal) => {
+                Message::Request(ledger, request) => self.answer(ledger, &request),
+                Message::Grant(shard, epoch, grant) => {
                     let shard = &mut self.shards[shard as usize];
                     if shard.epoch == epoch {
-                        shard.holding.dealt(deal);
+                        shard.allowance.apply_grant(grant);
                     }
                 }
             }
         }
     }
 
-    fn answer(&mut self, ledger: usize, ask: &Ask) {
+    fn answer(&mut self, ledger: usize, request: &Request) {
         // Its daemon was counted out before the next one began.
         if ledger + 1 < self.ledgers.len() {
             return;
         }
         let shards: BTreeSet<u32> = (0..SHARDS).collect();
         let (ledger, maximum) = &mut self.ledgers[ledger];
-        if let Some(deal) = ledger.deal(ask, &limits(*maximum), &shards) {
-            self.send(Message::Deal(ask.shard, ask.epoch, deal));
+        if let Some(grant) = ledger.grant(request, &limits(*maximum), &shards) {
+            self.send(Message::Grant(request.shard, request.epoch, grant));
         }
     }
 
-    fn act(&mut self, number: usize) {
+    fn run_shard(&mut self, number: usize) {
         self.start_all(number);
         let shard = &mut self.shards[number];
-        let need = Need {
+        let usage = Usage {
             used: cores(shard.running.iter().sum()),
-            want: cores(shard.waiting.iter().sum()),
-            least: cores(shard.waiting.first().copied().unwrap_or_default()),
+            pending: cores(shard.waiting.iter().sum()),
+            first_pending: cores(shard.waiting.first().copied().unwrap_or_default()),
+        };
+        let usages: BTreeMap<_, _> = [(Arc::from(CUSTOMER), usage)].into();
+        let Some(request) = shard.allowance.request(self.now, &limits(shard.limit), &usages) else {
+            return;
         };
-        let needs: BTreeMap<_, _> = [(Arc::from(CUSTOMER), need)].into();
-        let Some(ask) = shard.holding.ask(self.now, &limits(shard.limit), &needs) else { return };
         // A shard may have heard late of a new ledger.
         let newest = self.ledgers.len() - 1;
         let ledger = if self.chance(200) { newest.saturating_sub(1) } else { newest };
-        self.send(Message::Ask(ledger, ask));
+        self.send(Message::Request(ledger, request));
     }
 
     fn start_all(&mut self, number: usize) {
@@ -237,7 +240,7 @@
             let Some(task) = shard.waiting.first().copied() else { return };
             let used = cores(shard.running.iter().sum());
             let limit = limits(shard.limit)[CUSTOMER];
-            if !shard.holding.allows(CUSTOMER, &limit, &used, &cores(task)) {
+            if !shard.allowance.allows(CUSTOMER, &limit, &used, &cores(task)) {
                 return;
             }
             shard.waiting.remove(0);
--- a/crates/crosspath_schedule/src/action.rs
+++ b/crates/crosspath_schedule/src/action.rs
@@ -6,7 +6,7 @@
 use crosspath_border::worker::Target;
 use crosspath_job::TaskId;
 use crosspath_job::record::Record;
-use crosspath_quota::Ask;
+use crosspath_quota::Request;
 
 /// One thing to do.
 #[derive(Debug, Clone)]
@@ -66,7 +66,7 @@
     /// Ask the ledger of all shards for parts of customers' maxima; answered by `Event::Dealt`.
     AskParts {
         /// The question.
-        ask: Ask,
+        ask: Request,
     },
     /// Tell the worker that ends up to a number are kept.
     Acknowledge {
--- a/crates/crosspath_schedule/src/commit.rs
+++ b/crates/crosspath_schedule/src/commit.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use crosspath_job::progress::State;
-use crosspath_job::record::{Record, keys_of};
+use crosspath_job::record::{Record, job_keys};
 use crosspath_job::{JobId, TaskId};
 
 use crate::action::Action;
@@ -113,7 +113,7 @@
             records.extend(accepted.map(|accepted| Record::Accepted(id, accepted)));
         }
         for id in std::mem::take(&mut self.commits.forgotten) {
-            records.extend(keys_of(id).map(Record::Dropped));
+            records.extend(job_keys(id).map(Record::Tombstone));
         }
         let in_batch = |task: &TaskId| !self.commits.dirty.contains(&task.job);
         let (planned, later) = std::mem::take(&mut self.commits.planned)
@@ -180,7 +180,7 @@
     pub(crate) fn forget_ended(&mut self, now: Duration) {
         let keep = self.settings.keep_ended;
         let over = |job: &&crate::job::Job| {
-            job.kept.is_final() && now > job.ended + keep && job.running().is_empty()
+            job.kept.is_terminal() && now > job.ended + keep && job.running().is_empty()
         };
         let over: Vec<_> = self.jobs.values().filter(over).map(|job| job.id).collect();
         for id in over {
--- a/crates/crosspath_schedule/src/ends.rs
+++ b/crates/crosspath_schedule/src/ends.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crosspath_border::worker::{Ended, How};
+use crosspath_border::worker::{Ended, Outcome};
 use crosspath_job::TaskId;
 use crosspath_job::progress::State;
 
@@ -28,7 +28,7 @@
             log::warn!("event=ends_not_heard worker={id} from={expected} to={}", ended.number - 1);
         }
         worker.ends_seen = ended.number;
-        let Ended { number, task, run, how, .. } = *ended;
+        let Ended { number, task, run, outcome: how, .. } = *ended;
         let dropped = self.drop_run(id, task, run);
         let took = dropped.as_ref().map(|run| now.saturating_sub(run.answered));
         log::info!(
@@ -36,12 +36,12 @@
             took.unwrap_or_default().as_millis()
         );
         let Some(step) = self.step_of(task) else { return };
-        let lasting = step.lasting;
+        let lasting = step.long_running;
         self.save_checkpoint(now, ended);
         match how {
-            How::Done if !lasting => self.task_done(now, id, task),
-            How::Failed if !lasting => self.task_failed(now, id, task, run),
-            How::Failed => {
+            Outcome::Done if !lasting => self.task_done(now, id, task),
+            Outcome::Failed if !lasting => self.task_failed(now, id, task, run),
+            Outcome::Failed => {
                 self.blame(now, id, BLAME_FAILED * 0.5);
                 self.queue_task(now, task);
             }
@@ -50,7 +50,7 @@
     }
 
     pub(crate) fn save_checkpoint(&mut self, now: Duration, ended: &Ended) {
-        if ended.checkpoint.is_none() || ended.how == How::Done {
+        if ended.checkpoint.is_none() || ended.outcome == Outcome::Done {
             return;
         }
         let Some(job) = self.jobs.get_mut(&ended.task.job) else { return };
@@ -71,11 +71,11 @@
     pub(crate) fn task_done(&mut self, now: Duration, worker: &Arc<str>, id: TaskId) {
         self.blame(now, worker, PRAISE_DONE);
         let Some(job) = self.jobs.get_mut(&id.job) else { return };
-        if job.state.is_final() {
+        if job.state.is_terminal() {
             return;
         }
         let gang = job.accepted.spec.steps[id.step as usize].gang;
-        let step = &mut job.instances[id.time as usize].steps[id.step as usize];
+        let step = &mut job.instances[id.occurrence as usize].steps[id.step as usize];
         let mut others = Vec::new();
         for (index, task) in (0..).zip(&mut step.tasks) {
             // One successful end of a gang stands for all of its members.
@@ -120,7 +120,7 @@
     ) {
         let Some(job) = self.jobs.get_mut(&id.job) else { return };
         let attempts = job.accepted.policy.max_attempts.max(1);
-        if job.state.is_final() {
+        if job.state.is_terminal() {
             return;
         }
         let Some(task) = job.task_mut(id) else { return };
--- a/crates/crosspath_schedule/src/event.rs
+++ b/crates/crosspath_schedule/src/event.rs
@@ -5,10 +5,10 @@
 use std::time::Duration;
 
 use crosspath_border::advice::{self, StepId};
-use crosspath_border::worker::{Entry, Error, Held, Started};
-use crosspath_job::record::{Accepted, Asker};
+use crosspath_border::worker::{Entry, Error, PollReply, Started};
+use crosspath_job::record::{Accepted, Requester};
 use crosspath_job::{JobId, TaskId};
-use crosspath_quota::{Deal, Limits, Weights};
+use crosspath_quota::{Grant, Limits, Weights};
 
 /// One thing that has happened.
 #[derive(Debug, Clone)]
@@ -16,7 +16,7 @@
     /// A job was accepted.
     Accepted(JobId, Arc<Accepted>),
     /// A job's cancelling was asked for.
-    Cancelled(JobId, Asker),
+    Cancelled(JobId, Requester),
     /// The worker list has a new or changed entry.
     WorkerSeen(Entry),
     /// The worker list lost an entry.
@@ -30,7 +30,7 @@
         /// Whether it extended leases.
         extended: bool,
         /// The answer.
-        held: Held,
+        held: PollReply,
     },
     /// A look at a worker failed.
     HoldFailed {
@@ -98,7 +98,7 @@
         /// Number of the question.
         number: u64,
         /// The answer.
-        deal: Option<Deal>,
+        deal: Option<Grant>,
     },
     /// A later owner has claimed the shard.
     Superseded,
--- a/crates/crosspath_schedule/src/job.rs
+++ b/crates/crosspath_schedule/src/job.rs
@@ -164,8 +164,8 @@
                 StepRun { tasks, left: step.tasks, open: false }
             })
             .collect();
-        let instances = vec![Instance { steps, due: false }; spec.times() as usize];
-        let chains_ms = spec.chains_ms();
+        let instances = vec![Instance { steps, due: false }; spec.occurrences() as usize];
+        let chains_ms = spec.critical_paths_ms();
         Self {
             id,
             accepted,
@@ -230,8 +230,8 @@
     #[must_use]
     pub fn progress(&self, wall_ms: u64) -> Progress {
         let mut tasks = BTreeMap::new();
-        if !self.state.is_final() {
-            for (TaskId { time, step, index, .. }, task) in self.tasks() {
+        if !self.state.is_terminal() {
+            for (TaskId { occurrence: time, step, index, .. }, task) in self.tasks() {
                 let kept = TaskProgress {
                     done: task.done,
                     failed_runs: task.failed_runs.clone(),
@@ -244,20 +244,20 @@
                 }
             }
         }
-        let ended_ms = if self.state.is_final() { wall_ms } else { 0 };
+        let ended_ms = if self.state.is_terminal() { wall_ms } else { 0 };
         Progress { state: self.state, tasks, ended_ms }
     }
 
     /// A task.
     #[must_use]
     pub fn task(&self, id: TaskId) -> Option<&Task> {
-        let instance = self.instances.get(id.time as usize)?;
+        let instance = self.instances.get(id.occurrence as usize)?;
         instance.steps.get(id.step as usize)?.tasks.get(id.index as usize)
     }
 
     /// A task, to change.
     pub fn task_mut(&mut self, id: TaskId) -> Option<&mut Task> {
-        let instance = self.instances.get_mut(id.time as usize)?;
+        let instance = self.instances.get_mut(id.occurrence as usize)?;
         instance.steps.get_mut(id.step as usize)?.tasks.get_mut(id.index as usize)
     }
 
@@ -265,7 +265,7 @@
     pub fn tasks(&self) -> impl Iterator<Item = (TaskId, &Task)> {
         (0..).zip(&self.instances).flat_map(move |(time, instance)| {
             (0..).zip(&instance.steps).flat_map(move |(step, tasks)| {
-                let id = move |index| TaskId { job: self.id, time, step, index };
+                let id = move |index| TaskId { job: self.id, occurrence: time, step, index };
                 (0..).zip(&tasks.tasks).map(move |(index, task)| (id(index), task))
             })
         })
--- a/crates/crosspath_schedule/src/jobs.rs
+++ b/crates/crosspath_schedule/src/jobs.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crosspath_job::progress::State;
-use crosspath_job::record::{Accepted, Asker};
+use crosspath_job::record::{Accepted, Requester};
 use crosspath_job::{JobId, TaskId};
 
 use crate::job::Job;
@@ -21,7 +21,7 @@
     ) {
         if let Some(known) = self.jobs.get(&id) {
             // The log would give the job to another customer at the next takeover.
-            if !known.accepted.belongs_to(&accepted.asker()) {
+            if !known.accepted.belongs_to(&accepted.requester()) {
                 log::warn!(
                     "event=job_of_another_customer job={id} kept_for={:?}",
                     known.accepted.customer
@@ -55,7 +55,7 @@
         self.jobs.insert(id, job);
     }
 
-    pub(crate) fn cancel(&mut self, now: Duration, id: JobId, by: Asker) {
+    pub(crate) fn cancel(&mut self, now: Duration, id: JobId, by: Requester) {
         let Some(job) = self.jobs.get(&id) else {
             self.cancelled_early.insert(id, by);
             return;
@@ -64,14 +64,14 @@
             log::warn!("event=cancel_of_another_customer job={id} by={:?}", by.customer);
             return;
         }
-        if !job.state.is_final() {
+        if !job.state.is_terminal() {
             self.finish(now, id, State::Cancelled);
         }
     }
 
     pub(crate) fn open_due(&mut self, now: Duration, wall_ms: u64) {
         let pending = |job: &&Job| {
-            !job.state.is_final() && job.instances.iter().any(|instance| !instance.due)
+            !job.state.is_terminal() && job.instances.iter().any(|instance| !instance.due)
         };
         let pending: Vec<_> = self.jobs.values().filter(pending).map(|job| job.id).collect();
         for id in pending {
@@ -82,7 +82,7 @@
     /// Opens the steps of due times whose turn has come.
     pub(crate) fn open_steps(&mut self, now: Duration, wall_ms: u64, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        if job.state.is_final() {
+        if job.state.is_terminal() {
             return;
         }
         let spec = Arc::clone(&job.accepted);
@@ -119,7 +119,7 @@
                 }
                 for (index, task) in (0..).zip(&run.tasks) {
                     if !task.done && task.runs.is_empty() {
-                        found.push(Key::of(job, TaskId { job: id, time, step, index }));
+                        found.push(Key::of(job, TaskId { job: id, occurrence: time, step, index }));
                     }
                 }
             }
@@ -131,10 +131,10 @@
     /// Puts a task among the waiting ones, if it needs a run.
     pub(crate) fn queue_task(&mut self, now: Duration, id: TaskId) {
         let Some(job) = self.jobs.get_mut(&id.job) else { return };
-        if job.state.is_final() {
+        if job.state.is_terminal() {
             return;
         }
-        let step = &job.instances[id.time as usize].steps[id.step as usize];
+        let step = &job.instances[id.occurrence as usize].steps[id.step as usize];
         if !step.open {
             return;
         }
--- a/crates/crosspath_schedule/src/limits.rs
+++ b/crates/crosspath_schedule/src/limits.rs
@@ -8,9 +8,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crosspath_job::spec::Room;
+use crosspath_job::spec::Resources;
 use crosspath_job::{JobId, TaskId};
-use crosspath_quota::{Deal, Holding, Limits, Need};
+use crosspath_quota::{Allowance, Grant, Limits, Usage};
 
 use crate::action::Action;
 use crate::job::{Job, Phase};
@@ -27,8 +27,8 @@
 pub(crate) struct Parts {
     /// None before a configuration was read: until then no customer's job starts.
     limits: Option<Limits>,
-    holding: Holding,
-    needs: BTreeMap<Arc<str>, Need>,
+    holding: Allowance,
+    needs: BTreeMap<Arc<str>, Usage>,
     /// Processor time that tasks want which were held back in the last round, in thousandths of a core.
     pub(crate) held_back_millis: u64,
     /// When what is used was last counted.
@@ -41,7 +41,7 @@
     pub(crate) fn new(shard: u32, epoch: u64) -> Self {
         Self {
             limits: None,
-            holding: Holding::new(shard, epoch),
+            holding: Allowance::new(shard, epoch),
             needs: BTreeMap::new(),
             held_back_millis: 0,
             counted: Duration::ZERO,
@@ -50,8 +50,8 @@
     }
 
     /// Maximum of a customer; none where it has none, nothing while that is not known.
-    fn limit(&self, customer: &str) -> Option<Room> {
-        let Some(limits) = &self.limits else { return Some(Room::default()) };
+    fn limit(&self, customer: &str) -> Option<Resources> {
+        let Some(limits) = &self.limits else { return Some(Resources::default()) };
         limits.get(customer).copied()
     }
 }
@@ -77,7 +77,7 @@
         if now < self.parts.counted + COUNT_INTERVAL {
             // What has ended since counts on, what was started since counts too.
             for need in self.parts.needs.values_mut() {
-                *need = Need { used: need.used, ..Need::default() };
+                *need = Usage { used: need.used, ..Usage::default() };
             }
             return;
         }
@@ -86,7 +86,7 @@
         if self.parts.limits.as_ref().is_none_or(Limits::is_empty) {
             return;
         }
-        let mut needs: BTreeMap<Arc<str>, Need> = BTreeMap::new();
+        let mut needs: BTreeMap<Arc<str>, Usage> = BTreeMap::new();
         let runs = self.workers.values().flat_map(|worker| worker.runs.keys());
         let runs = runs.map(|(task, _)| *task);
         let is_open = !self.settlement.is_over();
@@ -94,7 +94,7 @@
         let unseen = inherited.flat_map(unseen);
         for task in runs.chain(unseen) {
             let Some(customer) = self.limited_customer(task.job) else { continue };
-            let room = self.step_of(task).map(|step| step.room).unwrap_or_default();
+            let room = self.step_of(task).map(|step| step.resources).unwrap_or_default();
             needs.entry(Arc::clone(customer)).or_default().used.add(&room);
         }
         self.parts.needs = needs;
@@ -105,27 +105,27 @@
     pub(crate) fn holds_back(&self, job: JobId) -> bool {
         let customer = self.limited_customer(job);
         let need = customer.and_then(|customer| self.parts.needs.get(customer));
-        need.is_some_and(|need| need.want != Room::default())
+        need.is_some_and(|need| need.pending != Resources::default())
     }
 
     /// Whether the customer of a job may have `more` running here.
-    pub(crate) fn is_within_limit(&self, job: JobId, more: &Room) -> bool {
+    pub(crate) fn is_within_limit(&self, job: JobId, more: &Resources) -> bool {
         let Some(customer) = self.limited_customer(job) else { return true };
         let parts = &self.parts;
-        let limit = parts.limit(customer).unwrap_or(Room::UNLIMITED);
+        let limit = parts.limit(customer).unwrap_or(Resources::UNLIMITED);
         let used = parts.needs.get(customer).map(|need| need.used).unwrap_or_default();
         parts.holding.allows(customer, &limit, &used, more)
     }
 
     /// A task, or a gang, that wants `more` waits for a part of its customer's maximum.
-    pub(crate) fn hold_back(&mut self, now: Duration, job: JobId, more: &Room) {
+    pub(crate) fn hold_back(&mut self, now: Duration, job: JobId, more: &Resources) {
         let Some(customer) = self.limited_customer(job).cloned() else { return };
         self.tell_held_back(now, job, &customer);
         let need = self.parts.needs.entry(customer).or_default();
-        if need.want == Room::default() {
-            need.least = *more;
+        if need.pending == Resources::default() {
+            need.first_pending = *more;
         }
-        need.want.add(more);
+        need.pending.add(more);
         self.parts.held_back_millis += more.cpu_millis;
     }
 
@@ -138,7 +138,7 @@
         parts.told.insert(Arc::clone(customer), now);
         let used = parts.needs.get(customer).map(|need| need.used).unwrap_or_default();
         let held = parts.holding.held(customer);
-        let limit = parts.limit(customer).unwrap_or(Room::UNLIMITED);
+        let limit = parts.limit(customer).unwrap_or(Resources::UNLIMITED);
         log::info!(
             "event=job_held_back job={job} customer={customer} used_millis={} held_millis={} limit_millis={} used_mb={} held_mb={} limit_mb={}",
             used.cpu_millis,
@@ -153,7 +153,7 @@
     /// A task of a job is started, within what its customer may have running.
     pub(crate) fn note_used(&mut self, task: TaskId) {
         let Some(customer) = self.limited_customer(task.job).cloned() else { return };
-        let room = self.step_of(task).map(|step| step.room).unwrap_or_default();
+        let room = self.step_of(task).map(|step| step.resources).unwrap_or_default();
         self.parts.needs.entry(customer).or_default().used.add(&room);
     }
 
@@ -163,16 +163,16 @@
         let Some(limits) = parts.limits.as_ref().filter(|limits| !limits.is_empty()) else {
             return;
         };
-        if let Some(ask) = parts.holding.ask(now, limits, &parts.needs) {
+        if let Some(ask) = parts.holding.request(now, limits, &parts.needs) {
             self.actions.push(Action::AskParts { ask });
         }
     }
 
     /// The ledger has answered, or not.
-    pub(crate) fn dealt(&mut self, number: u64, deal: Option<Deal>) {
+    pub(crate) fn dealt(&mut self, number: u64, deal: Option<Grant>) {
         match deal {
-            Some(deal) => self.place_again |= self.parts.holding.dealt(deal),
-            None => self.parts.holding.unanswered(number),
+            Some(deal) => self.place_again |= self.parts.holding.apply_grant(deal),
+            None => self.parts.holding.request_failed(number),
         }
     }
 }
--- a/crates/crosspath_schedule/src/lives.rs
+++ b/crates/crosspath_schedule/src/lives.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crosspath_border::worker::{Entry, Held};
+use crosspath_border::worker::{Entry, PollReply};
 
 use crate::action::Action;
 use crate::losses::Fate;
@@ -32,17 +32,17 @@
     /// Whether a life is the one that is known of its worker.
     pub(crate) fn is_known_life(&self, name: &str) -> bool {
         let (id, born_ms) = parse(name);
-        self.workers.get(id).is_some_and(|worker| worker.entry.born_ms == born_ms)
+        self.workers.get(id).is_some_and(|worker| worker.entry.started_ms == born_ms)
     }
 
     /// Takes in an entry of a known worker; whether it is of the newest life that is known.
     pub(crate) fn is_listed_newest(&mut self, now: Duration, entry: &Entry) -> bool {
         let Some(worker) = self.workers.get(&entry.id) else { return false };
-        let known_ms = worker.entry.born_ms;
-        if entry.born_ms > known_ms {
+        let known_ms = worker.entry.started_ms;
+        if entry.started_ms > known_ms {
             self.begin_anew(now, &entry.id, entry.clone());
         }
-        entry.born_ms == 0 || entry.born_ms >= known_ms
+        entry.started_ms == 0 || entry.started_ms >= known_ms
     }
 
     /// Takes in which life has answered a look that was sent at `sent`; whether it is the newest one that is known.
@@ -52,20 +52,21 @@
         now: Duration,
         id: &Arc<str>,
         sent: Duration,
-        held: &Held,
+        held: &PollReply,
     ) -> bool {
         let Some(worker) = self.workers.get(id) else { return false };
         let (known, answered) = (&worker.entry, worker.answered_sent);
-        if held.born_ms == 0 || held.born_ms == known.born_ms {
+        if held.started_ms == 0 || held.started_ms == known.started_ms {
             return true;
         }
         let looked_later = sent > answered && !self.is_of_life_before(id, sent);
-        if held.born_ms < known.born_ms && !looked_later {
+        if held.started_ms < known.started_ms && !looked_later {
             return false;
         }
-        let (born_ms, clock_ms) = (held.born_ms, held.clock_ms);
+        let (born_ms, clock_ms) = (held.started_ms, held.clock_ms);
         let entry = known.clone();
-        let entry = Entry { born_ms, clock_ms, draining: false, remaining_ms: 0, ..entry };
+        let entry =
+            Entry { started_ms: born_ms, clock_ms, draining: false, remaining_ms: 0, ..entry };
         self.begin_anew(now, id, entry);
         true
     }
@@ -90,8 +91,8 @@
         let (before, target) = (worker.life(), worker.target());
         log::info!(
             "event=worker_reborn worker={id} born_ms={} before_ms={} runs={} acknowledged={}",
-            entry.born_ms,
-            worker.entry.born_ms,
+            entry.started_ms,
+            worker.entry.started_ms,
             worker.runs.len(),
             worker.ends_acknowledged
         );
@@ -113,7 +114,7 @@
     /// Lives under a worker's identifier that owners before knew are over if they began before the one that is known.
     pub(crate) fn end_lives_under(&mut self, now: Duration, id: &str) {
         let Some(worker) = self.workers.get(id) else { return };
-        let born_ms = worker.entry.born_ms;
+        let born_ms = worker.entry.started_ms;
         for life in self.settlement.lives_before(id, born_ms) {
             self.accounted(now, &life, Fate::Over);
             self.judge_lost_on(now, &life);
--- a/crates/crosspath_schedule/src/looks.rs
+++ b/crates/crosspath_schedule/src/looks.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crosspath_border::worker::{Entry, Error, Held, Running};
+use crosspath_border::worker::{Entry, Error, PollReply, Running};
 use crosspath_job::spec::Step;
 
 use crate::action::Action;
@@ -30,8 +30,8 @@
 impl Scheduler {
     pub(crate) fn worker_seen(&mut self, now: Duration, entry: Entry) {
         let ended = self.ended_lives.get(&entry.id);
-        if ended.is_some_and(|ended| entry.born_ms <= ended.born_ms) {
-            self.lost_unseen(now, &lives::name(&entry.id, entry.born_ms));
+        if ended.is_some_and(|ended| entry.started_ms <= ended.born_ms) {
+            self.lost_unseen(now, &lives::name(&entry.id, entry.started_ms));
             return;
         }
         self.place_again = true;
@@ -47,15 +47,15 @@
                 );
             }
             worker.listed = true;
-            let born_ms = entry.born_ms.max(worker.entry.born_ms);
-            worker.entry = Entry { born_ms, ..entry };
+            let born_ms = entry.started_ms.max(worker.entry.started_ms);
+            worker.entry = Entry { started_ms: born_ms, ..entry };
             return;
         }
         log::info!(
             "event=worker_known worker={} vm={} born_ms={}",
             entry.id,
             entry.vm,
-            entry.born_ms
+            entry.started_ms
         );
         let (id, clock_ms) = (Arc::clone(&entry.id), entry.clock_ms);
         let known = Arc::clone(&id);
@@ -95,7 +95,7 @@
     /// The worker's life is surely over, whatever the list may show of it yet.
     pub(crate) fn end_life(&mut self, now: Duration, id: &Arc<str>, why: &str) {
         if let Some(worker) = self.workers.get(id) {
-            let ended = EndedLife { born_ms: worker.entry.born_ms, known: now };
+            let ended = EndedLife { born_ms: worker.entry.started_ms, known: now };
             self.ended_lives.insert(Arc::clone(id), ended);
         }
         self.worker_dead(now, id, why);
@@ -184,7 +184,7 @@
         id: &Arc<str>,
         sent: Duration,
         extended: bool,
-        held: Held,
+        held: PollReply,
     ) {
         if !self.is_answered_by_newest(now, id, sent, &held) {
             return;
@@ -257,7 +257,7 @@
             let copies = copies.is_some_and(|step| step.speculative);
             let free =
                 job.task(id).is_some_and(|task| !task.done && (task.runs.is_empty() || copies));
-            free && !job.state.is_final()
+            free && !job.state.is_terminal()
         });
         let room = self.step_of(id).map(Step::reserved).unwrap_or_default();
         let task = self.jobs.get(&id.job).and_then(|job| job.task(id));
--- a/crates/crosspath_schedule/src/losses.rs
+++ b/crates/crosspath_schedule/src/losses.rs
@@ -88,7 +88,7 @@
     }
 
     fn lasts(&self, id: TaskId) -> bool {
-        self.step_of(id).is_some_and(|step| step.lasting)
+        self.step_of(id).is_some_and(|step| step.long_running)
     }
 
     /// Whether a run is surely not why its worker is lost: a lasting one that has proved itself.
@@ -147,7 +147,7 @@
             return;
         }
         let mut lost = Vec::new();
-        for job in self.jobs.values().filter(|job| job.inherited && !job.state.is_final()) {
+        for job in self.jobs.values().filter(|job| job.inherited && !job.state.is_terminal()) {
             for (id, task) in job.tasks() {
                 let unseen = task.unseen.iter().filter(|(_, other)| other == life);
                 let unseen = unseen.filter(|(number, _)| self.run(id, *number).is_none());
@@ -204,7 +204,7 @@
     }
 
     fn tasks_lost_on(&self, life: &str) -> Vec<TaskId> {
-        let running = self.jobs.values().filter(|job| !job.state.is_final());
+        let running = self.jobs.values().filter(|job| !job.state.is_terminal());
         let tasks = running.flat_map(Job::tasks);
         let lost = tasks.filter(|(_, task)| task.lost.iter().any(|loss| *loss.worker == *life));
         lost.map(|(id, _)| id).collect()
@@ -218,7 +218,9 @@
     }
 
     fn judge(&mut self, now: Duration, id: TaskId) {
-        let Some(job) = self.jobs.get(&id.job).filter(|job| !job.state.is_final()) else { return };
+        let Some(job) = self.jobs.get(&id.job).filter(|job| !job.state.is_terminal()) else {
+            return;
+        };
         let Some(task) = job.task(id).filter(|task| !task.done) else { return };
         // A worker that is still listed may be back.
         let over = task.lost.iter().filter(|loss| !self.is_known_life(&loss.worker));
--- a/crates/crosspath_schedule/src/pace.rs
+++ b/crates/crosspath_schedule/src/pace.rs
@@ -28,7 +28,7 @@
             let mut fillers: Vec<(TaskId, u64)> = Vec::new();
             for (task, run) in worker.runs.keys() {
                 let Some(step) = self.step_of(*task) else { continue };
-                if step.filler {
+                if step.best_effort {
                     fillers.push((*task, *run));
                 } else if step.tail_target_ms > 0 {
                     let gauge = self.run(*task, *run).map_or(0, |run| run.gauge);
--- a/crates/crosspath_schedule/src/place.rs
+++ b/crates/crosspath_schedule/src/place.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use crosspath_job::TaskId;
-use crosspath_job::spec::{Room, Step};
+use crosspath_job::spec::{Resources, Step};
 
 use crate::action::Action;
 use crate::job::{Job, Phase, Run, Task};
@@ -31,7 +31,7 @@
     latest_ms: u64,
     pub(crate) task: TaskId,
     /// What it reserves.
-    pub(crate) room: Room,
+    pub(crate) room: Resources,
     /// Whether any worker with room will do.
     anywhere: bool,
     gang: bool,
@@ -62,13 +62,13 @@
         let due_ms = u64::try_from(job.due().as_millis()).unwrap_or(u64::MAX);
         Self {
             priority: job.accepted.policy.priority,
-            brief: !step.lasting,
+            brief: !step.long_running,
             latest_ms: due_ms.saturating_sub(rest),
             task,
             room: step.reserved(),
-            anywhere: step.requires.is_none() && step.per_worker == 0,
+            anywhere: step.requires.is_none() && step.max_per_worker == 0,
             gang: step.gang,
-            beyond: !job.owed && !step.lasting,
+            beyond: !job.owed && !step.long_running,
             // Members of a gang run side by side or not at all.
             alone: !step.gang && losses::runs_alone(losses),
         }
@@ -100,14 +100,14 @@
 
 /// Requests for room that nothing could satisfy in this pass.
 #[derive(Debug, Default)]
-struct Misfits(Vec<Room>);
+struct Misfits(Vec<Resources>);
 
 impl Misfits {
-    fn cover(&self, room: &Room) -> bool {
+    fn cover(&self, room: &Resources) -> bool {
         self.0.iter().any(|misfit| misfit.fits(room))
     }
 
-    fn add(&mut self, room: Room) {
+    fn add(&mut self, room: Resources) {
         if !self.cover(&room) {
             self.0.retain(|misfit| !room.fits(misfit));
             self.0.push(room);
@@ -130,7 +130,7 @@
         self.unplaced_lasting = 0;
         for key in timely.into_iter().chain(late).chain(beyond) {
             if key.gang {
-                let gang = (key.task.job, key.task.time, key.task.step);
+                let gang = (key.task.job, key.task.occurrence, key.task.step);
                 if gang_tried != Some(gang) {
                     gang_tried = Some(gang);
                     self.place_gang(now, key.task);
@@ -180,7 +180,7 @@
         if !key.alone && misfits.cover(&key.room) {
             return Placing::NoRoom;
         }
-        let room = self.step_of(id).map(|step| step.room).unwrap_or_default();
+        let room = self.step_of(id).map(|step| step.resources).unwrap_or_default();
         if self.holds_back(id.job) {
             self.hold_back(now, id.job, &room);
             return Placing::HeldBack;
@@ -297,7 +297,7 @@
     /// Whether a task may go to a worker, room aside.
     pub(crate) fn takes(&self, now: Duration, worker: &Worker, id: TaskId, step: &Step) -> bool {
         let label = step.requires.as_ref().is_none_or(|label| worker.has_label(label));
-        let spread = step.per_worker == 0 || on_worker(worker, id) < step.per_worker;
+        let spread = step.max_per_worker == 0 || on_worker(worker, id) < step.max_per_worker;
         label
             && spread
             && worker.is_usable(now)
@@ -324,7 +324,7 @@
     fn cost(&self, now: Duration, worker: &Worker, task: &Task, step: &Step) -> f64 {
         let failed = task.failed_on.contains(&worker.entry.id);
         let apart = losses::keeps_apart(task.lost.len());
-        let far = step.near.as_ref().is_some_and(|rack| !worker.has_label(rack));
+        let far = step.preferred_rack.as_ref().is_some_and(|rack| !worker.has_label(rack));
         let crowd = self.crowd(worker, step);
         let total = worker.entry.capacity.cpu_millis.max(1) as f64;
         let free = worker.free().cpu_millis as f64 / total;
@@ -339,14 +339,14 @@
 
     /// Whether fill work and tasks with a tail target would come together.
     fn crowd(&self, worker: &Worker, step: &Step) -> bool {
-        if !step.filler && step.tail_target_ms == 0 {
+        if !step.best_effort && step.tail_target_ms == 0 {
             return false;
         }
         worker.runs.keys().any(|(task, _)| {
             let other = self.step_of(*task);
             other.is_some_and(|other| {
-                (step.filler && other.tail_target_ms > 0)
-                    || (step.tail_target_ms > 0 && other.filler)
+                (step.best_effort && other.tail_target_ms > 0)
+                    || (step.tail_target_ms > 0 && other.best_effort)
             })
         })
     }
@@ -355,7 +355,7 @@
         let Some(job) = self.jobs.get(&id.job) else { return };
         let accepted = Arc::clone(&job.accepted);
         let step = &accepted.spec.steps[id.step as usize];
-        let tasks = &job.instances[id.time as usize].steps[id.step as usize].tasks;
+        let tasks = &job.instances[id.occurrence as usize].steps[id.step as usize].tasks;
         if tasks.iter().any(|task| !task.runs.is_empty() || task.done || now < task.not_before) {
             return;
         }
@@ -363,11 +363,11 @@
             return;
         }
         let Some(job) = self.jobs.get(&id.job) else { return };
-        let tasks = &job.instances[id.time as usize].steps[id.step as usize].tasks;
+        let tasks = &job.instances[id.occurrence as usize].steps[id.step as usize].tasks;
         let run = tasks.iter().map(|task| Self::next_run(self.epoch, task)).max().unwrap_or(1);
         let checkpoint = tasks.iter().find_map(|task| task.checkpoint.clone());
         let Some(chosen) = self.gang_workers(now, id, step) else { return };
-        let whole = (0..step.tasks).fold(Room::default(), |sum, _| sum.plus(&step.room));
+        let whole = (0..step.tasks).fold(Resources::default(), |sum, _| sum.plus(&step.resources));
         if self.holds_back(id.job) || !self.is_within_limit(id.job, &whole) {
             return self.hold_back(now, id.job, &whole);
         }
@@ -418,8 +418,8 @@
     let mut free: Vec<_> = workers.iter().map(|worker| (worker.free(), 0_u32)).collect();
     let mut chosen = Vec::new();
     for _ in 0..step.tasks {
-        let fits = |(free, members): &(Room, u32)| {
-            room.fits(free) && (step.per_worker == 0 || *members < step.per_worker)
+        let fits = |(free, members): &(Resources, u32)| {
+            room.fits(free) && (step.max_per_worker == 0 || *members < step.max_per_worker)
         };
         let at = free.iter().position(fits)?;
         free[at].0 = free[at].0.minus(&room);
--- a/crates/crosspath_schedule/src/report.rs
+++ b/crates/crosspath_schedule/src/report.rs
@@ -68,7 +68,7 @@
     pub fn report(&self, now: Duration) -> Pool {
         let mut pool = Pool::default();
         for worker in self.workers.values().filter(|worker| !self.is_doubtful_life(worker)) {
-            let lasts = |task| self.step_of(task).is_some_and(|step| step.lasting);
+            let lasts = |task| self.step_of(task).is_some_and(|step| step.long_running);
             let lasting = worker.runs.iter().filter(|((task, _), _)| lasts(*task));
             let lasting: Vec<u64> = lasting.map(|(_, room)| room.cpu_millis).collect();
             pool.lasting_millis += lasting.iter().sum::<u64>();
@@ -110,22 +110,23 @@
 
     /// Priority of the most urgent brief work.
     fn priority(&self) -> u32 {
-        let running = self.jobs.values().filter(|job| !job.state.is_final());
-        let brief = running.filter(|job| !job.accepted.spec.steps.iter().any(|step| step.lasting));
+        let running = self.jobs.values().filter(|job| !job.state.is_terminal());
+        let brief =
+            running.filter(|job| !job.accepted.spec.steps.iter().any(|step| step.long_running));
         brief.map(|job| job.accepted.policy.priority).min().unwrap_or(u32::MAX)
     }
 
     /// Workers over which some step must be spread.
     fn spread(&self) -> u32 {
-        let running = self.jobs.values().filter(|job| !job.state.is_final());
+        let running = self.jobs.values().filter(|job| !job.state.is_terminal());
         let steps = running.flat_map(|job| &job.accepted.spec.steps);
-        let spread = steps.filter(|step| step.per_worker > 0);
-        spread.map(|step| step.tasks.div_ceil(step.per_worker)).max().unwrap_or(0)
+        let spread = steps.filter(|step| step.max_per_worker > 0);
+        spread.map(|step| step.tasks.div_ceil(step.max_per_worker)).max().unwrap_or(0)
     }
 
     fn blocked_millis(&self) -> u64 {
         let mut total = 0;
-        for job in self.jobs.values().filter(|job| !job.state.is_final()) {
+        for job in self.jobs.values().filter(|job| !job.state.is_terminal()) {
             for instance in job.instances.iter().filter(|instance| instance.due) {
                 for (number, step) in instance.steps.iter().enumerate() {
                     if !step.open {
--- a/crates/crosspath_schedule/src/scheduler.rs
+++ b/crates/crosspath_schedule/src/scheduler.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use crosspath_job::progress::{Progress, State};
-use crosspath_job::record::{Accepted, Asker};
+use crosspath_job::record::{Accepted, Requester};
 use crosspath_job::spec::Step;
 use crosspath_job::{JobId, TaskId};
 
@@ -78,7 +78,7 @@
     /// Whether all workers are to be looked over.
     look_over: bool,
     /// Jobs that were cancelled before their record was read, and by whom.
-    pub(crate) cancelled_early: BTreeMap<JobId, Asker>,
+    pub(crate) cancelled_early: BTreeMap<JobId, Requester>,
     pub(crate) superseded: bool,
 }
 
@@ -138,7 +138,8 @@
     #[must_use]
     pub fn state(&self, job: JobId) -> Option<State> {
         let job = self.jobs.get(&job)?;
-        let unkept = job.state.is_final() && job.state != State::Cancelled && job.kept != job.state;
+        let unkept =
+            job.state.is_terminal() && job.state != State::Cancelled && job.kept != job.state;
         Some(if unkept { State::Running } else { job.state })
     }
 
--- a/crates/crosspath_schedule/src/stall.rs
+++ b/crates/crosspath_schedule/src/stall.rs
@@ -34,8 +34,9 @@
     }
 
     fn is_stalled(&self, id: TaskId, number: u64) -> bool {
-        let brief =
-            self.step_of(id).is_some_and(|step| !step.lasting && !step.gang && !step.filler);
+        let brief = self
+            .step_of(id)
+            .is_some_and(|step| !step.long_running && !step.gang && !step.best_effort);
         brief && self.run(id, number).is_some_and(stands_still)
     }
 }
--- a/crates/crosspath_schedule/src/takeover.rs
+++ b/crates/crosspath_schedule/src/takeover.rs
@@ -95,7 +95,7 @@
                 Record::Accepted(id, accepted) => self.insert(now, wall_ms, id, accepted),
                 Record::Progress(id, kept) => progress.push((id, kept)),
                 Record::Cancelled(id, by) => cancelled.push((id, by)),
-                Record::Claim(_) | Record::Dropped(_) => {}
+                Record::Claim(_) | Record::Tombstone(_) => {}
             }
         }
         let tasks = progress.iter().flat_map(|(_, kept)| kept.tasks.values());
@@ -114,7 +114,7 @@
         }
         self.settlement.unaccounted = progress_workers;
         // An owner before could only start what is in the log.
-        self.settlement.over = self.jobs.values().all(|job| job.state.is_final());
+        self.settlement.over = self.jobs.values().all(|job| job.state.is_terminal());
         let (jobs, open) = (self.jobs.len(), self.settlement.unaccounted.len());
         log::info!(
             "event=taken_over jobs={jobs} workers={} expected_on={open} epoch={}",
--- a/crates/crosspath_schedule/src/tickets.rs
+++ b/crates/crosspath_schedule/src/tickets.rs
@@ -24,7 +24,7 @@
         if job.accepted.advice.is_none() {
             return true;
         }
-        let step = StepId { job: id.job, time: id.time, step: id.step };
+        let step = StepId { job: id.job, occurrence: id.occurrence, step: id.step };
         if self.tickets.is_fresh(now, step) {
             return true;
         }
@@ -53,7 +53,7 @@
 }
 
 fn step_id(task: TaskId) -> StepId {
-    StepId { job: task.job, time: task.time, step: task.step }
+    StepId { job: task.job, occurrence: task.occurrence, step: task.step }
 }
 
 impl Tickets {
@@ -83,7 +83,7 @@
                 let valid = Duration::from_millis(answer.valid_ms).saturating_sub(TICKET_MARGIN);
                 // The ticket's time may have begun when the question was sent.
                 advice.valid_until = advice.asked + valid;
-                advice.good = answer.good.into_iter().collect();
+                advice.good = answer.approved.into_iter().collect();
             }
             Err(error) => {
                 log::info!("event=no_advice job={} step={} error=\"{error}\"", step.job, step.step);
--- a/crates/crosspath_schedule/src/vacate.rs
+++ b/crates/crosspath_schedule/src/vacate.rs
@@ -47,11 +47,11 @@
         let Some(step) = self.step_of(id) else { return false };
         let Some(run) = self.run(id, number) else { return false };
         let Some(job) = self.jobs.get(&id.job) else { return false };
-        if run.phase != Phase::Running || job.state.is_final() {
+        if run.phase != Phase::Running || job.state.is_terminal() {
             return false;
         }
-        if step.lasting {
-            let limit = step.may_miss.unwrap_or(1);
+        if step.long_running {
+            let limit = step.max_unavailable.unwrap_or(1);
             return self.others_away(now, job, id) < limit && self.has_room_elsewhere(now, id);
         }
         let movable = step.checkpoints && run.percent < MOVE_BELOW && run.checkpoint.is_some();
@@ -60,7 +60,7 @@
 
     /// Other tasks of the step that are not at work, as far as is known.
     fn others_away(&self, now: Duration, job: &Job, id: TaskId) -> u32 {
-        let step = &job.instances[id.time as usize].steps[id.step as usize];
+        let step = &job.instances[id.occurrence as usize].steps[id.step as usize];
         let at_work = |run: &Run| {
             let worker = self.workers.get(&run.worker);
             let sound = worker.is_some_and(Worker::answers);
--- a/crates/crosspath_schedule/src/worker.rs
+++ b/crates/crosspath_schedule/src/worker.rs
@@ -6,7 +6,7 @@
 
 use crosspath_border::worker::{Entry, Target};
 use crosspath_job::TaskId;
-use crosspath_job::spec::Room;
+use crosspath_job::spec::Resources;
 
 use crate::lives;
 use crate::losses;
@@ -32,9 +32,9 @@
     /// The same of what this owner has ordered.
     pub(crate) ordered_over: Duration,
     /// Reserved by runs.
-    pub(crate) used: Room,
+    pub(crate) used: Resources,
     /// Runs that are or may be there.
-    pub(crate) runs: BTreeMap<(TaskId, u64), Room>,
+    pub(crate) runs: BTreeMap<(TaskId, u64), Resources>,
     /// Highest number of an end that was taken in.
     pub(crate) ends_seen: u64,
     /// Highest number of an end that was acknowledged.
@@ -66,7 +66,7 @@
             rest_until: Duration::ZERO,
             lease_over: Duration::ZERO,
             ordered_over: Duration::ZERO,
-            used: Room::default(),
+            used: Resources::default(),
             runs: BTreeMap::new(),
             ends_seen: 0,
             ends_acknowledged: 0,
@@ -78,16 +78,16 @@
     }
 
     pub(crate) fn target(&self) -> Target {
-        let Entry { address, ref id, born_ms, .. } = self.entry;
-        Target { address, id: Arc::clone(id), born_ms }
+        let Entry { address, ref id, started_ms: born_ms, .. } = self.entry;
+        Target { address, id: Arc::clone(id), started_ms: born_ms }
     }
 
     /// Name of its life.
     pub(crate) fn life(&self) -> Arc<str> {
-        lives::name(&self.entry.id, self.entry.born_ms)
+        lives::name(&self.entry.id, self.entry.started_ms)
     }
 
-    pub(crate) fn free(&self) -> Room {
+    pub(crate) fn free(&self) -> Resources {
         self.entry.capacity.minus(&self.used)
     }
 
@@ -116,7 +116,7 @@
     }
 
     /// Adds a run that is or may be there.
-    pub(crate) fn reserve(&mut self, task: TaskId, run: u64, room: Room) {
+    pub(crate) fn reserve(&mut self, task: TaskId, run: u64, room: Resources) {
         if self.runs.insert((task, run), room).is_none() {
             self.used.add(&room);
         }
--- a/crates/crosspath_schedule/tests/schedule/common.rs
+++ b/crates/crosspath_schedule/tests/schedule/common.rs
@@ -3,9 +3,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crosspath_border::worker::{Ended, Entry, Held, How, Running, Started};
-use crosspath_job::record::{Accepted, Asker, Policy, Record};
-use crosspath_job::spec::{Room, Spec, Step};
+use crosspath_border::worker::{Ended, Entry, Outcome, PollReply, Running, Started};
+use crosspath_job::record::{Accepted, Policy, Record, Requester};
+use crosspath_job::spec::{Resources, Spec, Step};
 use crosspath_job::{JobId, TaskId};
 use crosspath_schedule::lease::Terms;
 use crosspath_schedule::{Action, Event, Scheduler, Settings};
@@ -23,8 +23,8 @@
 }
 
 pub(crate) fn step(tasks: u32, cores: u64) -> Step {
-    let room = Room { cpu_millis: cores * 1_000, mem_mb: 100, gpus: 0 };
-    Step { tasks, room, estimate_ms: 800, ..Step::default() }
+    let room = Resources { cpu_millis: cores * 1_000, mem_mb: 100, gpus: 0 };
+    Step { tasks, resources: room, estimate_ms: 800, ..Step::default() }
 }
 
 pub(crate) fn accepted(steps: Vec<Step>) -> Arc<Accepted> {
@@ -42,8 +42,8 @@
 }
 
 /// A caller of a queue that needs no key.
-pub(crate) fn anyone() -> Asker {
-    Asker::default()
+pub(crate) fn anyone() -> Requester {
+    Requester::default()
 }
 
 pub(crate) fn entry(id: &str) -> Entry {
@@ -55,23 +55,23 @@
         address: "127.0.0.1:9".parse().expect("an address"),
         draining: false,
         remaining_ms: 0,
-        capacity: Room { cpu_millis: 32_000, mem_mb: 128_000, gpus: 0 },
+        capacity: Resources { cpu_millis: 32_000, mem_mb: 128_000, gpus: 0 },
         labels: vec!["a".into(), "r1".into()],
         clock_ms: 1_000,
-        born_ms: 0,
+        started_ms: 0,
     }
 }
 
 pub(crate) fn task(step: u32, index: u32) -> TaskId {
-    TaskId { job: JOB, time: 0, step, index }
+    TaskId { job: JOB, occurrence: 0, step, index }
 }
 
 pub(crate) fn running(task: TaskId, run: u64) -> Running {
     Running { task, run, checkpoint: None, percent: 100, gauge: 0 }
 }
 
-pub(crate) fn ended(number: u64, task: TaskId, run: u64, how: How) -> Ended {
-    Ended { number, task, run, how, checkpoint: None }
+pub(crate) fn ended(number: u64, task: TaskId, run: u64, how: Outcome) -> Ended {
+    Ended { number, task, run, outcome: how, checkpoint: None }
 }
 
 /// A start that the scheduler ordered.
@@ -149,7 +149,7 @@
     pub(crate) fn held(&mut self, worker: &str, running: Vec<Running>, ended: Vec<Ended>) {
         let sent = self.now;
         self.now += ms(1);
-        let held = Held { clock_ms: 0, born_ms: 0, running, ended };
+        let held = PollReply { clock_ms: 0, started_ms: 0, running, ended };
         self.send(Event::Held { worker: worker.into(), sent, extended: true, held });
     }
 
--- a/crates/crosspath_schedule/tests/schedule/customer.rs
+++ b/crates/crosspath_schedule/tests/schedule/customer.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use crosspath_job::progress::State;
-use crosspath_job::record::{Accepted, Asker, Record};
+use crosspath_job::record::{Accepted, Record, Requester};
 use crosspath_quota::Limits;
 use crosspath_schedule::{Action, Event};
 
@@ -13,8 +13,8 @@
     Arc::new(Accepted { customer: Some(customer.into()), ..(*accepted(vec![step(1, 2)])).clone() })
 }
 
-fn asker(customer: &str) -> Asker {
-    Asker { queue: "counter".into(), customer: Some(customer.into()) }
+fn asker(customer: &str) -> Requester {
+    Requester { queue: "counter".into(), customer: Some(customer.into()) }
 }
 
 #[test]
--- a/crates/crosspath_schedule/tests/schedule/evacuation.rs
+++ b/crates/crosspath_schedule/tests/schedule/evacuation.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use crosspath_border::worker::{Entry, How};
+use crosspath_border::worker::{Entry, Outcome};
 use crosspath_job::spec::Step;
 use crosspath_schedule::Event;
 
@@ -63,7 +63,7 @@
     bed.held(&order.worker, vec![running(order.task, order.run)], Vec::new());
     bed.pass(ms(1_000));
     assert!(bed.stops().is_empty(), "it has no checkpoint to go on from");
-    bed.held(&order.worker, Vec::new(), vec![ended(1, order.task, order.run, How::Done)]);
+    bed.held(&order.worker, Vec::new(), vec![ended(1, order.task, order.run, Outcome::Done)]);
     bed.pass(ms(100));
     assert!(bed.starts().is_empty());
 }
@@ -72,7 +72,12 @@
 #[test]
 fn lasting_tasks_leave_within_their_budget() {
     let mut bed = Bed::with_workers(&["a1", "a2"]);
-    bed.submit(vec![Step { lasting: true, per_worker: 1, may_miss: Some(1), ..step(2, 4) }]);
+    bed.submit(vec![Step {
+        long_running: true,
+        max_per_worker: 1,
+        max_unavailable: Some(1),
+        ..step(2, 4)
+    }]);
     for order in bed.starts() {
         bed.started(&order);
         bed.held(&order.worker, vec![running(order.task, order.run)], Vec::new());
@@ -115,7 +120,7 @@
     bed.started(&order);
     bed.send(Event::MayStart(false));
     bed.keeps = false;
-    bed.held(&order.worker, Vec::new(), vec![ended(1, order.task, order.run, How::Failed)]);
+    bed.held(&order.worker, Vec::new(), vec![ended(1, order.task, order.run, Outcome::Failed)]);
     bed.pass(ms(1_000));
     assert!(bed.starts().is_empty());
     assert!(bed.stops().is_empty());
--- a/crates/crosspath_schedule/tests/schedule/failing.rs
+++ b/crates/crosspath_schedule/tests/schedule/failing.rs
@@ -1,6 +1,6 @@
 //! Failed runs: each counts once, whenever it is heard of.
 
-use crosspath_border::worker::{Error, How};
+use crosspath_border::worker::{Error, Outcome};
 use crosspath_job::progress::State;
 use crosspath_schedule::Event;
 
@@ -21,7 +21,7 @@
     for number in 1..=3 {
         bed.pass(ms(10_000));
         let order = start_on(&mut bed, "a");
-        bed.held("a", Vec::new(), vec![ended(number, order.task, order.run, How::Failed)]);
+        bed.held("a", Vec::new(), vec![ended(number, order.task, order.run, Outcome::Failed)]);
     }
     bed.pass(ms(10_000));
     assert_eq!(bed.starts(), Vec::new());
@@ -44,13 +44,13 @@
     bed.pass(ms(6_000));
     bed.held("b", Vec::new(), Vec::new());
     let second = start_on(&mut bed, "b");
-    bed.held("b", Vec::new(), vec![ended(1, second.task, second.run, How::Failed)]);
+    bed.held("b", Vec::new(), vec![ended(1, second.task, second.run, Outcome::Failed)]);
     // Now a is back and lists the end of the first run: the second of three attempts.
-    bed.held("a", Vec::new(), vec![ended(1, first.task, first.run, How::Failed)]);
+    bed.held("a", Vec::new(), vec![ended(1, first.task, first.run, Outcome::Failed)]);
     bed.pass(ms(10_000));
     let third = bed.starts().remove(0);
     bed.started(&third);
-    let failed = vec![ended(2, third.task, third.run, How::Failed)];
+    let failed = vec![ended(2, third.task, third.run, Outcome::Failed)];
     bed.held(&third.worker, Vec::new(), failed);
     bed.pass(ms(10_000));
     assert_eq!(bed.starts(), Vec::new());
--- a/crates/crosspath_schedule/tests/schedule/form.rs
+++ b/crates/crosspath_schedule/tests/schedule/form.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use crosspath_border::advice::{Answer, StepId};
-use crosspath_border::worker::{Ended, Entry, How, Running, Started};
+use crosspath_border::worker::{Ended, Entry, Outcome, Running, Started};
 use crosspath_job::progress::State;
 use crosspath_job::record::{Accepted, Advice};
 use crosspath_job::spec::{Repeat, Spec, Step};
@@ -15,7 +15,7 @@
 
 fn done(bed: &mut Bed, number: u64, order: &Ordered) {
     bed.started(order);
-    bed.held(&order.worker, Vec::new(), vec![ended(number, order.task, order.run, How::Done)]);
+    bed.held(&order.worker, Vec::new(), vec![ended(number, order.task, order.run, Outcome::Done)]);
     bed.pass(ms(50));
 }
 
@@ -32,10 +32,10 @@
     assert!(first.iter().all(|order| order.task.step == 0));
     bed.started(&first[0]);
     bed.started(&first[1]);
-    let one = ended(1, first[0].task, first[0].run, How::Done);
+    let one = ended(1, first[0].task, first[0].run, Outcome::Done);
     bed.held("a", vec![running(first[1].task, first[1].run)], vec![one]);
     assert_eq!(bed.starts(), Vec::new());
-    bed.held("a", Vec::new(), vec![ended(2, first[1].task, first[1].run, How::Done)]);
+    bed.held("a", Vec::new(), vec![ended(2, first[1].task, first[1].run, Outcome::Done)]);
     bed.pass(ms(50));
     let second = bed.starts().remove(0);
     assert_eq!(second.task, task(1, 0));
@@ -72,14 +72,14 @@
     let mut bed = Bed::with_workers(&["a", "b"]);
     with_labels(&mut bed, "a", &["k", "r1"]);
     with_labels(&mut bed, "b", &["k", "r2"]);
-    bed.submit(vec![Step { near: Some("r2".into()), ..step(3, 2) }]);
+    bed.submit(vec![Step { preferred_rack: Some("r2".into()), ..step(3, 2) }]);
     assert!(bed.starts().iter().all(|order| &*order.worker == "b"));
 }
 
 #[test]
 fn a_worker_holds_at_most_so_many_tasks_of_a_step() {
     let mut bed = Bed::with_workers(&["a", "b"]);
-    bed.submit(vec![Step { per_worker: 1, ..step(3, 2) }]);
+    bed.submit(vec![Step { max_per_worker: 1, ..step(3, 2) }]);
     let starts = bed.starts();
     assert_eq!(starts.len(), 2);
     assert_ne!(starts[0].worker, starts[1].worker);
@@ -113,7 +113,7 @@
     for order in &starts {
         bed.started(order);
     }
-    let ends = (1..).zip(&starts).map(|(n, order)| ended(n, order.task, order.run, How::Done));
+    let ends = (1..).zip(&starts).map(|(n, order)| ended(n, order.task, order.run, Outcome::Done));
     bed.held("a", Vec::new(), ends.take(1).collect());
     bed.pass(ms(100));
     assert_eq!(bed.scheduler.state(JOB), Some(State::Completed));
@@ -132,8 +132,10 @@
         checkpoint,
         ..ended(number, order.task, order.run, how)
     };
-    let ends =
-        vec![end(1, &starts[0], How::Failed, None), end(2, &starts[1], How::Broken, saved.clone())];
+    let ends = vec![
+        end(1, &starts[0], Outcome::Failed, None),
+        end(2, &starts[1], Outcome::Broken, saved.clone()),
+    ];
     bed.held("a", Vec::new(), ends);
     bed.pass(ms(3_000));
     let mut checkpoints = Vec::new();
@@ -154,8 +156,10 @@
     bed.submit(vec![Step { checkpoints: true, ..step(1, 2) }]);
     let order = bed.starts().remove(0);
     bed.started(&order);
-    let stopped =
-        Ended { checkpoint: Some("00ff".into()), ..ended(1, order.task, order.run, How::Stopped) };
+    let stopped = Ended {
+        checkpoint: Some("00ff".into()),
+        ..ended(1, order.task, order.run, Outcome::Stopped)
+    };
     bed.held("a", Vec::new(), vec![stopped]);
     bed.pass(ms(100));
     let carried = bed.actions.iter().find_map(|action| match action {
@@ -176,8 +180,8 @@
     assert_eq!(bed.starts(), Vec::new());
     let asked = bed.actions.iter().any(|action| matches!(action, Action::Advise { .. }));
     assert!(asked);
-    let answer = Answer { good: vec![("b".into(), "ticket".into())], valid_ms: 3_000 };
-    let id = StepId { job: JOB, time: 0, step: 0 };
+    let answer = Answer { approved: vec![("b".into(), "ticket".into())], valid_ms: 3_000 };
+    let id = StepId { job: JOB, occurrence: 0, step: 0 };
     bed.send(Event::Advised { step: id, answer: Ok(answer) });
     let tickets = bed.actions.iter().filter_map(|action| match action {
         Action::Start { worker, ticket, .. } => Some((&*worker.id, ticket.as_deref())),
@@ -194,8 +198,8 @@
         ..(*accepted(vec![step(1, 2)])).clone()
     };
     bed.send(Event::Accepted(JOB, Arc::new(job)));
-    let id = StepId { job: JOB, time: 0, step: 0 };
-    let answer = Answer { good: vec![("a".into(), "old".into())], valid_ms: 3_000 };
+    let id = StepId { job: JOB, occurrence: 0, step: 0 };
+    let answer = Answer { approved: vec![("a".into(), "old".into())], valid_ms: 3_000 };
     bed.send(Event::Advised { step: id, answer: Ok(answer) });
     let order = bed.starts().remove(0);
     bed.actions.clear();
@@ -227,7 +231,7 @@
         bed.decide();
         let starts = bed.starts();
         assert_eq!(starts.len(), 1, "time {number}");
-        assert_eq!(u64::from(starts[0].task.time) + 1, number);
+        assert_eq!(u64::from(starts[0].task.occurrence) + 1, number);
         done(&mut bed, number, &starts[0]);
         let over = bed.scheduler.state(JOB) == Some(State::Completed);
         assert_eq!(over, number == 2);
@@ -237,8 +241,8 @@
 #[test]
 fn fill_work_is_slowed_when_a_tail_nears_its_target_and_speeds_up_again() {
     let mut bed = Bed::with_workers(&["a"]);
-    let serving = Step { lasting: true, tail_target_ms: 100, ..step(1, 2) };
-    let filler = Step { lasting: true, filler: true, ..step(1, 2) };
+    let serving = Step { long_running: true, tail_target_ms: 100, ..step(1, 2) };
+    let filler = Step { long_running: true, best_effort: true, ..step(1, 2) };
     bed.submit(vec![serving, filler]);
     let starts = bed.starts();
     for order in &starts {
--- a/crates/crosspath_schedule/tests/schedule/lasting.rs
+++ b/crates/crosspath_schedule/tests/schedule/lasting.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use crosspath_border::worker::{Error, How, Running};
+use crosspath_border::worker::{Error, Outcome, Running};
 use crosspath_job::record::Record;
 use crosspath_job::spec::Step;
 use crosspath_schedule::Event;
@@ -14,7 +14,8 @@
 /// Three tasks of which one may be away, each on a worker of its own, at work.
 fn bed() -> (Bed, Vec<Ordered>) {
     let mut bed = Bed::with_workers(&WORKERS);
-    let lasting = Step { lasting: true, may_miss: Some(1), per_worker: 1, ..step(3, 2) };
+    let lasting =
+        Step { long_running: true, max_unavailable: Some(1), max_per_worker: 1, ..step(3, 2) };
     bed.submit(vec![lasting]);
     let starts = bed.starts();
     assert_eq!(starts.len(), 3);
@@ -63,7 +64,8 @@
 #[test]
 fn a_new_owner_moves_none_while_one_may_be_stopped_by_the_owner_before() {
     let (before, starts) = bed();
-    let step = Step { lasting: true, may_miss: Some(1), per_worker: 1, ..step(3, 2) };
+    let step =
+        Step { long_running: true, max_unavailable: Some(1), max_per_worker: 1, ..step(3, 2) };
     let mut records = vec![Record::Accepted(JOB, accepted(vec![step]))];
     records.extend(kept(&before.actions));
     let mut bed = Bed::new(2);
@@ -101,7 +103,7 @@
     let order = bed.starts().remove(0);
     bed.started(&order);
     bed.keeps = false;
-    bed.held("a", Vec::new(), vec![ended(1, order.task, order.run, How::Done)]);
+    bed.held("a", Vec::new(), vec![ended(1, order.task, order.run, Outcome::Done)]);
     bed.pass(ms(100));
     assert!(!bed.scheduler.report(bed.now).vms[0].is_vacant());
     bed.send(Event::Committed);
@@ -110,7 +112,7 @@
 
 #[test]
 fn one_that_ended_in_any_way_is_started_again() {
-    for how in [How::Done, How::Failed, How::Stopped, How::Lapsed] {
+    for how in [Outcome::Done, Outcome::Failed, Outcome::Stopped, Outcome::Lapsed] {
         let (mut bed, starts) = bed();
         let order = &starts[0];
         bed.held(&order.worker, Vec::new(), vec![ended(1, order.task, order.run, how)]);
--- a/crates/crosspath_schedule/tests/schedule/limits.rs
+++ b/crates/crosspath_schedule/tests/schedule/limits.rs
@@ -5,15 +5,15 @@
 
 use crosspath_job::JobId;
 use crosspath_job::record::{Accepted, Record};
-use crosspath_job::spec::Room;
-use crosspath_quota::{Ask, Ledger, Limits};
+use crosspath_job::spec::Resources;
+use crosspath_quota::{Ledger, Limits, Request};
 use crosspath_schedule::{Action, Event};
 
 use crate::common::{Bed, JOB, Ordered, accepted, ended, kept, ms, step};
-use crosspath_border::worker::How;
+use crosspath_border::worker::Outcome;
 
 fn limits(cores: u64) -> Limits {
-    let room = Room { cpu_millis: cores * 1_000, ..Room::UNLIMITED };
+    let room = Resources { cpu_millis: cores * 1_000, ..Resources::UNLIMITED };
     [("water".into(), room)].into()
 }
 
@@ -24,7 +24,7 @@
 }
 
 /// The last question for parts since the last call.
-fn asked(bed: &mut Bed) -> Option<Ask> {
+fn asked(bed: &mut Bed) -> Option<Request> {
     let mut found = None;
     bed.actions.retain(|action| match action {
         Action::AskParts { ask } => {
@@ -41,7 +41,7 @@
     let shards = BTreeSet::from([0]);
     for _ in 0..4 {
         if let Some(ask) = asked(bed) {
-            let deal = ledger.deal(&ask, limits, &shards);
+            let deal = ledger.grant(&ask, limits, &shards);
             bed.send(Event::Dealt { number: ask.number, deal });
         }
         bed.pass(ms(120));
@@ -87,7 +87,7 @@
     while let Some(Ordered { worker, task, run }) = running.pop() {
         ends += 1;
         bed.started(&Ordered { worker: Arc::clone(&worker), task, run });
-        bed.held(&worker, Vec::new(), vec![ended(ends, task, run, How::Done)]);
+        bed.held(&worker, Vec::new(), vec![ended(ends, task, run, Outcome::Done)]);
         deal(&mut bed, &mut ledger, &limits(10));
         let next = bed.starts();
         started += next.len();
@@ -110,7 +110,7 @@
     bed.send(Event::Limits(limits(16)));
     bed.send(Event::Accepted(JobId(7), job_of("water", 1)));
     let ask = asked(&mut bed).expect("a question");
-    assert_eq!(ask.wishes["water"].keep.cpu_millis, 12_000);
+    assert_eq!(ask.demands["water"].keep.cpu_millis, 12_000);
 }
 
 #[test]
--- a/crates/crosspath_schedule/tests/schedule/lives.rs
+++ b/crates/crosspath_schedule/tests/schedule/lives.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use crosspath_border::worker::{Ended, Entry, Error, Held, How, Running};
+use crosspath_border::worker::{Ended, Entry, Error, Outcome, PollReply, Running};
 use crosspath_job::JobId;
 use crosspath_job::progress::State;
 use crosspath_job::record::Record;
@@ -15,14 +15,14 @@
 const SECOND_MS: u64 = FIRST_MS + 9_000;
 
 fn born(id: &str, born_ms: u64) -> Entry {
-    Entry { born_ms, ..entry(id) }
+    Entry { started_ms: born_ms, ..entry(id) }
 }
 
 /// An answer of the life that began at `born_ms`.
 fn held(bed: &mut Bed, id: &str, born_ms: u64, running: Vec<Running>, ended: Vec<Ended>) {
     let sent = bed.now;
     bed.now += ms(1);
-    let held = Held { clock_ms: 0, born_ms, running, ended };
+    let held = PollReply { clock_ms: 0, started_ms: born_ms, running, ended };
     bed.send(Event::Held { worker: id.into(), sent, extended: true, held });
 }
 
@@ -62,8 +62,10 @@
 #[test]
 fn ends_of_the_new_life_count_from_one_and_are_acknowledged_so() {
     let mut bed = bed(3);
-    let ends =
-        vec![ended(1, task(0, 0), 10_001, How::Done), ended(2, task(0, 1), 10_001, How::Done)];
+    let ends = vec![
+        ended(1, task(0, 0), 10_001, Outcome::Done),
+        ended(2, task(0, 1), 10_001, Outcome::Done),
+    ];
     held(&mut bed, "a", FIRST_MS, vec![running(task(0, 2), 10_001)], ends);
     bed.pass(ms(100));
     assert_eq!(acknowledged(&bed), [2]);
@@ -74,7 +76,13 @@
     bed.pass(ms(100));
     let order = bed.starts().remove(0);
     bed.started(&order);
-    held(&mut bed, "a", SECOND_MS, Vec::new(), vec![ended(1, task(0, 2), order.run, How::Done)]);
+    held(
+        &mut bed,
+        "a",
+        SECOND_MS,
+        Vec::new(),
+        vec![ended(1, task(0, 2), order.run, Outcome::Done)],
+    );
     bed.pass(ms(100));
     assert_eq!(bed.scheduler.state(JOB), Some(State::Completed));
     assert_eq!(acknowledged(&bed), [2, 1]);
@@ -85,7 +93,7 @@
 fn an_end_that_is_kept_late_is_acknowledged_to_no_later_life() {
     let mut bed = bed(2);
     bed.keeps = false;
-    let end = ended(1, task(0, 0), 10_001, How::Done);
+    let end = ended(1, task(0, 0), 10_001, Outcome::Done);
     held(&mut bed, "a", FIRST_MS, vec![running(task(0, 1), 10_001)], vec![end]);
     bed.pass(ms(50));
     held(&mut bed, "a", SECOND_MS, Vec::new(), Vec::new());
@@ -111,8 +119,11 @@
     let order = bed.starts().remove(0);
     bed.started(&order);
     let sent = ms(1);
-    let there =
-        Held { born_ms: FIRST_MS, running: vec![running(task(0, 0), 10_001)], ..Held::default() };
+    let there = PollReply {
+        started_ms: FIRST_MS,
+        running: vec![running(task(0, 0), 10_001)],
+        ..PollReply::default()
+    };
     bed.send(Event::Held { worker: "a".into(), sent, extended: true, held: there });
     bed.send(Event::WorkerSeen(Entry { draining: true, ..born("a", FIRST_MS) }));
     held(&mut bed, "a", SECOND_MS, vec![running(order.task, order.run)], Vec::new());
@@ -140,7 +151,7 @@
 /// Where looks go, and the clock that they begin with.
 fn watched(bed: &Bed) -> Option<(SocketAddr, u64, u64)> {
     let watch = |action: &Action| match action {
-        Action::Watch { worker, clock_ms } => Some((worker.address, worker.born_ms, *clock_ms)),
+        Action::Watch { worker, clock_ms } => Some((worker.address, worker.started_ms, *clock_ms)),
         _ => None,
     };
     bed.actions.iter().rev().find_map(watch)
--- a/crates/crosspath_schedule/tests/schedule/losses.rs
+++ b/crates/crosspath_schedule/tests/schedule/losses.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use crosspath_border::worker::{Entry, Error, How, Running};
+use crosspath_border::worker::{Entry, Error, Outcome, Running};
 use crosspath_job::progress::{Loss, Progress, State, TaskProgress};
 use crosspath_job::record::Record;
 use crosspath_job::spec::Step;
@@ -208,7 +208,7 @@
     bed.send(Event::Accepted(JobId(2), accepted(vec![step(60, 2)])));
     bed.pass(ms(100));
     assert_eq!(bed.starts(), Vec::new());
-    let end = ended(1, suspect.task, suspect.run, How::Done);
+    let end = ended(1, suspect.task, suspect.run, Outcome::Done);
     bed.held(&suspect.worker, Vec::new(), vec![end]);
     bed.pass(ms(100));
     assert_eq!(bed.starts().len(), 16);
@@ -264,11 +264,13 @@
     bed.held("a", there.clone(), Vec::new());
     assert_eq!(bed.starts(), Vec::new());
     // Half of them end: nothing takes their places.
-    let ends = (1..).zip(&there[..8]).map(|(number, row)| ended(number, row.task, 7, How::Done));
+    let ends =
+        (1..).zip(&there[..8]).map(|(number, row)| ended(number, row.task, 7, Outcome::Done));
     bed.held("a", there[8..].to_vec(), ends.collect());
     bed.pass(ms(100));
     assert_eq!(bed.starts(), Vec::new());
-    let ends = (9..).zip(&there[8..]).map(|(number, row)| ended(number, row.task, 7, How::Done));
+    let ends =
+        (9..).zip(&there[8..]).map(|(number, row)| ended(number, row.task, 7, Outcome::Done));
     bed.held("a", Vec::new(), ends.collect());
     bed.pass(ms(100));
     let starts = bed.starts();
@@ -313,7 +315,7 @@
 
 #[test]
 fn a_lasting_task_that_works_between_losses_is_never_given_up() {
-    let lasting = Step { lasting: true, ..step(1, 2) };
+    let lasting = Step { long_running: true, ..step(1, 2) };
     let mut bed = Bed::with_workers(&["a", "b", "c", "d"]);
     bed.submit(vec![lasting]);
     for _ in 0..6 {
@@ -332,7 +334,7 @@
 #[test]
 fn a_lasting_task_that_was_at_work_under_each_loss_is_never_given_up() {
     let mut bed = Bed::with_workers(&["a"]);
-    bed.submit(vec![Step { lasting: true, ..step(1, 2) }]);
+    bed.submit(vec![Step { long_running: true, ..step(1, 2) }]);
     for _ in 0..6 {
         let order = bed.starts().remove(0);
         bed.started(&order);
@@ -346,7 +348,7 @@
 #[test]
 fn a_lasting_task_that_crashes_its_workers_before_it_is_at_work_is_given_up() {
     let mut bed = Bed::with_workers(&["a", "b", "c", "d"]);
-    bed.submit(vec![Step { lasting: true, ..step(1, 2) }]);
+    bed.submit(vec![Step { long_running: true, ..step(1, 2) }]);
     assert!(crash_all(&mut bed) <= MOST_STARTS);
     assert_eq!(bed.scheduler.state(JOB), Some(State::Failed));
 }
--- a/crates/crosspath_schedule/tests/schedule/room.rs
+++ b/crates/crosspath_schedule/tests/schedule/room.rs
@@ -2,9 +2,9 @@
 
 use std::sync::Arc;
 
-use crosspath_border::worker::{Entry, How};
+use crosspath_border::worker::{Entry, Outcome};
 use crosspath_job::JobId;
-use crosspath_job::spec::Room;
+use crosspath_job::spec::Resources;
 use crosspath_schedule::Event;
 
 use crate::common::{Bed, JOB, accepted, anyone, ended, entry, ms, running, step, task};
@@ -28,7 +28,7 @@
     let mut bed = Bed::with_workers(&["a"]);
     bed.submit(vec![step(2, 8), step(2, 8)]);
     assert_eq!(bed.starts().len(), 4, "32 cores hold all of them");
-    let small = Room { cpu_millis: 16_000, ..entry("a").capacity };
+    let small = Resources { cpu_millis: 16_000, ..entry("a").capacity };
     bed.send(Event::WorkerSeen(Entry { capacity: small, ..entry("a") }));
     // Half of what runs is more than it has by now; nothing else is started until that has ended.
     let other = JobId(2);
@@ -38,7 +38,7 @@
     let rows = |from: usize| there[from..].iter().map(|task| running(*task, 10_001)).collect();
     for from in 0..4 {
         let ends = there[..from].iter().zip(1..);
-        let ends = ends.map(|(task, number)| ended(number, *task, 10_001, How::Done));
+        let ends = ends.map(|(task, number)| ended(number, *task, 10_001, Outcome::Done));
         bed.held("a", rows(from), ends.collect());
         bed.pass(ms(100));
         let starts = bed.starts();
@@ -68,7 +68,7 @@
     bed.held("a", vec![running(order.task, order.run)], Vec::new());
     bed.pass(ms(100));
     assert_eq!(bed.starts(), Vec::new());
-    let end = ended(1, order.task, order.run, How::Stopped);
+    let end = ended(1, order.task, order.run, Outcome::Stopped);
     bed.held("a", Vec::new(), vec![end]);
     bed.pass(ms(100));
     assert_eq!(bed.starts().len(), 1);
--- a/crates/crosspath_schedule/tests/schedule/shares.rs
+++ b/crates/crosspath_schedule/tests/schedule/shares.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crosspath_border::worker::{Ended, How};
+use crosspath_border::worker::{Ended, Outcome};
 use crosspath_job::record::{Accepted, Record};
 use crosspath_job::{JobId, TaskId};
 use crosspath_quota::{Limits, Weights};
@@ -77,7 +77,7 @@
         let over: Vec<_> = over.map(|(task, (run, _))| (*task, *run)).collect();
         for (task, run) in over {
             self.running.remove(&task);
-            self.ends.push(ended(self.ends.len() as u64 + 1, task, run, How::Done));
+            self.ends.push(ended(self.ends.len() as u64 + 1, task, run, Outcome::Done));
             let (customer, sent) = &self.sent[&task.job];
             let in_time = u32::from(now <= *sent + OBJECTIVE);
             self.counts.get_mut(customer).expect("a customer").in_time += in_time;
--- a/crates/crosspath_schedule/tests/schedule/stall.rs
+++ b/crates/crosspath_schedule/tests/schedule/stall.rs
@@ -1,6 +1,6 @@
 //! Runs that stand still on a worker that answers.
 
-use crosspath_border::worker::{How, Running};
+use crosspath_border::worker::{Outcome, Running};
 
 use crate::common::{Bed, Ordered, ended, ms, running, step};
 
@@ -28,7 +28,8 @@
     }
     let stops = bed.stops();
     assert_eq!(stops.len(), 2);
-    let ends = (1..).zip(&stops).map(|(n, order)| ended(n, order.task, order.run, How::Stopped));
+    let ends =
+        (1..).zip(&stops).map(|(n, order)| ended(n, order.task, order.run, Outcome::Stopped));
     bed.held("a", Vec::new(), ends.collect());
     bed.pass(ms(100));
     let again = bed.starts();
--- a/crates/crosspath_schedule/tests/schedule/takeover.rs
+++ b/crates/crosspath_schedule/tests/schedule/takeover.rs
@@ -1,6 +1,6 @@
 //! Taking over: what runs is adopted, what may run unseen is waited for.
 
-use crosspath_border::worker::{Entry, Error, How};
+use crosspath_border::worker::{Entry, Error, Outcome};
 use crosspath_job::record::Record;
 use crosspath_schedule::Event;
 
@@ -173,17 +173,17 @@
     first.submit(vec![step(1, 2)]);
     let order = first.starts().remove(0);
     first.started(&order);
-    first.held("a", Vec::new(), vec![ended(1, order.task, order.run, How::Failed)]);
+    first.held("a", Vec::new(), vec![ended(1, order.task, order.run, Outcome::Failed)]);
     first.pass(ms(50));
     let mut records = vec![Record::Accepted(JOB, accepted(vec![step(1, 2)]))];
     records.extend(kept(&first.actions));
     let mut bed = Bed::new(2);
     bed.take_over(records, &["a"]);
     // Listed again, and then one more failure: with max_attempts 3 a third attempt is due.
-    bed.held("a", Vec::new(), vec![ended(1, order.task, order.run, How::Failed)]);
+    bed.held("a", Vec::new(), vec![ended(1, order.task, order.run, Outcome::Failed)]);
     let order = bed.starts().remove(0);
     bed.started(&order);
-    bed.held("a", Vec::new(), vec![ended(2, order.task, order.run, How::Failed)]);
+    bed.held("a", Vec::new(), vec![ended(2, order.task, order.run, Outcome::Failed)]);
     bed.pass(ms(5_000));
     assert_eq!(bed.starts().len(), 1, "the third attempt is due");
 }
--- a/crates/crosspath_schedule/tests/schedule/world.rs
+++ b/crates/crosspath_schedule/tests/schedule/world.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crosspath_border::worker::{Entry, How, Target};
+use crosspath_border::worker::{Entry, Outcome, Target};
 use crosspath_job::progress::State;
 use crosspath_job::record::{Accepted, Record};
 use crosspath_job::{JobId, TaskId};
@@ -168,7 +168,7 @@
     fn add_worker(&mut self, vm: &str) {
         self.lives += 1;
         let id = format!("w-{}", self.lives);
-        let entry = Entry { vm: vm.into(), born_ms: self.born_ms(), ..entry(&id) };
+        let entry = Entry { vm: vm.into(), started_ms: self.born_ms(), ..entry(&id) };
         let clock_began = Duration::ZERO;
         self.workers.insert(Arc::clone(&entry.id), SimWorker::new(entry, clock_began));
     }
@@ -299,7 +299,7 @@
         if self.chance(ELSEWHERE) {
             address.set_port(address.port() + 1);
         }
-        let entry = Entry { born_ms: self.born_ms(), address, ..before.entry.clone() };
+        let entry = Entry { started_ms: self.born_ms(), address, ..before.entry.clone() };
         self.workers.insert(Arc::clone(id), SimWorker::new(entry, self.now));
         self.ended.push(before.entry);
         if self.chance(TOLD_AT_ONCE) {
@@ -348,15 +348,15 @@
             let lapsed = now > worker.deadline;
             for (task, run) in &worker.runs {
                 if lapsed {
-                    ends.push((Arc::clone(&worker.entry.id), *task, How::Lapsed));
+                    ends.push((Arc::clone(&worker.entry.id), *task, Outcome::Lapsed));
                 } else if now >= run.ends {
-                    ends.push((Arc::clone(&worker.entry.id), *task, How::Done));
+                    ends.push((Arc::clone(&worker.entry.id), *task, Outcome::Done));
                 }
             }
         }
         for (worker, task, how) in ends {
-            let fails = how == How::Done && self.chance(self.faults.failing);
-            let how = if fails { How::Failed } else { how };
+            let fails = how == Outcome::Done && self.chance(self.faults.failing);
+            let how = if fails { Outcome::Failed } else { how };
             self.workers.get_mut(&worker).expect("a worker").end(task, how);
         }
     }
@@ -448,7 +448,7 @@
         for number in 1..=self.jobs {
             let state = current.state(JobId(number));
             assert!(
-                state.is_some_and(State::is_final),
+                state.is_some_and(State::is_terminal),
                 "job {number} is {state:?} after all faults have ended"
             );
         }
--- a/crates/crosspath_schedule/tests/schedule/world/orders.rs
+++ b/crates/crosspath_schedule/tests/schedule/world/orders.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crosspath_border::worker::{Error, Held, How, Started, Target};
+use crosspath_border::worker::{Error, Outcome, PollReply, Started, Target};
 use crosspath_job::TaskId;
 use crosspath_schedule::Event;
 use crosspath_schedule::lease::Clock;
@@ -49,7 +49,7 @@
 pub(super) enum Reply {
     Started(Started),
     Stopped,
-    Looked(Held),
+    Looked(PollReply),
 }
 
 impl World {
@@ -61,7 +61,7 @@
         let late = !answered && self.chance(self.faults.late);
         let delay = if late { self.rng.random_range(500..6_000) } else { delay };
         let late_at = self.workers.get(&worker.id).filter(|_| late);
-        let late_at = late_at.map(|worker| worker.entry.born_ms);
+        let late_at = late_at.map(|worker| worker.entry.started_ms);
         let token = self.owners[owner].token;
         let (at, sent) = (self.now + ms(delay), self.now);
         self.messages.push(Message { at, sent, owner, token, worker, order, answered, late_at });
@@ -87,12 +87,12 @@
         let Some(worker) = self.workers.get(&message.worker.id) else {
             return Some(Error::OtherLife);
         };
-        let died = message.late_at.is_some_and(|born_ms| born_ms != worker.entry.born_ms);
+        let died = message.late_at.is_some_and(|born_ms| born_ms != worker.entry.started_ms);
         if worker.cut || died {
             return Some(Error::NoAnswer);
         }
         let is_look = matches!(message.order, Order::Look { .. });
-        let is_meant = is_look || worker.entry.born_ms == message.worker.born_ms;
+        let is_meant = is_look || worker.entry.started_ms == message.worker.started_ms;
         if worker.entry.address != message.worker.address {
             let is_taken = self.now.as_millis().is_multiple_of(2);
             return Some(if is_taken { Error::OtherLife } else { Error::NotReached });
@@ -125,7 +125,7 @@
             Order::Stop { task, run } => {
                 let there = worker.runs.get(task).is_some_and(|there| there.number <= *run);
                 if there {
-                    worker.end(*task, How::Stopped);
+                    worker.end(*task, Outcome::Stopped);
                 }
                 let void = worker.void.entry(*task).or_default();
                 *void = (*void).max(*run);
@@ -133,12 +133,12 @@
             }
             Order::Look { acknowledged, deadline_ms, .. } => {
                 // No life is told of ends of another, or of a time on another's clock.
-                let is_meant = message.worker.born_ms == worker.entry.born_ms;
+                let is_meant = message.worker.started_ms == worker.entry.started_ms;
                 let acknowledged = if is_meant { *acknowledged } else { 0 };
                 for ended in worker.ended.iter().filter(|ended| ended.number <= acknowledged) {
-                    match ended.how {
-                        How::Done => drop(self.noted.insert(ended.task)),
-                        How::Failed => *self.failed.entry(ended.task).or_default() += 1,
+                    match ended.outcome {
+                        Outcome::Done => drop(self.noted.insert(ended.task)),
+                        Outcome::Failed => *self.failed.entry(ended.task).or_default() += 1,
                         _ => {}
                     }
                 }
--- a/crates/crosspath_schedule/tests/schedule/world/worker.rs
+++ b/crates/crosspath_schedule/tests/schedule/world/worker.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crosspath_border::worker::{Ended, Entry, Held, How, Running};
+use crosspath_border::worker::{Ended, Entry, Outcome, PollReply, Running};
 use crosspath_job::TaskId;
 
 use super::LONGEST_HOLD;
@@ -54,15 +54,15 @@
         (self.clock_began + ms(deadline_ms)).min(now + LONGEST_HOLD)
     }
 
-    pub(super) fn end(&mut self, task: TaskId, how: How) {
+    pub(super) fn end(&mut self, task: TaskId, how: Outcome) {
         let Some(run) = self.runs.remove(&task) else { return };
         self.void.insert(task, run.number);
         self.ends += 1;
         let number = self.ends;
-        self.ended.push(Ended { number, task, run: run.number, how, checkpoint: None });
+        self.ended.push(Ended { number, task, run: run.number, outcome: how, checkpoint: None });
     }
 
-    pub(super) fn look(&self, now: Duration) -> Held {
+    pub(super) fn look(&self, now: Duration) -> PollReply {
         let running = self.runs.iter().map(|(task, run)| Running {
             task: *task,
             run: run.number,
@@ -70,7 +70,12 @@
             percent: 50,
             gauge: 0,
         });
-        let (clock_ms, born_ms) = (self.clock_ms(now), self.entry.born_ms);
-        Held { clock_ms, born_ms, running: running.collect(), ended: self.ended.clone() }
+        let (clock_ms, born_ms) = (self.clock_ms(now), self.entry.started_ms);
+        PollReply {
+            clock_ms,
+            started_ms: born_ms,
+            running: running.collect(),
+            ended: self.ended.clone(),
+        }
     }
 }
--- a/crates/crosspath_soak/src/audit.rs
+++ b/crates/crosspath_soak/src/audit.rs
@@ -119,7 +119,7 @@
     let steps = job.steps.clone().into_iter().enumerate();
     steps.flat_map(move |(step, count)| {
         let step = u32::try_from(step).unwrap_or(u32::MAX);
-        (0..count).map(move |index| TaskId { job: id, time: 0, step, index })
+        (0..count).map(move |index| TaskId { job: id, occurrence: 0, step, index })
     })
 }
 
