--- a/crates/crosspath_border/src/advice.rs
+++ b/crates/crosspath_border/src/advice.rs
@@ -1,4 +1,4 @@
-//! The service that knows which workers may run a step.
+//! The advice service, which decides which workers may run a step.
 
 use std::sync::Arc;
 
@@ -6,44 +6,44 @@
 use crosspath_job::JobId;
 use snafu::Snafu;
 
-/// A step of one of a job's times.
+/// Identifier of a step in one occurrence of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StepId {
-    /// The job.
+    /// Job that the step belongs to.
     pub job: JobId,
-    /// Which of its times.
+    /// Occurrence of the job, counted from 0.
     pub occurrence: u32,
-    /// Which step.
+    /// Position of the step within the job, counted from 0.
     pub step: u32,
 }
 
-/// Workers that may run a step.
+/// Answer of the advice service.
 #[derive(Debug, Clone, Default)]
 pub struct Answer {
-    /// Worker and the ticket that its starts carry.
+    /// Approved workers, each with the ticket that must accompany starts on it.
     pub approved: Vec<(Arc<str>, Arc<str>)>,
-    /// How long the tickets hold, in ms.
+    /// Validity of the tickets, in ms.
     pub valid_ms: u64,
 }
 
-/// No advice was given.
+/// Reason why the advice service gave no usable answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// Too many calls wait.
-    #[snafu(display("the advice service is busy"))]
+    /// Too many requests are waiting at the service.
+    #[snafu(display("advice service is busy"))]
     Busy,
-    /// No answer that can be used.
-    #[snafu(display("the advice service gives no answer"))]
+    /// No answer came, or it could not be decoded.
+    #[snafu(display("advice service gave no usable answer"))]
     NoAnswer,
 }
 
-/// The advice service.
+/// Client of the advice service.
 #[async_trait]
 pub trait Advisor: Send + Sync + std::fmt::Debug {
     /// Asks which of `workers` (at most 100) may run `step`.
     ///
     /// # Errors
     ///
-    /// [`Error`].
+    /// [`Error`] if the service is busy or gives no usable answer.
     async fn ask(&self, step: StepId, workers: &[Arc<str>]) -> Result<Answer, Error>;
 }
--- a/crates/crosspath_border/src/customer.rs
+++ b/crates/crosspath_border/src/customer.rs
@@ -1,8 +1,8 @@
-//! Customers: who calls, by which key, and how much each may have running.
+//! Customers, their API keys, and how much each may have running.
 //!
-//! Keys in the clear stand only in a request and in the record that operators write. Everywhere else a
-//! key is a keyed hash under a secret that is drawn anew for each [`Keys`]: looking one up compares
-//! hashes, so neither the time that takes nor what a daemon keeps or passes on tells of a key.
+//! Plain-text keys exist only in requests and in the record that operators write. Everywhere else a
+//! key is a keyed hash under a secret that is generated anew for each [`Keys`]. A lookup compares
+//! hashes, so neither its duration nor the data that a daemon stores or passes on reveals a key.
 
 use std::collections::{BTreeSet, HashMap};
 use std::fmt;
@@ -12,49 +12,50 @@
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-/// Length of a hash and of the secret.
+/// Length in bytes of a hash and of the secret.
 const HASH_BYTES: usize = 32;
 
-/// A customer.
+/// Weight and limits of one customer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Customer {
-    /// Its name.
+    /// Unique name of the customer.
     pub name: Arc<str>,
-    /// Jobs a second that it is owed when all is full.
+    /// Rate in jobs per second that the customer is entitled to when capacity is exhausted.
     pub weight: f64,
-    /// What its tasks may use at one time, over all workers; [`Resources::UNLIMITED`] where nothing is said.
+    /// Maximum resources of its running tasks over all workers; [`Resources::UNLIMITED`] if none is
+    /// configured.
     pub maximum: Resources,
 }
 
-/// A customer and its keys as operators write them.
+/// Customer with its plain-text keys, as written by operators.
 #[derive(Clone, PartialEq)]
 pub struct Registration {
-    /// The customer.
+    /// Customer that the keys identify.
     pub customer: Customer,
-    /// Its keys, in the clear.
+    /// Plain-text keys of the customer.
     pub keys: Vec<String>,
 }
 
-/// Customers that contradict each other. Names no key.
+/// Inconsistent customer registrations. The messages contain no key.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// A customer stands there twice.
-    #[snafu(display("customer {name} stands there twice; give each a name of its own"))]
+    /// The same customer is registered twice.
+    #[snafu(display("customer {name} is registered twice; names must be unique"))]
     Duplicate {
-        /// Its name.
+        /// Name of the customer.
         name: Arc<str>,
     },
-    /// Two customers have one key.
-    #[snafu(display("customers {one} and {other} have the same key; take it from one of them"))]
+    /// Two customers share a key.
+    #[snafu(display("customers {one} and {other} share a key; remove it from one of them"))]
     SharedKey {
-        /// One of them.
+        /// Customer that was registered first.
         one: Arc<str>,
-        /// The other.
+        /// Customer that was registered later.
         other: Arc<str>,
     },
 }
 
-/// Which customer a key belongs to.
+/// Index from key hashes to customer names.
 #[derive(Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Keys {
     secret: [u8; HASH_BYTES],
@@ -63,11 +64,11 @@
 }
 
 impl Keys {
-    /// Hashes the keys of all customers under a new secret.
+    /// Hashes the keys of all customers under a new random secret.
     ///
     /// # Errors
     ///
-    /// [`Error`] when a customer stands there twice, or a key at two customers.
+    /// [`Error`] if a customer is registered twice or two customers share a key.
     pub fn new(registrations: &[Registration]) -> Result<Self, Error> {
         let mut keys = Self { secret: rand::random(), owners: HashMap::new() };
         let mut names = BTreeSet::new();
@@ -86,7 +87,7 @@
         Ok(keys)
     }
 
-    /// Name of the customer with a key.
+    /// Name of the customer that `key` identifies; `None` if the key is unknown.
     #[must_use]
     pub fn owner(&self, key: &str) -> Option<&Arc<str>> {
         self.owners.get(&self.hash(key))
@@ -109,7 +110,7 @@
     }
 }
 
-/// Hashes and customers as rows, for texts between daemons.
+/// Serialises the index as rows of hash and customer name, for messages between daemons.
 mod rows {
     use std::collections::HashMap;
     use std::sync::Arc;
--- a/crates/crosspath_border/src/ingress.rs
+++ b/crates/crosspath_border/src/ingress.rs
@@ -1,4 +1,4 @@
-//! What callers ask of a daemon.
+//! Requests of callers to a daemon, and its answers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,101 +9,101 @@
 
 use crate::operator::Queue;
 
-/// What a request may use.
+/// Queue and customer that a request is authorised for.
 #[derive(Debug, Clone)]
 pub struct Access {
-    /// The queue that it names.
+    /// Queue that the host and path of the request select.
     pub queue: Arc<Queue>,
-    /// The customer whose key it carries; none where the queue needs none.
+    /// Customer whose key the request carries; `None` if the queue requires no key.
     pub customer: Option<Arc<str>>,
-    /// What follows the queue's path.
+    /// Part of the path after the queue's prefix.
     pub subpath: String,
 }
 
-/// Where a request leads.
+/// Result of routing and authorising a request.
 #[derive(Debug, Clone)]
 pub enum Resolved {
-    /// There is no configuration yet.
+    /// No configuration has been received yet.
     NotReady,
-    /// By the newest configuration that is known there is no such queue or key, but a newer one may have
-    /// come: come back after so many seconds.
+    /// The newest known configuration has no such queue or key, but a newer one may exist.
     MaybeStale {
-        /// Seconds.
+        /// Delay in seconds after which the caller should retry.
         retry_after_s: u32,
     },
     /// No queue has this host and path.
     Unknown,
-    /// The queue needs a key, and the request has none that is known.
+    /// The queue requires a key, and the request carries none or an unknown one.
     Unauthorized,
-    /// A queue.
+    /// The request is authorised.
     Access(Access),
 }
 
-/// Answer to a submitted job.
+/// Answer to the submission of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Submitted {
-    /// It is kept.
+    /// The job is stored durably.
     Accepted,
-    /// Another customer's job has the identifier; nothing was taken.
+    /// The identifier is used by a job of another customer. Nothing was stored.
     Taken,
-    /// It was not taken and never runs; come back after so many seconds.
+    /// The job was not stored and will never run. The caller may retry.
     NotTaken {
-        /// Seconds.
+        /// Delay in seconds after which the caller should retry.
         retry_after_s: u32,
     },
-    /// Whether it was taken is not known.
+    /// Whether the job was stored is unknown.
     Unknown,
 }
 
-/// Answer to a question for a job's state.
+/// Answer to a query of a job's state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Lookup {
-    /// Its state.
+    /// Current state of the job.
     State(State),
-    /// There is no such job.
+    /// The job does not exist.
     None,
-    /// It cannot be told now; come back after so many seconds.
+    /// The state cannot be determined at the moment.
     Unavailable {
-        /// Seconds.
+        /// Delay in seconds after which the caller should retry.
         retry_after_s: u32,
     },
 }
 
-/// Answer to a cancel.
+/// Answer to the cancellation of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Cancelled {
-    /// It is kept that the job is cancelled.
+    /// The cancellation is stored durably.
     Done,
-    /// Nothing was done; come back after so many seconds.
+    /// The cancellation was not stored. The caller may retry.
     Unavailable {
-        /// Seconds.
+        /// Delay in seconds after which the caller should retry.
         retry_after_s: u32,
     },
-    /// Whether it was done is not known.
+    /// Whether the cancellation was stored is unknown.
     Unknown,
 }
 
-/// What the daemon answers.
+/// Handles the callers' requests.
 #[async_trait]
 pub trait Handler: Send + Sync + 'static {
-    /// Finds the queue of a request, and the customer whose `key` it carries.
+    /// Selects the queue for `host` and `path`, and the customer that `key` identifies.
     fn resolve(&self, host: &str, path: &str, key: Option<&str>) -> Resolved;
 
-    /// Bytes of a body that are taken.
+    /// Maximum size of a request body in bytes.
     fn body_limit(&self) -> u64;
 
-    /// Whether the balancer should send connections here.
+    /// Whether the load balancer should send connections to this daemon.
     fn is_ready(&self) -> bool;
 
-    /// Takes a job; the caller waits for `within`.
+    /// Submits a job. The caller waits for at most `within`.
     async fn submit(&self, access: &Access, job: JobId, spec: Spec, within: Duration) -> Submitted;
 
-    /// Tells a job's state; the caller waits for `within`.
+    /// Returns the state of a job. The caller waits for at most `within`.
     async fn state(&self, access: &Access, job: JobId, within: Duration) -> Lookup;
 
-    /// Cancels a job; the caller waits for `within`.
+    /// Cancels a job. The caller waits for at most `within`.
     async fn cancel(&self, access: &Access, job: JobId, within: Duration) -> Cancelled;
 
-    /// Number of the queue's jobs of which no task has begun; none when it cannot be told now.
+    /// Number of jobs in the queue of which no task has started; `None` if it cannot be determined
+    /// at the moment.
     async fn queued_jobs(&self, queue: &Queue) -> Option<u64>;
 }
--- a/crates/crosspath_border/src/lib.rs
+++ b/crates/crosspath_border/src/lib.rs
@@ -1,7 +1,7 @@
-//! The daemon's borders towards the platform, as traits and the types that cross them.
+//! Interfaces between the daemon and the platform: traits, and the types that they exchange.
 //!
-//! What speaks the platform's protocols implements these traits; nothing here knows the platform's
-//! names.
+//! Adapters for the platform's protocols implement these traits. Nothing in this crate depends on
+//! the platform's own names.
 
 pub mod advice;
 pub mod customer;
--- a/crates/crosspath_border/src/operator.rs
+++ b/crates/crosspath_border/src/operator.rs
@@ -1,4 +1,4 @@
-//! What operators write: the configuration and waves of upkeep.
+//! Records that operators write: the configuration, maintenance waves and evacuations.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -8,95 +8,94 @@
 
 use crate::customer::{Customer, Keys};
 
-/// Bytes of a request body that are taken where no configuration says otherwise; as deployments
-/// have it.
+/// Default for the maximum size of a request body in bytes, as deployments configure it.
 pub const DEFAULT_BODY_BYTES: u64 = 262_144;
 
-/// A queue of jobs, found by host and path.
+/// Job queue, selected by host and path.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Queue {
-    /// Its name.
+    /// Unique name of the queue.
     pub name: Arc<str>,
-    /// Host that callers name.
+    /// Host name by which callers address the queue.
     pub host: Arc<str>,
-    /// Path before the job's identifier.
+    /// Path prefix, up to the job identifier.
     pub prefix: Arc<str>,
-    /// The pool that runs its tasks.
+    /// Name of the pool that runs the queue's tasks.
     pub pool: Arc<str>,
-    /// What it demands.
+    /// Scheduling policy of the queue's jobs.
     pub policy: Policy,
-    /// Whether workers must be asked for.
+    /// Present if the advice service must approve workers before a step is placed.
     pub advice: Option<Advice>,
-    /// Whether callers need no key; its jobs belong to no customer.
+    /// Whether callers need no key. Jobs of an open queue belong to no customer.
     pub open: bool,
 }
 
-/// A pool of VMs.
+/// Pool of VMs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pool {
-    /// Its name.
+    /// Unique name of the pool.
     pub name: Arc<str>,
-    /// Whether its VMs are off and cost nothing.
+    /// Whether the pool's VMs are switched off and incur no cost.
     pub spare: bool,
 }
 
-/// A configuration, whole.
+/// Complete configuration.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Config {
-    /// Rises with each change.
+    /// Version of the configuration; increases with each change.
     pub version: u64,
-    /// Queues.
+    /// All queues.
     pub queues: Vec<Queue>,
-    /// Pools.
+    /// All pools.
     pub pools: Vec<Pool>,
-    /// Customers; where there are none, nobody needs a key.
+    /// All customers. If there are none, no caller needs a key.
     pub customers: Vec<Customer>,
-    /// Their keys.
+    /// Hashed keys of the customers.
     pub keys: Keys,
-    /// Bytes of a request body that are taken.
+    /// Maximum size of a request body in bytes.
     pub body_bytes: u64,
 }
 
-/// VMs that are to have their upkeep.
+/// Maintenance wave: a set of VMs to be serviced.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Wave {
-    /// Its number.
+    /// Number that identifies the wave.
     pub number: u64,
-    /// The VMs.
+    /// Names of the VMs to be serviced.
     pub vms: BTreeSet<Arc<str>>,
-    /// Time that it may take, in ms from when it was written.
+    /// Time that the wave may take, in ms from when it was written.
     pub deadline_ms: u64,
-    /// VMs in upkeep at one time.
+    /// Maximum number of VMs in maintenance at the same time.
     pub max_concurrent: u32,
 }
 
-/// How far a wave is.
+/// State of a wave.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WaveState {
-    /// Some VM has not had its upkeep.
+    /// At least one VM has not been serviced yet.
     Running,
-    /// All have.
+    /// All VMs have been serviced.
     Completed,
 }
 
-/// Word on a data centre: it is to get no new work, or may get some again.
+/// Request to stop placing work in a data centre, or its withdrawal.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Evacuation {
-    /// The data centre.
+    /// Name of the data centre.
     pub data_centre: Arc<str>,
-    /// Whether it is to get none; else what was asked for is taken back.
+    /// `true` requests the evacuation, `false` withdraws it.
     pub requested: bool,
 }
 
-/// One record of the operators.
+/// Decoded record of an operator.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Change {
-    /// A configuration.
+    /// The configuration was replaced.
     Config(Config),
-    /// A wave.
+    /// A maintenance wave was declared.
     Wave(Wave),
-    /// Word on a data centre.
+    /// The evacuation of a data centre was requested or withdrawn.
     Evacuation(Evacuation),
-    /// A kind of record that this daemon does not know.
+    /// Kind of record that this version of the daemon does not know.
     Other,
 }
--- a/crates/crosspath_border/src/store.rs
+++ b/crates/crosspath_border/src/store.rs
@@ -1,4 +1,5 @@
-//! The platform's log: topics of partitions, group membership, and what others keep there.
+//! The platform's log store: partitioned topics, group membership, and the records that other
+//! components write there.
 
 use std::fmt;
 use std::sync::Arc;
@@ -11,27 +12,28 @@
 use crate::operator::{Change, WaveState};
 use crate::worker;
 
-/// A topic that the daemon reads or writes. In each, the newest record of every key is kept.
+/// Topic that the daemon reads or writes. Topics are compacted: the newest record of each key is
+/// retained.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Topic {
-    /// Jobs, a partition for each shard.
+    /// Records of jobs; one partition per shard.
     Shards,
-    /// Which pool has which shard.
+    /// Assignment of shards to pools.
     ShardMap,
-    /// What operators write.
+    /// Records written by operators.
     Operators,
-    /// What workers tell of themselves.
+    /// Registrations written by workers.
     Workers,
-    /// What operators read of waves.
+    /// Wave states that operators read.
     WaveStatus,
 }
 
-/// One partition.
+/// Partition of a topic.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Partition {
-    /// Its topic.
+    /// Topic that the partition belongs to.
     pub topic: Topic,
-    /// Its number.
+    /// Number of the partition within the topic.
     pub number: u32,
 }
 
@@ -41,166 +43,168 @@
     }
 }
 
-/// A record to append; an empty value drops the key.
+/// Record to append. An empty value deletes the key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NewRecord {
-    /// Its key, at most 255 bytes.
+    /// Key of at most 255 bytes.
     pub key: String,
-    /// Its value.
+    /// Value to store; empty deletes the key.
     pub value: Bytes,
 }
 
-/// A record that was read.
+/// Record read from a partition.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Stored {
-    /// Its offset in the partition.
+    /// Offset of the record in its partition.
     pub offset: u64,
-    /// Its key.
+    /// Key of the record.
     pub key: String,
-    /// Its value; empty when the key was dropped.
+    /// Value of the record; empty if the key was deleted.
     pub value: Bytes,
 }
 
-/// Condition of an append.
+/// Precondition of an append.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Precondition {
-    /// None.
+    /// The append always takes place.
     Unconditional,
-    /// The partition ends at this offset.
+    /// The partition must end at this offset.
     EndOffset(u64),
-    /// No owner with a higher epoch has appended.
+    /// No owner with a higher epoch may have appended.
     Owner {
-        /// Epoch of the owner.
+        /// Epoch of the appending owner.
         epoch: u64,
-        /// Number of the append in this epoch; the same number again gets the first answer again.
+        /// Sequence number of the append within the epoch. A repeated number returns the result of
+        /// the first append.
         sequence: u64,
     },
 }
 
-/// Where records were appended.
+/// Position of appended records.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Appended {
-    /// Offset of the first.
+    /// Offset of the first record.
     pub offset: u64,
-    /// Offset after the last.
+    /// Offset after the last record.
     pub end: u64,
 }
 
-/// A call of the store that did not do what was asked.
+/// Failed call to the store.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// Nothing was done: the store refuses for now.
-    #[snafu(display("the store refuses for now ({status})"))]
+    /// The store rejected the call for the moment; it had no effect.
+    #[snafu(display("store rejected the call with status {status}"))]
     Refused {
-        /// The status.
+        /// HTTP status of the answer.
         status: u16,
     },
-    /// Nothing was done: it was not reached.
-    #[snafu(display("the store was not reached"))]
+    /// The store could not be reached; the call had no effect.
+    #[snafu(display("store could not be reached"))]
     NotReached,
-    /// No answer came; the call may have been done, or may yet be.
-    #[snafu(display("the store gives no answer"))]
+    /// No answer came. The call may have taken effect or may still do so.
+    #[snafu(display("store did not answer"))]
     NoAnswer,
-    /// The answer has another form, or a status that the call does not have.
-    #[snafu(display("the store's answer cannot be used: {detail}"))]
+    /// The answer cannot be decoded, or has a status that is not defined for the call.
+    #[snafu(display("store gave an invalid answer: {detail}"))]
     Malformed {
-        /// What is wrong.
+        /// What is wrong with the answer.
         detail: String,
     },
     /// An owner with a higher epoch has appended.
-    #[snafu(display("an owner with epoch {epoch} has appended"))]
+    #[snafu(display("fenced off by an owner with epoch {epoch}"))]
     Fenced {
-        /// The highest epoch.
+        /// Highest epoch that has appended.
         epoch: u64,
     },
-    /// The append's number is not the next one.
-    #[snafu(display("append number is not the next one, {expected}"))]
+    /// The sequence number of the append is not the next one.
+    #[snafu(display("append sequence number out of order; expected {expected}"))]
     Sequence {
-        /// The next one.
+        /// Next sequence number.
         expected: u64,
     },
-    /// The partition does not end where the append wanted it.
-    #[snafu(display("the partition ends at {end}"))]
+    /// The partition does not end at the offset that the append required.
+    #[snafu(display("append precondition failed: partition ends at offset {end}"))]
     EndMismatch {
-        /// Where it ends.
+        /// Offset at which the partition ends.
         end: u64,
     },
-    /// Records that were asked for are gone.
-    #[snafu(display("records before {first} are gone"))]
+    /// The requested records are no longer retained.
+    #[snafu(display("records before offset {first} are no longer retained"))]
     Truncated {
-        /// The first that is kept.
+        /// Offset of the first record that is retained.
         first: u64,
     },
     /// The group does not know the member in this generation.
-    #[snafu(display("the group does not know this member any more"))]
+    #[snafu(display("no longer a member of the group in this generation"))]
     NotMember,
 }
 
 impl Error {
-    /// Whether the call surely had no effect and never will.
+    /// Whether the call certainly had no effect and will have none later.
     #[must_use]
     pub fn had_no_effect(&self) -> bool {
         !matches!(self, Self::NoAnswer | Self::Malformed { .. })
     }
 }
 
-/// Records from one read.
+/// Result of a read.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Page {
-    /// The records, in order.
+    /// Records in order of their offsets.
     pub records: Vec<Stored>,
-    /// Offset after the last of the partition.
+    /// Offset after the last record of the partition.
     pub end: u64,
 }
 
-/// Newest records by key, in order of keys.
+/// Newest record of each key, in order of the keys.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct NewestPage {
-    /// The records.
+    /// Records in order of their keys.
     pub records: Vec<Stored>,
-    /// Whether more follow after the last key.
+    /// Whether there are further records after the last key of this page.
     pub more: bool,
-    /// Where the partition ended.
+    /// Offset at which the partition ended when the page was read.
     pub end: u64,
 }
 
-/// What a daemon tells of itself when it joins.
+/// Request to join the group, or to remain in it.
 #[derive(Debug, Clone)]
 pub struct Join {
-    /// Text that names the daemon, unique to its life.
+    /// Name of the member; unique to the daemon's current incarnation.
     pub member: Arc<str>,
-    /// Silence after which the group forgets it.
+    /// Time without a request after which the group removes the member.
     pub ttl: Duration,
-    /// The generation last heard; 0 at first.
+    /// Generation last received; 0 at first.
     pub generation: u64,
 }
 
-/// Membership as the group sees it.
+/// Group membership as seen by one member.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Membership {
-    /// Rises with each change.
+    /// Generation of the group; increases with each change.
     pub generation: u64,
-    /// Shards dealt to this member.
+    /// Shards assigned to this member.
     pub shards: Vec<u32>,
 }
 
-/// Who holds a shard.
+/// Assignment of a shard to a member.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Holder {
-    /// The shard.
+    /// Number of the shard.
     pub shard: u32,
-    /// Its member.
+    /// Name of the member.
     pub member: Arc<str>,
 }
 
-/// The platform's log.
+/// Client of the platform's log store.
 #[async_trait]
 pub trait Store: Send + Sync + fmt::Debug {
-    /// Appends records, all or none.
+    /// Appends all records atomically.
     ///
     /// # Errors
     ///
-    /// [`Error`]; [`Error::had_no_effect`] tells whether the append may still take place.
+    /// [`Error`] if the append failed or its result is unknown; [`Error::had_no_effect`] tells
+    /// whether it may still take place.
     async fn append(
         &self,
         partition: Partition,
@@ -208,74 +212,75 @@
         precondition: Precondition,
     ) -> Result<Appended, Error>;
 
-    /// Reads records from an offset on, waiting for the first at most `wait`.
+    /// Reads records starting at offset `from`; waits at most `wait` for the first one.
     ///
     /// # Errors
     ///
-    /// [`Error`].
+    /// [`Error`] if the store gives no usable answer, or the records are no longer retained.
     async fn read(&self, partition: Partition, from: u64, wait: Duration) -> Result<Page, Error>;
 
-    /// Reads the newest record of each key after `after`; a page is not a snapshot.
+    /// Reads the newest record of each key after `after`. Successive pages are not a consistent
+    /// snapshot.
     ///
     /// # Errors
     ///
-    /// [`Error`].
+    /// [`Error`] if the store gives no usable answer.
     async fn newest(&self, partition: Partition, after: Option<&str>) -> Result<NewestPage, Error>;
 
-    /// Joins the group of owners, or stays in it.
+    /// Joins the group of shard owners, or renews the membership.
     ///
     /// # Errors
     ///
-    /// [`Error`].
+    /// [`Error`] if the store gives no usable answer, or no longer knows the member.
     async fn join(&self, join: &Join) -> Result<Membership, Error>;
 
-    /// Leaves the group, or has a dead member leave it.
+    /// Removes a member from the group: this daemon, or one that has died.
     ///
     /// # Errors
     ///
-    /// [`Error`].
+    /// [`Error`] if the store gives no usable answer.
     async fn leave(&self, member: &str) -> Result<(), Error>;
 
-    /// Who holds which shard.
+    /// Lists the assignment of shards to members.
     ///
     /// # Errors
     ///
-    /// [`Error`].
+    /// [`Error`] if the store gives no usable answer.
     async fn holders(&self) -> Result<Vec<Holder>, Error>;
 
-    /// Reads a record of [`Topic::Operators`].
+    /// Decodes a record of [`Topic::Operators`].
     ///
     /// # Errors
     ///
-    /// [`DecodeError`].
+    /// [`DecodeError`] if the record is of a known kind and its key or value is invalid.
     fn decode_change(&self, record: &Stored) -> Result<Change, DecodeError>;
 
-    /// Reads a record of [`Topic::Workers`].
+    /// Decodes a record of [`Topic::Workers`].
     ///
     /// # Errors
     ///
-    /// [`DecodeError`].
+    /// [`DecodeError`] if the value is invalid.
     fn decode_worker(&self, record: &Stored) -> Result<worker::Entry, DecodeError>;
 
-    /// The record of [`Topic::WaveStatus`] that tells how far a wave is.
+    /// Encodes the state of a wave as a record of [`Topic::WaveStatus`].
     fn encode_wave_status(&self, wave: u64, state: WaveState) -> NewRecord;
 
-    /// Reads a record of [`Topic::WaveStatus`].
+    /// Decodes a record of [`Topic::WaveStatus`].
     ///
     /// # Errors
     ///
-    /// [`DecodeError`].
+    /// [`DecodeError`] if the key or the value is invalid.
     fn decode_wave_status(&self, record: &Stored) -> Result<(u64, WaveState), DecodeError>;
 }
 
-/// A record of others that cannot be read.
+/// Record of another component that cannot be decoded.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
-#[snafu(display("record {key} at {offset} cannot be decoded: {detail}"))]
+#[snafu(display("record {key} at offset {offset} cannot be decoded: {detail}"))]
 pub struct DecodeError {
-    /// Its key.
+    /// Key of the record.
     pub key: String,
-    /// Its offset.
+    /// Offset of the record in its partition.
     pub offset: u64,
-    /// What is wrong.
+    /// What is wrong with the record.
     pub detail: String,
 }
--- a/crates/crosspath_border/src/vm.rs
+++ b/crates/crosspath_border/src/vm.rs
@@ -1,4 +1,4 @@
-//! The list of VMs, and the orders that move and service them.
+//! The platform's list of VMs, and the orders to move and service them.
 
 use std::sync::Arc;
 
@@ -6,102 +6,104 @@
 use crosspath_job::spec::Resources;
 use snafu::Snafu;
 
-/// What a VM is doing.
+/// Lifecycle state of a VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
-    /// It serves its pool.
+    /// The VM serves its pool.
     Up,
-    /// It is on its way to another pool.
+    /// The VM is being moved to another pool.
     Moving,
-    /// It has its upkeep.
+    /// The VM is being serviced.
     Maintenance,
-    /// It is down.
+    /// The VM is down.
     Down,
 }
 
-/// One VM.
+/// Virtual machine, as listed by the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Vm {
-    /// Its name.
+    /// Unique name of the VM.
     pub name: Arc<str>,
-    /// Its pool.
+    /// Pool that the VM belongs to.
     pub pool: Arc<str>,
-    /// Its data centre.
+    /// Data centre in which the VM runs.
     pub data_centre: Arc<str>,
-    /// What it is doing.
+    /// Current lifecycle state.
     pub state: State,
-    /// Kind, rack, and others.
+    /// Labels of the VM, such as its kind and rack.
     pub labels: Vec<Arc<str>>,
-    /// What it has.
+    /// Total resources of the VM.
     pub capacity: Resources,
-    /// The worker on it; none when it runs none.
+    /// Identifier of the worker on the VM; `None` if none runs there.
     pub worker: Option<Arc<str>>,
 }
 
-/// An order to the platform.
+/// Order to the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Order {
-    /// Bring the VM into a pool.
+    /// Move the VM to a pool.
     Move {
-        /// The pool.
+        /// Name of the destination pool.
         pool: Arc<str>,
     },
-    /// Give the VM its upkeep.
+    /// Service the VM.
     Maintain {
-        /// The wave that asks for it.
+        /// Number of the maintenance wave that names the VM.
         wave: u64,
     },
 }
 
-/// How an order was answered.
+/// Answer to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// Done, or already done.
+    /// The order was carried out, now or earlier.
     Done,
-    /// A holder with a higher token gave orders before.
+    /// A holder with a higher fencing token has already issued orders.
     Fenced,
-    /// The VM is not up, or is leaving.
+    /// The VM is not up, or is about to leave its pool.
     Busy,
     /// The wave does not name the VM.
     OtherWave,
-    /// There is no such VM, or the pool takes no such VMs.
+    /// The VM does not exist, or the pool does not accept this kind of VM.
     Impossible,
 }
 
-/// A call without a usable answer.
+/// Failed call to the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// Nothing was done: refused for now, or not reached.
-    #[snafu(display("the platform refuses VM orders for now"))]
+    /// The platform rejected the call for the moment or could not be reached; the call had no
+    /// effect.
+    #[snafu(display("platform rejected the VM call or could not be reached"))]
     Refused,
-    /// No answer came; the order may have been done, or may yet be.
-    #[snafu(display("the platform gives no answer to a VM order"))]
+    /// No answer came. The order may have been carried out or may still be.
+    #[snafu(display("platform did not answer the VM call"))]
     NoAnswer,
 }
 
-/// Who gives an order.
+/// Identity under which orders are issued.
 #[derive(Debug, Clone)]
 pub struct Authority {
-    /// The daemon.
+    /// Name of the daemon that issues the order.
     pub holder: Arc<str>,
-    /// Its fencing token.
+    /// Fencing token of the daemon.
     pub token: u64,
 }
 
-/// Moves and services VMs.
+/// Client of the platform's VM management.
 #[async_trait]
 pub trait Fleet: Send + Sync + std::fmt::Debug {
-    /// All VMs.
+    /// Lists all VMs.
     ///
     /// # Errors
     ///
-    /// [`Error`].
+    /// [`Error`] if the platform gives no usable answer.
     async fn list(&self) -> Result<Vec<Vm>, Error>;
 
-    /// Gives an order. When it is done, everything on the VM dies at once.
+    /// Issues an order for a VM. Everything that runs on the VM is killed when the order is carried
+    /// out.
     ///
     /// # Errors
     ///
-    /// [`Error`].
+    /// [`Error`] if the platform rejects the order for the moment or gives no answer.
     async fn order(&self, vm: &str, order: &Order, by: &Authority) -> Result<Verdict, Error>;
 }
--- a/crates/crosspath_border/src/worker.rs
+++ b/crates/crosspath_border/src/worker.rs
@@ -1,4 +1,4 @@
-//! Workers: where they are, and how tasks run on them.
+//! Workers: their registrations, and the protocol by which tasks run on them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,215 +10,218 @@
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-/// What a worker tells of itself.
+/// Registration that a worker publishes about itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Identifier of this life of its VM.
+    /// Identifier of the worker, issued for the current incarnation of its VM.
     pub id: Arc<str>,
-    /// Its pool.
+    /// Pool that the worker serves.
     pub pool: Arc<str>,
-    /// The VM.
+    /// Name of the VM on which the worker runs.
     pub vm: Arc<str>,
     /// Data centre of the VM.
     pub data_centre: Arc<str>,
-    /// Where it is called.
+    /// Address at which the worker accepts requests.
     pub address: SocketAddr,
-    /// Whether it will end soon and takes no further work.
+    /// Whether the worker will shut down soon and accepts no further tasks.
     pub draining: bool,
-    /// Least time left while draining, in ms.
+    /// Minimum time until shutdown while draining, in ms.
     pub remaining_ms: u64,
-    /// What it has.
+    /// Total resources of the worker.
     pub capacity: Resources,
-    /// Kind, rack, and others.
+    /// Labels of the worker, such as its kind and rack.
     pub labels: Vec<Arc<str>>,
-    /// Its own clock, in ms.
+    /// The worker's clock when the registration was written, in ms.
     pub clock_ms: u64,
-    /// When this life of it began, in ms since 1970; a later life may have the same identifier. 0 where that is
-    /// not told.
+    /// Start of the worker's incarnation in ms since 1970; 0 if it is not reported. A later
+    /// incarnation may have the same identifier.
     #[serde(rename = "born_ms")]
     pub started_ms: u64,
 }
 
 impl Entry {
-    /// Whether it tells the same as `other`, but for when it was written.
+    /// Whether both registrations are equal apart from the time at which they were written.
     #[must_use]
     pub fn eq_ignoring_clock(&self, other: &Self) -> bool {
         Self { clock_ms: other.clock_ms, ..self.clone() } == *other
     }
 }
 
-/// A worker to call: address and the life that is meant.
+/// Address and incarnation of the worker that a request is meant for.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Target {
-    /// Where.
+    /// Address of the worker.
     pub address: SocketAddr,
-    /// Its identifier.
+    /// Identifier of the worker.
     pub id: Arc<str>,
-    /// Which life, as [`Entry::started_ms`].
+    /// Start of the incarnation, as [`Entry::started_ms`].
     pub started_ms: u64,
 }
 
-/// An order to start a task.
+/// Request to start a run of a task.
 #[derive(Debug, Clone)]
 pub struct Start {
-    /// The task.
+    /// Task to be run.
     pub task: TaskId,
-    /// Number of the run.
+    /// Number of the run; later runs of a task have higher numbers.
     pub run: u64,
-    /// The job's text.
+    /// Text of the job, passed to the task unchanged.
     pub text: Arc<str>,
-    /// Until when on the worker's clock everything there may run, in ms.
+    /// Lease deadline on the worker's clock in ms, until which everything on the worker may run.
     pub deadline_ms: u64,
-    /// Fencing token of the shard's owner.
+    /// Fencing token of the shard owner.
     pub token: u64,
-    /// Where to go on from.
+    /// Checkpoint to resume from; `None` starts from the beginning.
     pub checkpoint: Option<Arc<str>>,
-    /// Ticket of the advice service.
+    /// Ticket of the advice service; `None` if the queue requires none.
     pub ticket: Option<Arc<str>>,
 }
 
-/// How a start was answered.
+/// Answer to a start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Started {
-    /// It runs.
+    /// The run was started.
     Yes,
-    /// An owner with a higher token gave orders before.
+    /// A shard owner with a higher fencing token has already sent requests.
     Fenced,
-    /// The run, or a later one, was stopped or ended there.
+    /// This run or a later one has already been stopped or has ended on the worker.
     Old,
     /// The deadline has passed.
     Late,
-    /// It does not fit.
+    /// The worker lacks the resources.
     NoRoom,
-    /// The ticket does not hold.
+    /// The ticket is not valid.
     Ticket,
-    /// The worker is unhealthy and has done nothing.
+    /// The worker is unhealthy; the start had no effect.
     Unhealthy,
-    /// The order is malformed to the worker.
+    /// The worker could not interpret the request.
     Malformed,
 }
 
-/// One running task as the worker lists it.
+/// Run that is in progress, as reported by its worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Running {
-    /// The task.
+    /// Task that is being run.
     pub task: TaskId,
     /// Number of the run.
     pub run: u64,
-    /// Newest checkpoint.
+    /// Newest checkpoint of the run; `None` if it has saved none.
     pub checkpoint: Option<Arc<str>>,
-    /// Percent of the work done; of lasting tasks 100 is at work.
+    /// Progress in percent. For a long-running task, 100 means that it is ready to serve.
     pub percent: u32,
-    /// Over the last half second: of tasks with a tail target their tail in ms, of others the
-    /// thousandths of a core in use.
+    /// Measured over the last half second: tail latency in ms for tasks with a tail latency target,
+    /// and processor use in thousandths of a core for all others.
     pub gauge: u64,
 }
 
-/// How a run ended.
+/// Outcome of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// Successfully.
+    /// The run ended successfully.
     Done,
-    /// It failed.
+    /// The run failed.
     Failed,
-    /// It was stopped.
+    /// The run was stopped on request.
     Stopped,
-    /// Its lease ran out.
+    /// The lease of the run expired.
     Lapsed,
-    /// Another member of its gang ended.
+    /// Another member of the gang ended.
     Broken,
-    /// It waited in vain for its gang.
+    /// The other members of the gang did not arrive in time.
     Alone,
 }
 
-/// One end as the worker lists it.
+/// Run that has ended, as reported by its worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Ended {
-    /// Number of the end in this life of the worker, from 1.
+    /// Sequence number of this report within the worker's incarnation, counted from 1.
     pub number: u64,
-    /// The task.
+    /// Task that was run.
     pub task: TaskId,
     /// Number of the run.
     pub run: u64,
-    /// How.
+    /// How the run ended.
     pub outcome: Outcome,
-    /// Newest checkpoint.
+    /// Newest checkpoint of the run; `None` if it saved none.
     pub checkpoint: Option<Arc<str>>,
 }
 
-/// An order to look, and to extend leases.
+/// Request for a worker's runs, which can also extend their leases.
 #[derive(Debug, Clone, Copy)]
 pub struct Poll {
-    /// Fencing token of the shard's owner.
+    /// Fencing token of the shard owner.
     pub token: u64,
-    /// Ends up to this number of the life that is meant are kept and may be forgotten. No other life is told so.
+    /// Ended runs up to this sequence number are stored durably, and the worker may forget them.
+    /// Applies to the targeted incarnation only; no other incarnation is sent it.
     pub acknowledged: u64,
-    /// Until when on the worker's clock everything there may run; none only looks.
+    /// New lease deadline on the worker's clock in ms, until which everything on the worker may
+    /// run; `None` leaves the leases unchanged.
     pub deadline_ms: Option<u64>,
-    /// How long the worker waits for an end before it answers.
+    /// How long the worker waits for a run to end before it answers.
     pub wait: Duration,
 }
 
-/// A worker's answer to [`Poll`].
+/// Answer to a [`Poll`].
 #[derive(Debug, Clone, Default)]
 pub struct PollReply {
     /// The worker's clock, in ms.
     pub clock_ms: u64,
-    /// When the life that answers began, as [`Entry::started_ms`].
+    /// Start of the incarnation that answers, as [`Entry::started_ms`].
     pub started_ms: u64,
-    /// What runs.
+    /// Runs in progress.
     pub running: Vec<Running>,
-    /// Ends that are not acknowledged.
+    /// Ended runs that are not acknowledged yet.
     pub ended: Vec<Ended>,
 }
 
-/// An answer and the worker's clock when it was given.
+/// Answer together with the worker's clock.
 #[derive(Debug, Clone, Copy)]
 pub struct Timestamped<T> {
-    /// The answer.
+    /// Content of the answer.
     pub value: T,
-    /// The worker's clock, in ms; none when the answer has none.
+    /// The worker's clock when it answered, in ms; `None` if the answer does not include it.
     pub clock_ms: Option<u64>,
 }
 
-/// A call to a worker that did not do what was asked.
+/// Failed request to a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// It was not reached; nothing was done.
-    #[snafu(display("worker was not reached"))]
+    /// The worker could not be reached; the request had no effect.
+    #[snafu(display("worker could not be reached"))]
     NotReached,
-    /// No answer came; the order may be carried out, even later.
-    #[snafu(display("worker gives no answer"))]
+    /// No answer came. The request may have taken effect or may still do so.
+    #[snafu(display("worker did not answer"))]
     NoAnswer,
-    /// Another life is at the address.
-    #[snafu(display("another worker is at the address"))]
+    /// Another incarnation answers at the address.
+    #[snafu(display("another worker incarnation answers at the address"))]
     OtherLife,
-    /// An owner with a higher token gave orders before.
-    #[snafu(display("an owner with a higher token gave orders before"))]
+    /// A shard owner with a higher fencing token has already sent requests.
+    #[snafu(display("fenced off by a shard owner with a higher token"))]
     Fenced,
-    /// An unhealthy worker has done nothing.
-    #[snafu(display("worker refuses for now ({status})"))]
+    /// The worker rejected the request for the moment, for instance because it is unhealthy; it had
+    /// no effect.
+    #[snafu(display("worker rejected the request with status {status}"))]
     Refused {
-        /// The status.
+        /// HTTP status of the answer.
         status: u16,
     },
 }
 
-/// Runs tasks on workers.
+/// Client of the workers.
 #[async_trait]
 pub trait Runner: Send + Sync + std::fmt::Debug {
-    /// Starts a task.
+    /// Starts a run of a task.
     ///
     /// # Errors
     ///
-    /// [`Error`].
+    /// [`Error`] if the worker gives no usable answer.
     async fn start(&self, target: &Target, start: &Start) -> Result<Timestamped<Started>, Error>;
 
-    /// Stops a run; a run that is not there yet never will be.
+    /// Stops a run. A run that has not reached the worker yet is never started there.
     ///
     /// # Errors
     ///
-    /// [`Error`].
+    /// [`Error`] if the worker gives no usable answer or rejects the request.
     async fn stop(
         &self,
         target: &Target,
@@ -227,18 +230,18 @@
         token: u64,
     ) -> Result<Timestamped<()>, Error>;
 
-    /// Looks at what runs and has ended, and extends leases.
+    /// Retrieves the running and ended tasks, and extends the leases if the poll has a deadline.
     ///
     /// # Errors
     ///
-    /// [`Error`].
+    /// [`Error`] if the worker gives no usable answer or rejects the request.
     async fn poll(&self, target: &Target, poll: &Poll) -> Result<PollReply, Error>;
 
-    /// Lets a run work at a share of its speed, in percent.
+    /// Limits a run to `percent` of its full speed.
     ///
     /// # Errors
     ///
-    /// [`Error`].
+    /// [`Error`] if the worker gives no usable answer or rejects the request.
     async fn throttle(
         &self,
         target: &Target,
@@ -248,6 +251,6 @@
         token: u64,
     ) -> Result<Timestamped<()>, Error>;
 
-    /// Forgets the connections to a worker that is gone.
+    /// Drops the connections to a worker that no longer exists.
     fn forget(&self, target: &Target);
 }
--- a/crates/crosspath_job/src/id.rs
+++ b/crates/crosspath_job/src/id.rs
@@ -8,7 +8,7 @@
 
 const JOB_DIGITS: usize = 16;
 
-/// A text that is not an identifier.
+/// Text that is not a valid job or task identifier.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("\"{text}\" is not {expected}"))]
 pub struct ParseError {
@@ -20,7 +20,7 @@
     ParseError { text: text.to_owned(), expected }
 }
 
-/// Identifier of a job, chosen by its caller: 16 hexadecimal digits.
+/// Identifier of a job, chosen by its caller. Written as 16 lower-case hexadecimal digits.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(pub u64);
 
@@ -62,16 +62,17 @@
     }
 }
 
-/// One task of a job.
+/// Identifier of one task of a job. Written as `JOB.TIME.STEP.INDEX`, where `TIME` is the
+/// occurrence.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
-    /// Its job.
+    /// Job that the task belongs to.
     pub job: JobId,
-    /// Which of the job's times, from 0.
+    /// Occurrence of the job, counted from 0.
     pub occurrence: u32,
-    /// Which step, from 0.
+    /// Position of the step within the job, counted from 0.
     pub step: u32,
-    /// Which task of the step, from 0.
+    /// Position of the task within the step, counted from 0.
     pub index: u32,
 }
 
--- a/crates/crosspath_job/src/lib.rs
+++ b/crates/crosspath_job/src/lib.rs
@@ -1,6 +1,6 @@
-//! Jobs as the daemon keeps them: identifiers, specifications, and the records of the log.
+//! Data model of jobs: identifiers, specifications, and the records stored in the log.
 //!
-//! Nothing here does I/O or reads a clock.
+//! This crate does no I/O and reads no clock.
 
 pub mod id;
 pub mod progress;
--- a/crates/crosspath_job/src/progress.rs
+++ b/crates/crosspath_job/src/progress.rs
@@ -1,82 +1,82 @@
-//! How far a job is, as its record keeps it.
+//! Progress of a job, as stored in its progress record.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// State of a job as callers see it.
+/// State of a job as reported to callers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// No task has begun.
+    /// No task has started.
     #[default]
     Queued,
-    /// Some task has begun.
+    /// At least one task has started.
     Running,
     /// Every task has ended successfully.
     Completed,
     /// A task has failed too often.
     Failed,
-    /// It was cancelled.
+    /// The job was cancelled.
     Cancelled,
 }
 
 impl State {
-    /// Whether it never changes again.
+    /// Whether the state is terminal: it never changes again.
     #[must_use]
     pub fn is_terminal(self) -> bool {
         matches!(self, Self::Completed | Self::Failed | Self::Cancelled)
     }
 }
 
-/// A run that was lost with its worker.
+/// A run that was lost together with its worker.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Loss {
-    /// Number of the run.
+    /// Number of the lost run.
     #[serde(rename = "r")]
     pub run: u64,
-    /// The worker's life.
+    /// Incarnation of the worker on which it was lost.
     #[serde(rename = "w")]
     pub worker: Arc<str>,
-    /// Whether no other run there may be why the worker was lost.
+    /// Whether no other run on the worker can have caused its loss.
     #[serde(rename = "a", default, skip_serializing_if = "std::ops::Not::not")]
     pub alone: bool,
 }
 
-/// What is kept of one task that has not simply not begun.
+/// Stored progress of one task. A task without an entry has not started.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct TaskProgress {
-    /// It ended successfully.
+    /// Whether the task ended successfully.
     #[serde(rename = "d", skip_serializing_if = "std::ops::Not::not")]
     pub done: bool,
-    /// Numbers of the runs that failed. An end may be listed again to a new owner, and late: each
-    /// number counts once.
+    /// Numbers of the runs that failed. Each number counts once: a worker may report the same
+    /// failure again, late or to a new shard owner.
     #[serde(rename = "f", skip_serializing_if = "Vec::is_empty")]
     pub failed_runs: Vec<u64>,
-    /// Runs that were lost with their workers, in order.
+    /// Runs that were lost with their workers, oldest first.
     #[serde(rename = "l", skip_serializing_if = "Vec::is_empty")]
     pub lost: Vec<Loss>,
-    /// Number and worker's life of each run that is or may be; written before a run is started, so that
-    /// a new owner knows where to look for it.
+    /// Number and worker incarnation of each run that exists or may exist. Written before a run is
+    /// started, so that a new shard owner knows where to look for it.
     #[serde(rename = "w", skip_serializing_if = "Vec::is_empty")]
     pub runs: Vec<(u64, Arc<str>)>,
-    /// Newest checkpoint of a run that ended.
+    /// Newest checkpoint of a run that has ended.
     #[serde(rename = "c", skip_serializing_if = "Option::is_none")]
     pub checkpoint: Option<Arc<str>>,
 }
 
-/// How far a job is.
+/// Progress of a job.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Progress {
-    /// Its state.
+    /// Current state of the job.
     #[serde(rename = "s")]
     pub state: State,
-    /// Tasks by "TIME.STEP.INDEX"; those without an entry have not ended yet.
+    /// Progress by task, keyed `TIME.STEP.INDEX`. A task without an entry has not ended yet.
     #[serde(rename = "t", default, skip_serializing_if = "BTreeMap::is_empty")]
     pub tasks: BTreeMap<String, TaskProgress>,
-    /// When it ended, in ms since 1970; 0 before.
+    /// When the job ended, in ms since 1970; 0 while it has not ended.
     #[serde(rename = "e", default, skip_serializing_if = "is_zero_u64")]
     pub ended_ms: u64,
 }
--- a/crates/crosspath_job/src/record.rs
+++ b/crates/crosspath_job/src/record.rs
@@ -1,8 +1,9 @@
-//! The records of a shard.
+//! Records of a shard.
 //!
-//! A shard is one partition of a topic that keeps the newest record of each key. A job has up to
-//! three keys: what was accepted, how far it is, and that it was cancelled. One more key tells who
-//! owns the shard. Anyone may write what is accepted and cancelled; only the owner writes the rest.
+//! A shard is one partition of a compacted topic: the newest record of each key is retained. A job
+//! has up to three keys, one each for its acceptance, its progress and its cancellation. One more
+//! key names the owner of the shard. Any daemon may write acceptance and cancellation records; only
+//! the shard owner writes the others.
 
 use std::sync::Arc;
 
@@ -13,116 +14,118 @@
 use crate::progress::Progress;
 use crate::spec::Spec;
 
-/// What a queue demands, as it was when the job was accepted.
+/// Scheduling policy of a queue, copied when the job is accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Policy {
-    /// 0 goes first.
+    /// Priority of the job's tasks; 0 is the highest.
     pub priority: u32,
-    /// Failed runs of a task after which the job has failed.
+    /// Number of failed runs of one task at which the job fails.
     pub max_attempts: u32,
-    /// Multiple of the longest chain of work within which the job should end.
+    /// Factor by which the critical path is multiplied to get the time in which the job should end.
     pub stretch: f64,
-    /// Time on top of it, in ms.
+    /// Time in ms that is added to the stretched critical path.
     pub target_ms: u64,
 }
 
-/// Advice that a queue demands before a step is placed.
+/// Approval that a queue requires of the advice service before a step is placed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Advice {
-    /// How long a ticket holds, in ms.
+    /// Validity of a ticket, in ms.
     pub valid_ms: u64,
 }
 
-/// An accepted job.
+/// Job that was accepted.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Accepted {
-    /// Name of the queue that took it.
+    /// Name of the queue that accepted it.
     pub queue: Arc<str>,
-    /// Name of the customer whose it is; none where the queue needs no key.
+    /// Name of the customer who owns the job; absent if the queue requires no key.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub customer: Option<Arc<str>>,
-    /// Name of the pool that runs it.
+    /// Name of the pool that runs the job.
     pub pool: Arc<str>,
-    /// What the queue demanded.
+    /// Policy of the queue at the time of acceptance.
     pub policy: Policy,
-    /// Whether workers must be asked for.
+    /// Present if the advice service must approve workers before a step is placed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub advice: Option<Advice>,
-    /// When it was accepted, in ms since 1970, by the accepting daemon's clock.
+    /// Time of acceptance in ms since 1970, by the clock of the accepting daemon.
     pub at_ms: u64,
-    /// What is to run.
+    /// Specification as submitted.
     pub spec: Spec,
 }
 
 impl Accepted {
-    /// Whether the job belongs to who asks. A job without a customer belongs to whoever knows its identifier.
+    /// Whether `requester` may see and cancel the job. A job without a customer is open to anyone
+    /// who knows its identifier.
     #[must_use]
     pub fn belongs_to(&self, requester: &Requester) -> bool {
         match (&self.customer, &requester.customer) {
             (None, _) => true,
-            // The queue needed a key when the job came.
+            // The queue required a key when the job was accepted, but the requester has none.
             (Some(_), None) => self.queue == requester.queue,
             (Some(own), Some(other)) => own == other,
         }
     }
 
-    /// Who handed the job in.
+    /// Requester who submitted the job.
     #[must_use]
     pub fn requester(&self) -> Requester {
         Requester { queue: Arc::clone(&self.queue), customer: self.customer.clone() }
     }
 }
 
-/// Who asks for or about a job: that counts only for one that belongs to the asker.
+/// Queue and customer on whose behalf a request about a job is made. The request takes effect only
+/// on jobs that belong to this requester.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Requester {
-    /// Name of the queue where it was asked for.
+    /// Name of the queue through which the request came.
     #[serde(default, skip_serializing_if = "str::is_empty")]
     pub queue: Arc<str>,
-    /// Name of the customer; none where the queue needs no key.
+    /// Name of the customer; absent if the queue requires no key.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub customer: Option<Arc<str>>,
 }
 
-/// Who owns the shard.
+/// Ownership claim on the shard.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// Name and life of the daemon.
+    /// Name and incarnation of the owning daemon.
     pub owner: Arc<str>,
-    /// Epoch with which it appends.
+    /// Fencing epoch of the owner's appends.
     pub epoch: u64,
 }
 
-/// One record.
+/// Decoded record of a shard.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Record {
-    /// A job was accepted.
+    /// The job was accepted.
     Accepted(JobId, Arc<Accepted>),
-    /// How far a job is.
+    /// Progress of the job.
     Progress(JobId, Progress),
-    /// A job's cancelling was asked for.
+    /// The requester asked for the job to be cancelled.
     Cancelled(JobId, Requester),
-    /// The shard was claimed.
+    /// A daemon claimed the shard.
     Claim(Claim),
-    /// A key was dropped.
+    /// The key was deleted.
     Tombstone(String),
 }
 
-/// A record that cannot be read.
+/// Record that cannot be decoded.
 #[derive(Debug, Snafu)]
 pub enum RecordError {
-    /// The key has no known form.
-    #[snafu(display("key \"{key}\" has no known form"))]
+    /// The key matches no kind of record.
+    #[snafu(display("key \"{key}\" matches no kind of record"))]
     Key {
-        /// The key.
+        /// Key of the record.
         key: String,
     },
-    /// The value has another form.
+    /// The value is not valid JSON of the kind that the key names.
     #[snafu(display("value of key \"{key}\" cannot be decoded: {source}"))]
     Value {
-        /// The key.
+        /// Key of the record.
         key: String,
-        /// What the decoder says.
+        /// Cause reported by the JSON decoder.
         source: serde_json::Error,
     },
 }
@@ -132,14 +135,14 @@
 const PROGRESS: &str = "progress/";
 const CANCELLED: &str = "cancel/";
 
-/// Keys of a job, all of which go when it is forgotten.
+/// All keys of a job. They are deleted together when the job's retention ends.
 #[must_use]
 pub fn job_keys(job: JobId) -> [String; 3] {
     [ACCEPTED, PROGRESS, CANCELLED].map(|prefix| format!("{prefix}{job}"))
 }
 
 fn json(value: &impl Serialize) -> Vec<u8> {
-    serde_json::to_vec(value).expect("records have a JSON form")
+    serde_json::to_vec(value).expect("records are serialisable as JSON")
 }
 
 fn value<'de, T: Deserialize<'de>>(key: &str, bytes: &'de [u8]) -> Result<T, RecordError> {
@@ -147,7 +150,7 @@
 }
 
 impl Record {
-    /// The record's key.
+    /// Key under which the record is stored.
     #[must_use]
     pub fn key(&self) -> String {
         match self {
@@ -159,7 +162,7 @@
         }
     }
 
-    /// The record's value; empty drops the key.
+    /// Encoded value of the record; empty for a tombstone.
     #[must_use]
     pub fn value(&self) -> Vec<u8> {
         match self {
@@ -171,11 +174,11 @@
         }
     }
 
-    /// Reads a record.
+    /// Decodes a record from its key and value.
     ///
     /// # Errors
     ///
-    /// [`RecordError`] when key or value have no known form.
+    /// [`RecordError`] if the key matches no kind of record or the value cannot be decoded.
     pub fn decode(key: &str, bytes: &[u8]) -> Result<Self, RecordError> {
         if bytes.is_empty() {
             return Ok(Self::Tombstone(key.to_owned()));
--- a/crates/crosspath_job/src/spec.rs
+++ b/crates/crosspath_job/src/spec.rs
@@ -1,58 +1,59 @@
-//! What a caller asks for: steps of tasks, perhaps at several times.
+//! Specification of a job: steps of tasks, run once or at regular intervals.
 
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-/// Bytes of a job's text at most; the callers' interface promises it.
+/// Maximum size of a job's text in bytes, as promised to callers.
 pub const MAX_TEXT_BYTES: usize = 4_000;
-/// Tasks of one step at most. Far above any job seen; bounds what one caller can make us hold.
+/// Maximum number of tasks in a step. Far above the size of real jobs; bounds the memory that one
+/// caller can make a daemon use.
 pub const MAX_STEP_TASKS: u32 = 4_096;
-/// Steps of one job at most; bounds as [`MAX_STEP_TASKS`] does.
+/// Maximum number of steps in a job. Bounds memory as [`MAX_STEP_TASKS`] does.
 pub const MAX_STEPS: usize = 256;
-/// Times of one job at most; bounds as [`MAX_STEP_TASKS`] does.
+/// Maximum number of occurrences of a job. Bounds memory as [`MAX_STEP_TASKS`] does.
 pub const MAX_OCCURRENCES: u32 = 10_000;
 
-/// What a task needs of a worker, or what a worker has.
+/// Resources that a task requires or a worker provides.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resources {
-    /// Thousandths of a core.
+    /// Processor time in thousandths of a core.
     pub cpu_millis: u64,
     /// Memory in MB.
     pub mem_mb: u64,
-    /// Accelerators.
+    /// Number of accelerators.
     pub gpus: u64,
 }
 
 impl Resources {
-    /// More than anything needs.
+    /// Larger than any requirement; stands for the absence of a limit.
     pub const UNLIMITED: Self = Self { cpu_millis: u64::MAX, mem_mb: u64::MAX, gpus: u64::MAX };
 
-    /// Whether `self` fits into `free`.
+    /// Whether `self` fits within `free` in every component.
     #[must_use]
     pub fn fits(&self, free: &Self) -> bool {
         self.cpu_millis <= free.cpu_millis && self.mem_mb <= free.mem_mb && self.gpus <= free.gpus
     }
 
-    /// Adds `other`.
+    /// Adds `other` in place; each component saturates.
     pub fn add(&mut self, other: &Self) {
         *self = self.plus(other);
     }
 
-    /// Both together.
+    /// Component-wise sum; each component saturates.
     #[must_use]
     pub fn plus(&self, other: &Self) -> Self {
         self.zip_with(other, u64::saturating_add)
     }
 
-    /// The smaller of each.
+    /// Component-wise minimum.
     #[must_use]
     pub fn component_min(&self, other: &Self) -> Self {
         self.zip_with(other, u64::min)
     }
 
-    /// The larger of each.
+    /// Component-wise maximum.
     #[must_use]
     pub fn component_max(&self, other: &Self) -> Self {
         self.zip_with(other, u64::max)
@@ -66,68 +67,69 @@
         }
     }
 
-    /// What is left after taking `other`; 0 where `other` is larger.
+    /// Component-wise difference; 0 where `other` is larger.
     #[must_use]
     pub fn minus(&self, other: &Self) -> Self {
         self.zip_with(other, u64::saturating_sub)
     }
 }
 
-/// One step of a job: tasks that are alike.
+/// Step of a job: a group of identical tasks.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Step {
-    /// Number of tasks.
+    /// Number of tasks in the step.
     pub tasks: u32,
-    /// What each needs.
+    /// Resources that each task requires.
     #[serde(rename = "room")]
     pub resources: Resources,
-    /// The caller's guess of one task's duration, in ms.
+    /// Duration of one task as estimated by the caller, in ms.
     #[serde(skip_serializing_if = "is_default")]
     pub estimate_ms: u64,
-    /// Steps that must have ended before.
+    /// Indices of the steps that must end before this one starts.
     #[serde(skip_serializing_if = "is_default")]
     pub after: Vec<u32>,
-    /// Whether tasks save checkpoints.
+    /// Whether the tasks save checkpoints.
     #[serde(skip_serializing_if = "is_default")]
     pub checkpoints: bool,
-    /// Whether the tasks run only all together.
+    /// Whether the tasks are gang-scheduled: all run at the same time or none does.
     #[serde(skip_serializing_if = "is_default")]
     pub gang: bool,
-    /// Whether a gang is slow when spread over racks.
+    /// Whether a gang runs slowly if it is spread over several racks.
     #[serde(skip_serializing_if = "is_default")]
     pub same_rack: bool,
-    /// Label that the worker must have.
+    /// Label that a worker must have to run the tasks.
     #[serde(skip_serializing_if = "is_default")]
     pub requires: Option<Arc<str>>,
-    /// Rack near the step's data.
+    /// Rack close to the step's data.
     #[serde(rename = "near", skip_serializing_if = "is_default")]
     pub preferred_rack: Option<Arc<str>>,
-    /// Most tasks of the step on one worker; 0 is no limit.
+    /// Maximum number of the step's tasks on one worker; 0 means no limit.
     #[serde(rename = "per_worker", skip_serializing_if = "is_default")]
     pub max_per_worker: u32,
-    /// Whether a second copy of a task may run beside the first.
+    /// Whether a speculative second run of a task may be started beside the first.
     #[serde(skip_serializing_if = "is_default")]
     pub speculative: bool,
-    /// Whether tasks run until the job is cancelled.
+    /// Whether the tasks run until the job is cancelled.
     #[serde(rename = "lasting", skip_serializing_if = "is_default")]
     pub long_running: bool,
-    /// What the tasks execute; tasks of one image behave alike.
+    /// Image that the tasks execute. Tasks of the same image behave alike.
     #[serde(skip_serializing_if = "is_default")]
     pub image: Option<Arc<str>>,
-    /// Target for the tail of a lasting task's answer times, in ms; 0 is none.
+    /// Target for the tail latency of a long-running task, in ms; 0 means none.
     #[serde(skip_serializing_if = "is_default")]
     pub tail_target_ms: u64,
-    /// Whether the tasks use only processor time that others leave.
+    /// Whether the tasks use only processor time that other tasks leave idle.
     #[serde(rename = "filler", skip_serializing_if = "is_default")]
     pub best_effort: bool,
-    /// Tasks of a lasting step that the system may take away at one time.
+    /// Number of tasks of a long-running step that the system may stop at the same time.
     #[serde(rename = "may_miss", skip_serializing_if = "is_default")]
     pub max_unavailable: Option<u32>,
 }
 
 impl Step {
-    /// What one task reserves of a worker.
+    /// Resources that one task reserves on its worker. A best-effort task reserves no processor
+    /// time.
     #[must_use]
     pub fn reserved(&self) -> Resources {
         let cpu_millis = if self.best_effort { 0 } else { self.resources.cpu_millis };
@@ -139,76 +141,76 @@
     *value == T::default()
 }
 
-/// Times at which all steps run.
+/// Schedule on which all steps of the job are repeated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Repeat {
-    /// Number of times.
+    /// Number of occurrences.
     pub count: u32,
-    /// The first, in ms since 1970.
+    /// Due time of the first occurrence, in ms since 1970.
     pub first_ms: u64,
-    /// Between two, in ms.
+    /// Interval between two occurrences, in ms.
     pub every_ms: u64,
 }
 
-/// A job as submitted.
+/// Job as submitted by the caller.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Spec {
-    /// Text that each task gets unchanged.
+    /// Text that is passed to each task unchanged.
     pub text: Arc<str>,
-    /// The steps.
+    /// Steps of the job; a step can depend only on earlier ones.
     pub steps: Vec<Step>,
-    /// Times; none runs the steps once, at once.
+    /// Repetition schedule; if absent, the steps run once, immediately.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub repeat: Option<Repeat>,
 }
 
-/// A specification that contradicts itself or passes a bound.
+/// Specification that is inconsistent or exceeds a limit.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum SpecError {
-    /// The text is too long.
-    #[snafu(display("spec is {bytes} bytes long; at most {MAX_TEXT_BYTES} are taken"))]
+    /// The text is longer than [`MAX_TEXT_BYTES`].
+    #[snafu(display("spec text is {bytes} bytes long; the limit is {MAX_TEXT_BYTES}"))]
     TextTooLong {
-        /// Its length.
+        /// Length of the text in bytes.
         bytes: usize,
     },
-    /// No step, or too many.
-    #[snafu(display("{steps} steps; 1 to {MAX_STEPS} are taken"))]
+    /// The job has no steps or more than [`MAX_STEPS`].
+    #[snafu(display("spec has {steps} steps; must be 1 to {MAX_STEPS}"))]
     StepCount {
-        /// Their number.
+        /// Number of steps.
         steps: usize,
     },
-    /// A step without tasks, or with too many.
-    #[snafu(display("steps[{step}] has {tasks} tasks; 1 to {MAX_STEP_TASKS} are taken"))]
+    /// A step has no tasks or more than [`MAX_STEP_TASKS`].
+    #[snafu(display("steps[{step}] has {tasks} tasks; must be 1 to {MAX_STEP_TASKS}"))]
     TaskCount {
-        /// The step.
+        /// Index of the step.
         step: usize,
-        /// Its tasks.
+        /// Number of tasks in the step.
         tasks: u32,
     },
-    /// A step waits for one that is not before it.
-    #[snafu(display("steps[{step}] comes after step {after}, which is not an earlier one"))]
+    /// A step depends on itself or on a later step.
+    #[snafu(display("steps[{step}] depends on step {after}, which is not an earlier step"))]
     DependencyOrder {
-        /// The step.
+        /// Index of the dependent step.
         step: usize,
-        /// What it waits for.
+        /// Index of the step that it depends on.
         after: u32,
     },
-    /// Too many times.
-    #[snafu(display("{occurrences} times; at most {MAX_OCCURRENCES} are taken"))]
+    /// The job has more occurrences than [`MAX_OCCURRENCES`].
+    #[snafu(display("spec has {occurrences} occurrences; the limit is {MAX_OCCURRENCES}"))]
     OccurrenceCount {
-        /// Their number.
+        /// Number of occurrences.
         occurrences: u32,
     },
 }
 
 impl Spec {
-    /// Number of times that the steps run.
+    /// Number of occurrences; at least 1.
     #[must_use]
     pub fn occurrences(&self) -> u32 {
         self.repeat.map_or(1, |repeat| repeat.count.max(1))
     }
 
-    /// When a time is due, in ms since 1970; 0 without times.
+    /// Due time of an occurrence in ms since 1970; 0 if the job has no schedule.
     #[must_use]
     pub fn due_ms(&self, occurrence: u32) -> u64 {
         self.repeat.map_or(0, |repeat| {
@@ -216,11 +218,11 @@
         })
     }
 
-    /// Checks what the types leave open.
+    /// Checks the constraints that the types cannot express.
     ///
     /// # Errors
     ///
-    /// [`SpecError`], the first that is found.
+    /// The first violation found, as a [`SpecError`].
     pub fn check(&self) -> Result<(), SpecError> {
         let bytes = self.text.len();
         if bytes > MAX_TEXT_BYTES {
@@ -245,7 +247,8 @@
         Ok(())
     }
 
-    /// Longest chain of the caller's estimates from a step to the end, per step, in ms.
+    /// Critical path from each step to the end of the job: the longest sum of the caller's
+    /// estimates along dependent steps, including the step itself, in ms.
     #[must_use]
     pub fn critical_paths_ms(&self) -> Vec<u64> {
         let mut remaining = vec![0; self.steps.len()];
--- a/crates/crosspath_quota/src/allowance.rs
+++ b/crates/crosspath_quota/src/allowance.rs
@@ -1,4 +1,4 @@
-//! What one shard holds of customers' maxima, and when it asks for more.
+//! The shard's side of a quota: what it has been allotted, and when it requests more.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,26 +9,27 @@
 use crate::Limits;
 use crate::message::{Allotment, Demand, Grant, Request};
 
-/// A question without an answer is asked again after this: the ledger is some ms away.
+/// Delay after which an unanswered request is repeated. The ledger is a few ms away.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(250);
-/// Between questions while some task waits for a part: what others give back comes with their questions.
+/// Interval between requests while a task waits for an allotment. What other shards release reaches
+/// the ledger with their requests.
 const PENDING_INTERVAL: Duration = Duration::from_millis(20);
-/// Between questions while none waits: gives back what ended, and tells a new ledger what is kept. As long
-/// as what is given back may be missing elsewhere.
+/// Interval between requests while no task waits. They release what ended runs used, and report to
+/// a new ledger what the shard keeps. Released resources may be missing elsewhere for this long.
 const IDLE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What a shard has and lacks of one customer's maximum.
+/// A shard's use of one customer's maximum, and its unmet demand.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// What runs or may run.
+    /// Resources of all runs that exist or may exist.
     pub used: Resources,
-    /// What tasks want that only the maximum holds back.
+    /// Resources required by tasks that only the maximum prevents from starting.
     pub pending: Resources,
-    /// What the first of those wants; zero when none waits.
+    /// Resources required by the first of those tasks; zero if none waits.
     pub first_pending: Resources,
 }
 
-/// What one shard holds.
+/// Allotments of one shard.
 #[derive(Debug)]
 pub struct Allowance {
     shard: u32,
@@ -36,15 +37,16 @@
     number: u64,
     term: u64,
     allotments: BTreeMap<Arc<str>, Allotment>,
-    /// When the last question was asked, and whether it was answered.
+    /// Time of the last request, `None` before the first. `answered` tells whether it was answered.
     requested_at: Option<Duration>,
     answered: bool,
-    /// Whether the last answer came of a ledger that deals.
+    /// Whether the last grant came from an active ledger.
     ledger_active: bool,
 }
 
 impl Allowance {
-    /// Of a shard whose owner has claimed it in `epoch`: nothing is held yet.
+    /// Creates the allowance of a shard that its owner has claimed in `epoch`. It has no allotments
+    /// yet.
     #[must_use]
     pub fn new(shard: u32, epoch: u64) -> Self {
         Self {
@@ -59,13 +61,14 @@
         }
     }
 
-    /// What is held of a customer's maximum.
+    /// Resources allotted from a customer's maximum.
     #[must_use]
     pub fn held(&self, customer: &str) -> Resources {
         self.allotments.get(customer).map(|allotment| allotment.held).unwrap_or_default()
     }
 
-    /// Whether a customer with `limit` that uses `used` here may use `more`.
+    /// Whether a customer with the maximum `limit` that uses `used` in this shard may use `more` on
+    /// top.
     #[must_use]
     pub fn allows(
         &self,
@@ -78,8 +81,8 @@
         used.plus(more).fits(&effective(allotment, limit))
     }
 
-    /// The question that is due now: needs that are not met, or what has changed. Until it is answered the
-    /// shard holds what the question says it keeps.
+    /// Returns the request that is due: one that reports pending tasks, or what has changed. Until
+    /// it is answered, the allotments are reduced to what the request says the shard keeps.
     pub fn request(
         &mut self,
         now: Duration,
@@ -99,7 +102,7 @@
                 .map(|allotment| effective(allotment, &limit))
                 .unwrap_or_default();
             let demand = demand(usage, &held);
-            // What runs beyond what is held ends, and is not replaced.
+            // Runs beyond the allotment are not stopped; they are not replaced when they end.
             allotments.insert(
                 Arc::clone(name),
                 Allotment { held: demand.keep.component_min(&held), limit },
@@ -130,7 +133,8 @@
         now >= requested_at + interval
     }
 
-    /// Takes in an answer; whether it counts. One of an earlier ledger, or to an earlier question, does not.
+    /// Applies a grant; returns whether it was accepted. A grant of an earlier ledger or for an
+    /// earlier request is ignored.
     pub fn apply_grant(&mut self, grant: Grant) -> bool {
         if grant.term < self.term || grant.number != self.number || self.answered {
             return false;
@@ -138,26 +142,26 @@
         self.term = grant.term;
         self.ledger_active = grant.active;
         self.answered = true;
-        // A ledger that does not deal yet knows nothing that the shard does not.
+        // A recovering ledger knows nothing that the shard does not know itself.
         if grant.active {
             self.allotments = grant.allotments;
         }
         true
     }
 
-    /// The last question had no answer; it is asked again soon.
+    /// Notes that request `number` failed. It is repeated after the usual interval.
     pub fn request_failed(&mut self, number: u64) {
-        // As if it were answered, that what is kept is held.
+        // Treat the request as answered: the allotments stay at what it said the shard keeps.
         self.answered |= number == self.number;
     }
 }
 
-/// Keeps what is used, and of what is `held` what is wanted too.
+/// Computes the demand: keeps what is used, and as much of `held` as pending tasks require.
 fn demand(usage: &Usage, held: &Resources) -> Demand {
     let target = usage.used.plus(&usage.pending);
     let mut keep = target.component_min(held).component_max(&usage.used);
-    // Too little for the first task helps nobody here: two shards that each keep half of what a task needs
-    // would both wait for good.
+    // Too little for the first pending task is of no use here, so it is released: two shards that
+    // each kept half of what a task requires would block each other forever.
     if !usage.first_pending.fits(&keep.minus(&usage.used)) {
         keep = usage.used;
     }
@@ -167,8 +171,8 @@
     Demand { keep, requested, minimum }
 }
 
-/// What counts of a part under the maximum that is in force. Nothing where that has fallen: more than it may run
-/// elsewhere, which only the ledger knows.
+/// Part of an allotment that is valid under the maximum now in force. None if the maximum was
+/// lowered: more than that may run in other shards, which only the ledger knows.
 fn effective(allotment: &Allotment, limit: &Resources) -> Resources {
     if allotment.limit.fits(limit) { allotment.held } else { Resources::default() }
 }
--- a/crates/crosspath_quota/src/ledger.rs
+++ b/crates/crosspath_quota/src/ledger.rs
@@ -1,4 +1,4 @@
-//! Who holds how much of each customer's maximum.
+//! The ledger: allotments of every customer's maximum to the shards.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -8,29 +8,30 @@
 use crate::Limits;
 use crate::message::{Allotment, Demand, Grant, Request};
 
-/// Share of what is left that is dealt out unasked, to all shards together. A shard with some at hand starts
-/// the first tasks of a rise without asking, also while there is no ledger; a shard that wants more than is
-/// left waits until the others say again what they keep.
+/// Determines the headroom, the part of the remainder that is granted beyond the demand: one half,
+/// divided evenly among the shards. With headroom a shard starts the first tasks of a burst without
+/// a request, even while there is no ledger. In return, a shard that demands more than the
+/// remainder has to wait until the other shards report again what they keep.
 const HEADROOM_DIVISOR: u64 = 2;
 
-/// What one shard holds, by its owner's last question.
+/// Allotments of one shard, by the last request of its owner.
 #[derive(Debug, Default)]
 struct Account {
     epoch: u64,
     number: u64,
-    /// Whether some owner of the shard has taken this ledger's term.
+    /// Whether an owner of the shard has acknowledged the term of this ledger.
     acknowledged_term: bool,
     held: BTreeMap<Arc<str>, Resources>,
 }
 
 impl Account {
-    /// Whether a question is later than the last one.
+    /// Whether the request is later than the last one received.
     fn is_newer(&self, request: &Request) -> bool {
         (request.epoch, request.number) > (self.epoch, self.number)
     }
 }
 
-/// Who holds how much of each customer's maximum.
+/// Record of how much of each customer's maximum is allotted to each shard.
 #[derive(Debug)]
 pub struct Ledger {
     term: u64,
@@ -38,20 +39,22 @@
 }
 
 impl Ledger {
-    /// A ledger that has heard of no shard; `term` is higher than that of any before.
+    /// Creates a ledger without any accounts; `term` must be higher than that of every earlier
+    /// ledger.
     #[must_use]
     pub fn new(term: u64) -> Self {
         Self { term, accounts: BTreeMap::new() }
     }
 
-    /// Its term.
+    /// Term of the ledger; increases with each new ledger.
     #[must_use]
     pub fn term(&self) -> u64 {
         self.term
     }
 
-    /// Takes in what a shard keeps, and deals it what it wants as far as `limits` leave it. `shards` are
-    /// all that may hold something. None for a question that is older than one before.
+    /// Records what a shard keeps and grants its demands as far as `limits` permit. `shards` are
+    /// all shards that may have allotments. Returns `None` if the request is not newer than the
+    /// last one received.
     pub fn grant(
         &mut self,
         request: &Request,
@@ -80,7 +83,7 @@
             allotments.insert(Arc::clone(name), Allotment { held, limit });
         }
         if let Some(account) = self.accounts.get_mut(&request.shard) {
-            // What runs counts, also where no more may start.
+            // Runs count in full, even if no more of them may start.
             for (name, held) in &mut account.held {
                 *held = held.component_max(&allotments[name].held);
             }
@@ -92,14 +95,14 @@
         self.accounts.get(&shard).is_some_and(|account| account.acknowledged_term)
     }
 
-    /// What is held of a customer's maximum, over all shards.
+    /// Sum of the allotments of a customer's maximum over all shards.
     #[must_use]
     pub fn held(&self, customer: &str) -> Resources {
         let held = self.accounts.values().filter_map(|account| account.held.get(customer));
         held.fold(Resources::default(), |sum, resources| sum.plus(resources))
     }
 
-    /// What a shard holds from now on. What it keeps is in the books already.
+    /// Computes the new allotment of a shard. What the shard keeps is already part of `held`.
     fn allotment(
         &self,
         name: &str,
@@ -108,15 +111,16 @@
         shards: usize,
     ) -> Resources {
         let held = self.held(name);
-        // The maximum has fallen, or its last task was larger than what was left: what ends is not replaced.
+        // Either the maximum was lowered, or the last task granted was larger than the remainder:
+        // what ends is not replaced.
         if !held.fits(limit) {
             return Resources::default();
         }
         let remaining = limit.minus(&held);
         let mut more = demand.requested.component_min(&remaining);
         if !demand.minimum.fits(&more) {
-            // A task that does not fit into what is left may start while anything is left: a customer's
-            // maximum may be smaller than its task.
+            // A task larger than the remainder may start while anything remains, since a customer's
+            // maximum may be smaller than one of its tasks.
             more = if is_below_limit(&held, limit) { demand.minimum } else { Resources::default() };
         }
         let headroom = remaining.minus(&more);
@@ -131,7 +135,7 @@
     }
 }
 
-/// Whether something is left of everything.
+/// Whether `held` is below `limit` in every component.
 fn is_below_limit(held: &Resources, limit: &Resources) -> bool {
     held.cpu_millis < limit.cpu_millis && held.mem_mb < limit.mem_mb && held.gpus < limit.gpus
 }
--- a/crates/crosspath_quota/src/lib.rs
+++ b/crates/crosspath_quota/src/lib.rs
@@ -1,21 +1,25 @@
-//! What a customer may have running over all shards, dealt out in parts.
+//! Quotas: limits a customer's running tasks over all shards by splitting its maximum into
+//! allotments.
 //!
-//! A customer's maximum is one number for all workers, and its tasks are started by the owners of many
-//! shards. So one daemon, the fleet's owner, keeps a [`Ledger`] of what each shard holds of each maximum, and each
-//! shard's owner keeps a [`Allowance`] and starts nothing beyond it. All held parts of a customer together are never
-//! more than its maximum and one task.
+//! A customer's maximum applies to all workers together, but its tasks are started by the owners of
+//! many shards. Therefore one daemon, the owner of the fleet, runs a [`Ledger`] that records each
+//! shard's allotment of each maximum. Each shard owner has an [`Allowance`] and starts nothing
+//! beyond it. The allotments of a customer never exceed its maximum by more than one task.
 //!
-//! A shard asks often and always says everything: what it keeps (what runs, or may run) and what it wants on
-//! top. From the moment it asks it starts nothing beyond what it said it keeps, until it is answered; so a
-//! question or an answer may be lost, come late, or twice. Questions are numbered, and an old one changes nothing.
+//! A shard sends requests often, and each request is complete: it states what the shard keeps (what
+//! runs or may run) and what it demands on top. From the moment of the request until the answer,
+//! the shard starts nothing beyond what it said it keeps. Therefore requests and grants may be
+//! lost, delayed or duplicated. Requests are numbered, and an outdated one has no effect.
 //!
-//! *Owners change.* A new owner of a shard finds in the log all that may run, and keeps that; the part of the one
-//! before counts until then. A new ledger knows nothing: it deals out nothing until each shard has taken
-//! its term, that is, has said what it keeps and will take no answer of an earlier ledger any more. Meanwhile
-//! shards go on within what they hold. A ledger's daemon answers only while its membership lasts, and the next one
-//! claims the fleet after that; so a new owner of a shard, who knows no term yet, is dealt nothing by an earlier one.
+//! *Change of owner.* A new shard owner finds in the log everything that may run, and keeps that.
+//! Until its first request, the allotment of the previous owner counts. A new ledger starts without
+//! any knowledge. It grants nothing until every shard has acknowledged its term: the shard has then
+//! reported what it keeps, and will reject grants of earlier ledgers. Until then the shards
+//! continue within their allotments. The daemon of a ledger answers only while it is a member of
+//! the group, and the next daemon claims the fleet only after that membership has ended. Therefore
+//! a new shard owner, who knows no term yet, cannot receive a grant of an earlier ledger.
 //!
-//! Nothing here reads a clock or does I/O.
+//! This crate reads no clock and does no I/O.
 
 mod allowance;
 mod ledger;
@@ -30,8 +34,9 @@
 
 use crosspath_job::spec::Resources;
 
-/// Maximum of each customer that has one.
+/// Maximum of each customer; a customer without an entry has none.
 pub type Limits = BTreeMap<Arc<str>, Resources>;
 
-/// Jobs a second that each customer is owed when all is full.
+/// Weight of each customer: the rate in jobs per second that it is entitled to when capacity is
+/// exhausted.
 pub type Weights = BTreeMap<Arc<str>, f64>;
--- a/crates/crosspath_quota/src/message.rs
+++ b/crates/crosspath_quota/src/message.rs
@@ -1,4 +1,4 @@
-//! What shards and the ledger say to each other.
+//! Messages between shards and the ledger.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -6,55 +6,57 @@
 use crosspath_job::spec::Resources;
 use serde::{Deserialize, Serialize};
 
-/// What a shard says of one customer.
+/// Demand of a shard for one customer.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Demand {
-    /// It starts nothing beyond this before it is answered.
+    /// Resources that the shard keeps. It starts nothing beyond them until it receives a grant.
     pub keep: Resources,
-    /// What tasks that could start now want on top.
+    /// Additional resources for tasks that could start immediately.
     #[serde(rename = "want")]
     pub requested: Resources,
-    /// What the first of those tasks wants; zero when none waits.
+    /// Resources required by the first of those tasks; zero if none waits.
     #[serde(rename = "least")]
     pub minimum: Resources,
 }
 
-/// A shard's question for parts.
+/// Request of a shard for allotments.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Request {
-    /// The shard.
+    /// Number of the shard.
     pub shard: u32,
-    /// Epoch of its owner.
+    /// Epoch of the shard's owner.
     pub epoch: u64,
-    /// Rises with each question of that owner.
+    /// Sequence number; increases with each request of the owner.
     pub number: u64,
-    /// The latest ledger whose answer it took; it takes none of an earlier one.
+    /// Highest ledger term from which the shard has accepted a grant. It rejects grants of earlier
+    /// terms.
     pub term: u64,
-    /// All customers of which it keeps or wants something.
+    /// Demands by customer, for all customers of whom the shard keeps or demands something.
     #[serde(rename = "wishes")]
     pub demands: BTreeMap<Arc<str>, Demand>,
 }
 
-/// Part of a customer's maximum that a shard holds.
+/// A shard's share of one customer's maximum.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Allotment {
-    /// What it may have running.
+    /// Resources that the shard may have running.
     pub held: Resources,
-    /// The maximum of which that is a part.
+    /// Maximum of the customer when the share was allotted.
     pub limit: Resources,
 }
 
-/// The ledger's answer.
+/// Answer of the ledger to a request.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
-    /// Number of the question.
+    /// Sequence number of the request.
     pub number: u64,
     /// Term of the ledger.
     pub term: u64,
-    /// Whether it deals: a new ledger does not before each shard has taken its term.
+    /// Whether the ledger is active. A new ledger grants nothing until every shard has acknowledged
+    /// its term.
     #[serde(rename = "settled")]
     pub active: bool,
-    /// What the shard holds now, of each customer that it named.
+    /// Allotments by customer, for all customers that the request names.
     #[serde(rename = "parts")]
     pub allotments: BTreeMap<Arc<str>, Allotment>,
 }
--- a/crates/crosspath_quota/tests/quota/cases.rs
+++ b/crates/crosspath_quota/tests/quota/cases.rs
@@ -1,4 +1,4 @@
-//! One rule of the dealing each.
+//! Single rules of allotting a maximum to shards.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -22,7 +22,7 @@
     [("water".into(), usage)].into()
 }
 
-/// Shards of one owner each, and a ledger.
+/// Shards with one owner each, and a ledger.
 struct Harness {
     now: Duration,
     limits: Limits,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// With all shards known to the ledger.
+    /// Creates a ledger whose term all shards have acknowledged.
     fn with_recovered_ledger(maximum: u64, shards: u32) -> Self {
         let mut harness = Self::new(maximum, shards);
         for _ in 0..2 {
@@ -57,7 +57,7 @@
     fn request(&mut self, shard: u32, usages: &BTreeMap<Arc<str>, Usage>) -> Request {
         self.now += Duration::from_secs(1);
         let allowance = self.allowances.get_mut(&shard).expect("a shard");
-        allowance.request(self.now, &self.limits, usages).expect("a question is due")
+        allowance.request(self.now, &self.limits, usages).expect("a due request")
     }
 
     fn grant(&mut self, request: &Request) -> Option<Grant> {
@@ -66,12 +66,12 @@
 
     fn sync(&mut self, shard: u32, usages: &BTreeMap<Arc<str>, Usage>) {
         let request = self.request(shard, usages);
-        let grant = self.grant(&request).expect("an answer");
+        let grant = self.grant(&request).expect("a grant");
         let allowance = self.allowances.get_mut(&shard).expect("a shard");
         assert!(allowance.apply_grant(grant));
     }
 
-    /// Whether a shard that uses `used` cores may use `more`.
+    /// Whether a shard that uses `used` cores may use `more` on top.
     fn allows(&self, shard: u32, used: u64, more: u64) -> bool {
         let limit = self.limits["water"];
         self.allowances[&shard].allows("water", &limit, &cores(used), &cores(more))
@@ -85,7 +85,7 @@
     assert!(harness.allows(0, 0, 60));
     harness.sync(1, &usage(0, 60, 10));
     assert!(harness.allows(1, 0, 20) && !harness.allows(1, 0, 60));
-    // The first gives back what it held beside what it wants.
+    // The first shard releases what it does not use.
     harness.sync(0, &usage(10, 0, 0));
     harness.sync(1, &usage(20, 60, 10));
     assert!(harness.allows(1, 20, 40));
@@ -97,7 +97,7 @@
     harness.sync(0, &usage(0, 40, 40));
     assert!(harness.allows(0, 0, 40));
     harness.sync(1, &usage(0, 40, 40));
-    assert!(!harness.allows(1, 0, 1), "nothing is left");
+    assert!(!harness.allows(1, 0, 1), "nothing remains");
 }
 
 #[test]
@@ -115,7 +115,7 @@
 fn stale_requests_and_grants_are_ignored() {
     let mut harness = Harness::with_recovered_ledger(100, 2);
     let old = harness.request(0, &usage(0, 80, 10));
-    let late = harness.grant(&old).expect("an answer");
+    let late = harness.grant(&old).expect("a grant");
     harness.sync(0, &usage(0, 0, 0));
     assert_eq!(harness.grant(&old), None);
     assert!(!harness.allowances.get_mut(&0).expect("a shard").apply_grant(late));
@@ -129,9 +129,9 @@
     harness.ledger = Ledger::new(2);
     for _ in 0..3 {
         harness.sync(1, &usage(0, 50, 10));
-        assert!(!harness.allows(1, 0, 1), "shard 0 may hold anything");
+        assert!(!harness.allows(1, 0, 1), "the allotment of shard 0 is unknown");
     }
-    // Meanwhile the other goes on within what it holds.
+    // In the meantime the other shard continues within its allotment.
     assert!(harness.allows(0, 0, 90));
     harness.sync(0, &usage(80, 10, 10));
     assert!(harness.allows(0, 80, 10));
@@ -146,7 +146,7 @@
     let mut earlier = std::mem::replace(&mut harness.ledger, Ledger::new(2));
     harness.sync(0, &usage(0, 0, 0));
     let request = harness.request(0, &usage(0, 90, 10));
-    let grant = earlier.grant(&request, &harness.limits, &harness.shards).expect("an answer");
+    let grant = earlier.grant(&request, &harness.limits, &harness.shards).expect("a grant");
     assert!(!harness.allowances.get_mut(&0).expect("a shard").apply_grant(grant));
 }
 
@@ -160,10 +160,10 @@
     harness.sync(0, &usage(30, 0, 0));
     harness.sync(1, &usage(0, 50, 10));
     assert!(harness.allows(1, 0, 50));
-    // The owner before is not listened to any more.
-    let mut before = Allowance::new(0, 1);
+    // Requests of the previous owner are ignored.
+    let mut previous = Allowance::new(0, 1);
     let request =
-        before.request(harness.now, &harness.limits, &usage(90, 0, 0)).expect("a question");
+        previous.request(harness.now, &harness.limits, &usage(90, 0, 0)).expect("a due request");
     assert_eq!(harness.grant(&request), None);
 }
 
@@ -176,7 +176,7 @@
     assert!(!harness.allows(0, 30, 1), "more than 50 may run elsewhere");
     harness.sync(1, &usage(25, 10, 1));
     harness.sync(0, &usage(30, 10, 1));
-    assert!(!harness.allows(0, 30, 1), "55 run");
+    assert!(!harness.allows(0, 30, 1), "55 cores are in use");
     harness.sync(1, &usage(10, 0, 0));
     harness.sync(0, &usage(30, 10, 1));
     assert!(harness.allows(0, 30, 7) && !harness.allows(0, 30, 8));
--- a/crates/crosspath_quota/tests/quota/histories.rs
+++ b/crates/crosspath_quota/tests/quota/histories.rs
@@ -1,11 +1,12 @@
-//! Random histories: never above the maximum, and always on.
+//! Random fault histories. Guards against exceeding the maximum and against tasks that never start.
 
 use crate::simulation::{Faults, Simulation};
 
 const HISTORIES: u64 = 120;
 const STEPS: u32 = 3_000;
-/// Steps of 10 ms after the last fault in which all that waits has started. Under the smallest maximum of 5
-/// cores tasks run one after the other, 0.1 s each in the middle, and up to 240 wait.
+/// Steps of 10 ms after the last fault within which every waiting task must have started. Under the
+/// smallest maximum of 5 cores, tasks run one at a time for 0.1 s on average, and up to 240 of them
+/// wait.
 const RECOVERY_STEPS: u32 = 20_000;
 
 const NO_FAULTS: Faults =
@@ -23,7 +24,7 @@
             simulation.step(0);
             simulation.waiting_tasks() == 0
         });
-        assert!(drained, "seed {seed}: {} tasks wait for good", simulation.waiting_tasks());
+        assert!(drained, "seed {seed}: {} tasks never start", simulation.waiting_tasks());
         starts += simulation.starts;
     }
     starts
--- a/crates/crosspath_quota/tests/quota/main.rs
+++ b/crates/crosspath_quota/tests/quota/main.rs
@@ -1,4 +1,4 @@
-//! Parts of customers' maxima: single cases, and histories with every fault.
+//! Tests of the quota protocol: single rules, and random histories with all kinds of faults.
 
 mod cases;
 mod histories;
--- a/crates/crosspath_quota/tests/quota/simulation.rs
+++ b/crates/crosspath_quota/tests/quota/simulation.rs
@@ -1,8 +1,8 @@
-//! Shards, ledgers and messages that are lost, late, doubled and overtaken.
+//! Simulation of shards and ledgers whose messages are lost, delayed, duplicated and reordered.
 //!
-//! Checked at each start: what the customer has running over all shards is at most the highest maximum that
-//! may be in force anywhere, and one task. Answers of an earlier ledger come late, and shards ask it after the
-//! next one has begun.
+//! Checked at each start of a task: the customer's running tasks over all shards exceed the highest
+//! maximum that may be in force anywhere by at most one task. Grants of an earlier ledger arrive
+//! late, and shards send requests to it after the next one has started.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -15,12 +15,12 @@
 
 const SHARDS: u32 = 4;
 const STEP: Duration = Duration::from_millis(10);
-/// Time after which a maximum has reached every shard and ledger.
+/// Time after which a change of the maximum has reached every shard and ledger.
 const PROPAGATION_LIMIT: Duration = Duration::from_millis(300);
 const CUSTOMER: &str = "water";
 const LARGEST_TASK: u64 = 9;
 
-/// Faults in a thousand steps.
+/// Probability of each fault per step, in thousandths, and the longest message delay.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Faults {
     pub(crate) ledger: u32,
@@ -36,9 +36,9 @@
     epoch: u64,
     allowance: Allowance,
     limit: u64,
-    /// Cores of the tasks that run, which a new owner finds in the log.
+    /// Cores of the running tasks, which a new owner finds in the log.
     running: Vec<u64>,
-    /// Cores of those that wait, the first first.
+    /// Cores of the waiting tasks, in order of arrival.
     waiting: Vec<u64>,
 }
 
@@ -54,10 +54,10 @@
     faults: Faults,
     now: Duration,
     shards: Vec<Shard>,
-    /// All ledgers that ever were, with the maximum that each knows; the last one answers.
+    /// All ledgers so far, each with the maximum that it knows. Only the last one answers.
     ledgers: Vec<(Ledger, u64)>,
     messages: Vec<(Duration, Message)>,
-    /// Maxima and when each was set.
+    /// All maxima so far, with the time at which each was set.
     maxima: Vec<(Duration, u64)>,
     pub(crate) starts: u64,
 }
@@ -96,7 +96,7 @@
         self.rng.random_range(0..1_000) < thousandths
     }
 
-    /// No further faults: everything must settle.
+    /// Injects no further faults; the simulation must then reach a stable state.
     pub(crate) fn stop_faults(&mut self) {
         self.faults =
             Faults { ledger: 0, owner: 0, lost: 0, duplicated: 0, limit: 0, ..self.faults };
@@ -142,18 +142,19 @@
     }
 
     fn newest_maximum(&self) -> u64 {
-        self.maxima.last().expect("one maximum").1
+        self.maxima.last().expect("at least one maximum").1
     }
 
-    /// The highest maximum that may be in force somewhere.
+    /// Highest maximum that may be in force anywhere.
     fn highest_maximum(&self) -> u64 {
         let replaced = self.maxima.iter().skip(1).map(|(at, _)| *at).chain([self.now]);
         let in_force = self.maxima.iter().zip(replaced);
         let in_force = in_force.filter(|(_, replaced)| *replaced + PROPAGATION_LIMIT >= self.now);
-        in_force.map(|((_, maximum), _)| *maximum).max().expect("one maximum")
+        in_force.map(|((_, maximum), _)| *maximum).max().expect("at least one maximum")
     }
 
-    /// Shards and ledgers hear of the newest maximum at times of their own, the last in time.
+    /// Shards and ledgers learn of the newest maximum at random times, at the latest when the old
+    /// one is superseded.
     fn propagate_maximum(&mut self) {
         let newest = self.newest_maximum();
         for number in 0..self.shards.len() {
@@ -168,7 +169,7 @@
         }
     }
 
-    /// Whether a maximum was replaced so long ago that nobody may go by it.
+    /// Whether a maximum was replaced so long ago that it must no longer be in use.
     fn is_superseded(&self, maximum: u64) -> bool {
         let known = self.maxima.iter().rposition(|(_, other)| *other == maximum);
         let replaced = known.and_then(|at| self.maxima.get(at + 1));
@@ -205,7 +206,7 @@
     }
 
     fn answer(&mut self, ledger: usize, request: &Request) {
-        // Its daemon was counted out before the next one began.
+        // The ledger's daemon lost its membership before the next ledger started.
         if ledger + 1 < self.ledgers.len() {
             return;
         }
@@ -228,7 +229,7 @@
         let Some(request) = shard.allowance.request(self.now, &limits(shard.limit), &usages) else {
             return;
         };
-        // A shard may have heard late of a new ledger.
+        // A shard may not know yet that there is a new ledger.
         let newest = self.ledgers.len() - 1;
         let ledger = if self.chance(200) { newest.saturating_sub(1) } else { newest };
         self.send(Message::Request(ledger, request));
@@ -248,7 +249,11 @@
             self.starts += 1;
             let total: u64 = self.shards.iter().flat_map(|shard| &shard.running).sum();
             let most = self.highest_maximum() + LARGEST_TASK;
-            assert!(total <= most, "{total} of {most} at {:?}", self.now);
+            assert!(
+                total <= most,
+                "{total} cores running at {:?}; at most {most} allowed",
+                self.now
+            );
         }
     }
 }
