--- a/crates/crosspath_schedule/src/answers.rs
+++ b/crates/crosspath_schedule/src/answers.rs
@@ -35,7 +35,7 @@
         }
         // Nothing began, so nothing was lost there.
         if !matches!(answer, Ok(Started::Yes) | Err(Error::NoAnswer)) {
-            self.acquit(now, task, number);
+            self.clear_loss(now, task, number);
         }
         match answer {
             Ok(Started::Yes) => {
@@ -46,7 +46,7 @@
                         run.progressed = now;
                     }
                 }
-                self.begun(now, task.job);
+                self.mark_running(now, task.job);
             }
             Ok(Started::Fenced) | Err(Error::Fenced) => self.superseded = true,
             Ok(Started::NoRoom) => {
@@ -58,7 +58,7 @@
                 self.drop_and_queue(now, id, task, number, "refused");
             }
             Ok(Started::Ticket) => {
-                self.tickets.forget(task);
+                self.tickets.invalidate(task);
                 self.drop_and_queue(now, id, task, number, "ticket");
             }
             Ok(Started::Unhealthy) | Err(Error::Refused { .. }) => {
@@ -78,7 +78,7 @@
                 self.drop_and_queue(now, id, task, number, "not_reached");
             }
             Err(Error::OtherLife) => {
-                let sent = self.run(task, number).map(|run| run.sent);
+                let sent = self.run(task, number).map(|run| run.start_sent);
                 self.drop_and_queue(now, id, task, number, "other_life");
                 self.met_other_life(now, id, sent);
             }
--- a/crates/crosspath_schedule/src/commit.rs
+++ b/crates/crosspath_schedule/src/commit.rs
@@ -160,7 +160,7 @@
         }
         for (id, state) in states {
             if let Some(job) = self.jobs.get_mut(&id) {
-                job.kept = state;
+                job.durable_state = state;
             }
         }
         for (id, number) in ends {
@@ -180,7 +180,9 @@
     pub(crate) fn forget_ended(&mut self, now: Duration) {
         let keep = self.settings.keep_ended;
         let over = |job: &&crate::job::Job| {
-            job.kept.is_terminal() && now > job.ended + keep && job.running().is_empty()
+            job.durable_state.is_terminal()
+                && now > job.ended + keep
+                && job.active_runs().is_empty()
         };
         let over: Vec<_> = self.jobs.values().filter(over).map(|job| job.id).collect();
         for id in over {
--- a/crates/crosspath_schedule/src/ends.rs
+++ b/crates/crosspath_schedule/src/ends.rs
@@ -75,7 +75,7 @@
             return;
         }
         let gang = job.accepted.spec.steps[id.step as usize].gang;
-        let step = &mut job.instances[id.occurrence as usize].steps[id.step as usize];
+        let step = &mut job.occurrences[id.occurrence as usize].steps[id.step as usize];
         let mut others = Vec::new();
         for (index, task) in (0..).zip(&mut step.tasks) {
             // One successful end of a gang stands for all of its members.
@@ -83,15 +83,15 @@
                 continue;
             }
             task.done = true;
-            step.left -= 1;
+            step.remaining -= 1;
             let other = TaskId { index, ..id };
             others.extend(task.runs.iter().map(|run| (other, run.number)));
         }
-        let (step_over, job_over) = (step.left == 0, job.is_done());
+        let (step_over, job_over) = (step.remaining == 0, job.is_done());
         let keys: Vec<_> = if gang {
             self.waiting.iter().filter(|key| key.task.job == id.job).copied().collect()
         } else {
-            vec![Key::of(job, id)]
+            vec![Key::new(job, id)]
         };
         for key in keys {
             let done = self.jobs[&id.job].task(key.task).is_some_and(|task| task.done);
@@ -107,7 +107,7 @@
             self.finish(now, id.job, State::Completed);
         } else if step_over {
             // Times that are not due are opened by the tick; 0 opens none of them early.
-            self.open_steps(now, 0, id.job);
+            self.unblock_steps(now, 0, id.job);
         }
     }
 
--- a/crates/crosspath_schedule/src/jobs.rs
+++ b/crates/crosspath_schedule/src/jobs.rs
@@ -19,23 +19,23 @@
         id: JobId,
         accepted: Arc<Accepted>,
     ) {
-        if let Some(known) = self.jobs.get(&id) {
+        if let Some(existing) = self.jobs.get(&id) {
             // The log would give the job to another customer at the next takeover.
-            if !known.accepted.belongs_to(&accepted.requester()) {
+            if !existing.accepted.belongs_to(&accepted.requester()) {
                 log::warn!(
                     "event=job_of_another_customer job={id} kept_for={:?}",
-                    known.accepted.customer
+                    existing.accepted.customer
                 );
                 self.commits.restore(id);
             }
             return;
         }
         self.insert(now, wall_ms, id, accepted);
-        self.count_share(id);
+        self.charge_share(id);
         if let Some(by) = self.cancelled_early.remove(&id) {
             self.cancel(now, id, by);
         }
-        self.open_steps(now, wall_ms, id);
+        self.unblock_steps(now, wall_ms, id);
     }
 
     pub(crate) fn insert(
@@ -69,39 +69,41 @@
         }
     }
 
-    pub(crate) fn open_due(&mut self, now: Duration, wall_ms: u64) {
+    pub(crate) fn unblock_due_steps(&mut self, now: Duration, wall_ms: u64) {
         let pending = |job: &&Job| {
-            !job.state.is_terminal() && job.instances.iter().any(|instance| !instance.due)
+            !job.state.is_terminal() && job.occurrences.iter().any(|occurrence| !occurrence.due)
         };
         let pending: Vec<_> = self.jobs.values().filter(pending).map(|job| job.id).collect();
         for id in pending {
-            self.open_steps(now, wall_ms, id);
+            self.unblock_steps(now, wall_ms, id);
         }
     }
 
     /// Opens the steps of due times whose turn has come.
-    pub(crate) fn open_steps(&mut self, now: Duration, wall_ms: u64, id: JobId) {
+    pub(crate) fn unblock_steps(&mut self, now: Duration, wall_ms: u64, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if job.state.is_terminal() {
             return;
         }
-        let spec = Arc::clone(&job.accepted);
-        let spec = &spec.spec;
-        for (time, instance) in (0..).zip(&mut job.instances) {
-            instance.due |= spec.due_ms(time) <= wall_ms;
-            if !instance.due {
+        let accepted = Arc::clone(&job.accepted);
+        let spec = &accepted.spec;
+        for (nth, occurrence) in (0..).zip(&mut job.occurrences) {
+            occurrence.due |= spec.due_ms(nth) <= wall_ms;
+            if !occurrence.due {
                 continue;
             }
-            for number in 0..instance.steps.len() {
-                let before = &spec.steps[number].after;
-                let ready = before.iter().all(|after| instance.steps[*after as usize].left == 0);
-                let step = &mut instance.steps[number];
-                step.open |= ready;
-                if !ready || step.left == 0 {
+            for number in 0..occurrence.steps.len() {
+                let dependencies = &spec.steps[number].after;
+                let ready = dependencies
+                    .iter()
+                    .all(|dependency| occurrence.steps[*dependency as usize].remaining == 0);
+                let step = &mut occurrence.steps[number];
+                step.unblocked |= ready;
+                if !ready || step.remaining == 0 {
                     continue;
                 }
-                for task in step.tasks.iter_mut().filter(|task| task.freed.is_zero()) {
-                    task.freed = now;
+                for task in step.tasks.iter_mut().filter(|task| task.waiting_since.is_zero()) {
+                    task.waiting_since = now;
                 }
             }
         }
@@ -112,14 +114,14 @@
     pub(crate) fn queue_job(&mut self, id: JobId) {
         let Some(job) = self.jobs.get(&id) else { return };
         let mut found = Vec::new();
-        for (time, instance) in (0..).zip(&job.instances) {
-            for (step, run) in (0..).zip(&instance.steps) {
-                if !run.open || run.left == 0 {
+        for (nth, occurrence) in (0..).zip(&job.occurrences) {
+            for (step, state) in (0..).zip(&occurrence.steps) {
+                if !state.unblocked || state.remaining == 0 {
                     continue;
                 }
-                for (index, task) in (0..).zip(&run.tasks) {
+                for (index, task) in (0..).zip(&state.tasks) {
                     if !task.done && task.runs.is_empty() {
-                        found.push(Key::of(job, TaskId { job: id, occurrence: time, step, index }));
+                        found.push(Key::new(job, TaskId { job: id, occurrence: nth, step, index }));
                     }
                 }
             }
@@ -134,16 +136,16 @@
         if job.state.is_terminal() {
             return;
         }
-        let step = &job.instances[id.occurrence as usize].steps[id.step as usize];
-        if !step.open {
+        let step = &job.occurrences[id.occurrence as usize].steps[id.step as usize];
+        if !step.unblocked {
             return;
         }
         let Some(task) = job.task_mut(id) else { return };
         if task.done || !task.runs.is_empty() {
             return;
         }
-        task.freed = now;
-        let key = Key::of(job, id);
+        task.waiting_since = now;
+        let key = Key::new(job, id);
         self.waiting.replace(key);
         self.place_again = true;
     }
@@ -152,12 +154,12 @@
         let Some(job) = self.jobs.get_mut(&id) else { return };
         log::info!(
             "event=job_ended job={id} state={state:?} after_ms={} objective_ms={}",
-            now.saturating_sub(job.since).as_millis(),
-            job.due().saturating_sub(job.since).as_millis()
+            now.saturating_sub(job.accepted_at).as_millis(),
+            job.deadline().saturating_sub(job.accepted_at).as_millis()
         );
         job.state = state;
         job.ended = now;
-        let running = job.running();
+        let running = job.active_runs();
         let keys: Vec<_> = self.waiting.iter().filter(|key| key.task.job == id).copied().collect();
         for key in keys {
             self.waiting.remove(&key);
@@ -169,11 +171,11 @@
     }
 
     /// Some task of the job has begun.
-    pub(crate) fn begun(&mut self, now: Duration, id: JobId) {
+    pub(crate) fn mark_running(&mut self, now: Duration, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if job.state == State::Queued {
             job.state = State::Running;
-            let after = now.saturating_sub(job.since).as_millis();
+            let after = now.saturating_sub(job.accepted_at).as_millis();
             log::info!("event=job_begun job={id} after_ms={after}");
         }
     }
--- a/crates/crosspath_schedule/src/limits.rs
+++ b/crates/crosspath_schedule/src/limits.rs
@@ -18,34 +18,34 @@
 
 /// Between two counts of all runs of the shard: a round of placing comes some hundred times a second in a turn, and
 /// counting 1,000 runs takes some 0.3 ms of an entry VM's half core.
-const COUNT_INTERVAL: Duration = Duration::from_millis(50);
+const RECOUNT_INTERVAL: Duration = Duration::from_millis(50);
 /// Between two lines on a customer whose tasks are held back.
-const TELL_INTERVAL: Duration = Duration::from_secs(1);
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The shard's parts, and what its tasks use and want of them.
 #[derive(Debug)]
-pub(crate) struct Parts {
+pub(crate) struct Quotas {
     /// None before a configuration was read: until then no customer's job starts.
     limits: Option<Limits>,
-    holding: Allowance,
-    needs: BTreeMap<Arc<str>, Usage>,
+    allowance: Allowance,
+    usage: BTreeMap<Arc<str>, Usage>,
     /// Processor time that tasks want which were held back in the last round, in thousandths of a core.
-    pub(crate) held_back_millis: u64,
+    pub(crate) quota_blocked_millis: u64,
     /// When what is used was last counted.
-    counted: Duration,
+    recounted: Duration,
     /// When a line on each customer was last written.
-    told: BTreeMap<Arc<str>, Duration>,
+    logged: BTreeMap<Arc<str>, Duration>,
 }
 
-impl Parts {
+impl Quotas {
     pub(crate) fn new(shard: u32, epoch: u64) -> Self {
         Self {
             limits: None,
-            holding: Allowance::new(shard, epoch),
-            needs: BTreeMap::new(),
-            held_back_millis: 0,
-            counted: Duration::ZERO,
-            told: BTreeMap::new(),
+            allowance: Allowance::new(shard, epoch),
+            usage: BTreeMap::new(),
+            quota_blocked_millis: 0,
+            recounted: Duration::ZERO,
+            logged: BTreeMap::new(),
         }
     }
 
@@ -58,10 +58,10 @@
 
 impl Scheduler {
     /// Customers have other maxima from now on.
-    pub(crate) fn limit(&mut self, limits: Limits) {
+    pub(crate) fn set_limits(&mut self, limits: Limits) {
         self.parts.limits = Some(limits);
         // A customer that had no maximum before was not counted.
-        self.parts.counted = Duration::ZERO;
+        self.parts.recounted = Duration::ZERO;
         self.place_again = true;
     }
 
@@ -72,120 +72,120 @@
     }
 
     /// Counts what customers with a maximum use, before a round of placing.
-    pub(crate) fn count_used(&mut self, now: Duration) {
-        self.parts.held_back_millis = 0;
-        if now < self.parts.counted + COUNT_INTERVAL {
+    pub(crate) fn recount_usage(&mut self, now: Duration) {
+        self.parts.quota_blocked_millis = 0;
+        if now < self.parts.recounted + RECOUNT_INTERVAL {
             // What has ended since counts on, what was started since counts too.
-            for need in self.parts.needs.values_mut() {
-                *need = Usage { used: need.used, ..Usage::default() };
+            for usage in self.parts.usage.values_mut() {
+                *usage = Usage { used: usage.used, ..Usage::default() };
             }
             return;
         }
-        self.parts.counted = now;
-        self.parts.needs.clear();
+        self.parts.recounted = now;
+        self.parts.usage.clear();
         if self.parts.limits.as_ref().is_none_or(Limits::is_empty) {
             return;
         }
-        let mut needs: BTreeMap<Arc<str>, Usage> = BTreeMap::new();
+        let mut usage: BTreeMap<Arc<str>, Usage> = BTreeMap::new();
         let runs = self.workers.values().flat_map(|worker| worker.runs.keys());
         let runs = runs.map(|(task, _)| *task);
-        let is_open = !self.settlement.is_over();
-        let inherited = self.jobs.values().filter(|job| is_open && job.inherited);
-        let unseen = inherited.flat_map(unseen);
-        for task in runs.chain(unseen) {
+        let is_settling = !self.settlement.is_over();
+        let inherited = self.jobs.values().filter(|job| is_settling && job.inherited);
+        let unreported = inherited.flat_map(unreported_tasks);
+        for task in runs.chain(unreported) {
             let Some(customer) = self.limited_customer(task.job) else { continue };
-            let room = self.step_of(task).map(|step| step.resources).unwrap_or_default();
-            needs.entry(Arc::clone(customer)).or_default().used.add(&room);
+            let resources = self.step_of(task).map(|step| step.resources).unwrap_or_default();
+            usage.entry(Arc::clone(customer)).or_default().used.add(&resources);
         }
-        self.parts.needs = needs;
+        self.parts.usage = usage;
     }
 
     /// Whether a task of the job's customer was held back in this round. Nothing overtakes it: else small tasks
     /// would keep a large one waiting.
-    pub(crate) fn holds_back(&self, job: JobId) -> bool {
+    pub(crate) fn is_quota_blocked(&self, job: JobId) -> bool {
         let customer = self.limited_customer(job);
-        let need = customer.and_then(|customer| self.parts.needs.get(customer));
-        need.is_some_and(|need| need.pending != Resources::default())
+        let usage = customer.and_then(|customer| self.parts.usage.get(customer));
+        usage.is_some_and(|usage| usage.pending != Resources::default())
     }
 
     /// Whether the customer of a job may have `more` running here.
-    pub(crate) fn is_within_limit(&self, job: JobId, more: &Resources) -> bool {
+    pub(crate) fn is_within_quota(&self, job: JobId, more: &Resources) -> bool {
         let Some(customer) = self.limited_customer(job) else { return true };
-        let parts = &self.parts;
-        let limit = parts.limit(customer).unwrap_or(Resources::UNLIMITED);
-        let used = parts.needs.get(customer).map(|need| need.used).unwrap_or_default();
-        parts.holding.allows(customer, &limit, &used, more)
+        let quotas = &self.parts;
+        let limit = quotas.limit(customer).unwrap_or(Resources::UNLIMITED);
+        let used = quotas.usage.get(customer).map(|usage| usage.used).unwrap_or_default();
+        quotas.allowance.allows(customer, &limit, &used, more)
     }
 
     /// A task, or a gang, that wants `more` waits for a part of its customer's maximum.
-    pub(crate) fn hold_back(&mut self, now: Duration, job: JobId, more: &Resources) {
+    pub(crate) fn block_on_quota(&mut self, now: Duration, job: JobId, more: &Resources) {
         let Some(customer) = self.limited_customer(job).cloned() else { return };
-        self.tell_held_back(now, job, &customer);
-        let need = self.parts.needs.entry(customer).or_default();
-        if need.pending == Resources::default() {
-            need.first_pending = *more;
+        self.log_quota_blocked(now, job, &customer);
+        let usage = self.parts.usage.entry(customer).or_default();
+        if usage.pending == Resources::default() {
+            usage.first_pending = *more;
         }
-        need.pending.add(more);
-        self.parts.held_back_millis += more.cpu_millis;
+        usage.pending.add(more);
+        self.parts.quota_blocked_millis += more.cpu_millis;
     }
 
     /// One line on a customer, now and then.
-    fn tell_held_back(&mut self, now: Duration, job: JobId, customer: &Arc<str>) {
-        let parts = &mut self.parts;
-        if parts.told.get(customer).is_some_and(|told| now < *told + TELL_INTERVAL) {
+    fn log_quota_blocked(&mut self, now: Duration, job: JobId, customer: &Arc<str>) {
+        let quotas = &mut self.parts;
+        if quotas.logged.get(customer).is_some_and(|logged| now < *logged + LOG_INTERVAL) {
             return;
         }
-        parts.told.insert(Arc::clone(customer), now);
-        let used = parts.needs.get(customer).map(|need| need.used).unwrap_or_default();
-        let held = parts.holding.held(customer);
-        let limit = parts.limit(customer).unwrap_or(Resources::UNLIMITED);
+        quotas.logged.insert(Arc::clone(customer), now);
+        let used = quotas.usage.get(customer).map(|usage| usage.used).unwrap_or_default();
+        let allowed = quotas.allowance.held(customer);
+        let limit = quotas.limit(customer).unwrap_or(Resources::UNLIMITED);
         log::info!(
             "event=job_held_back job={job} customer={customer} used_millis={} held_millis={} limit_millis={} used_mb={} held_mb={} limit_mb={}",
             used.cpu_millis,
-            held.cpu_millis,
+            allowed.cpu_millis,
             limit.cpu_millis,
             used.mem_mb,
-            held.mem_mb,
+            allowed.mem_mb,
             limit.mem_mb
         );
     }
 
     /// A task of a job is started, within what its customer may have running.
-    pub(crate) fn note_used(&mut self, task: TaskId) {
+    pub(crate) fn charge_quota(&mut self, task: TaskId) {
         let Some(customer) = self.limited_customer(task.job).cloned() else { return };
-        let room = self.step_of(task).map(|step| step.resources).unwrap_or_default();
-        self.parts.needs.entry(customer).or_default().used.add(&room);
+        let resources = self.step_of(task).map(|step| step.resources).unwrap_or_default();
+        self.parts.usage.entry(customer).or_default().used.add(&resources);
     }
 
     /// Asks the ledger, when that is due.
-    pub(crate) fn ask_for_parts(&mut self, now: Duration) {
-        let parts = &mut self.parts;
-        let Some(limits) = parts.limits.as_ref().filter(|limits| !limits.is_empty()) else {
+    pub(crate) fn request_quota(&mut self, now: Duration) {
+        let quotas = &mut self.parts;
+        let Some(limits) = quotas.limits.as_ref().filter(|limits| !limits.is_empty()) else {
             return;
         };
-        if let Some(ask) = parts.holding.request(now, limits, &parts.needs) {
-            self.actions.push(Action::AskParts { ask });
+        if let Some(request) = quotas.allowance.request(now, limits, &quotas.usage) {
+            self.actions.push(Action::AskParts { ask: request });
         }
     }
 
     /// The ledger has answered, or not.
-    pub(crate) fn dealt(&mut self, number: u64, deal: Option<Grant>) {
-        match deal {
-            Some(deal) => self.place_again |= self.parts.holding.apply_grant(deal),
-            None => self.parts.holding.request_failed(number),
+    pub(crate) fn quota_answered(&mut self, number: u64, grant: Option<Grant>) {
+        match grant {
+            Some(grant) => self.place_again |= self.parts.allowance.apply_grant(grant),
+            None => self.parts.allowance.request_failed(number),
         }
     }
 }
 
 /// Tasks that an owner before may have started and that no worker has shown yet, once for each run.
-fn unseen(job: &Job) -> Vec<TaskId> {
+fn unreported_tasks(job: &Job) -> Vec<TaskId> {
     let mut found = Vec::new();
     for (id, task) in job.tasks() {
-        let is_seen = |number: u64| {
+        let is_reported = |number: u64| {
             task.runs.iter().any(|run| run.number == number && run.phase != Phase::Planned)
         };
-        let unseen = task.unseen.iter().filter(|(number, _)| !is_seen(*number));
-        found.extend(unseen.map(|_| id));
+        let unreported = task.unreported_runs.iter().filter(|(number, _)| !is_reported(*number));
+        found.extend(unreported.map(|_| id));
     }
     found
 }
--- a/crates/crosspath_schedule/src/lives.rs
+++ b/crates/crosspath_schedule/src/lives.rs
@@ -10,7 +10,7 @@
 use crosspath_border::worker::{Entry, PollReply};
 
 use crate::action::Action;
-use crate::losses::Fate;
+use crate::losses::Liveness;
 use crate::scheduler::Scheduler;
 
 /// Between a worker's identifier and when its life began, in the name of a life.
@@ -107,7 +107,7 @@
         worker.synced = false;
         let (worker, clock_ms) = (worker.target(), worker.entry.clock_ms);
         self.actions.push(Action::Watch { worker, clock_ms });
-        self.judge_lost_on(now, &before);
+        self.enforce_loss_limits_on(now, &before);
         self.end_lives_under(now, id);
     }
 
@@ -116,8 +116,8 @@
         let Some(worker) = self.workers.get(id) else { return };
         let born_ms = worker.entry.started_ms;
         for life in self.settlement.lives_before(id, born_ms) {
-            self.accounted(now, &life, Fate::Over);
-            self.judge_lost_on(now, &life);
+            self.accounted(now, &life, Liveness::Ended);
+            self.enforce_loss_limits_on(now, &life);
         }
     }
 }
--- a/crates/crosspath_schedule/src/looks.rs
+++ b/crates/crosspath_schedule/src/looks.rs
@@ -10,7 +10,7 @@
 use crate::action::Action;
 use crate::job::{Phase, Run};
 use crate::lives;
-use crate::losses::Fate;
+use crate::losses::Liveness;
 use crate::runs::STOPPED_WITHIN;
 use crate::scheduler::Scheduler;
 use crate::worker::Worker;
@@ -113,17 +113,17 @@
         let life = worker.life();
         self.actions.push(Action::Unwatch { worker: worker.target() });
         self.release_all(now, id, why);
-        self.accounted(now, &life, Fate::Over);
+        self.accounted(now, &life, Liveness::Ended);
         self.workers.remove(id);
-        self.judge_lost_on(now, &life);
+        self.enforce_loss_limits_on(now, &life);
     }
 
     pub(crate) fn release_all(&mut self, now: Duration, id: &Arc<str>, why: &str) {
         let Some(worker) = self.workers.get(id) else { return };
         let runs: Vec<_> = worker.runs.keys().copied().collect();
-        let company = self.company(worker);
+        let colocation = self.colocation(worker);
         for (task, run) in runs {
-            self.lose_run(now, id, task, run, company);
+            self.record_loss(now, id, task, run, colocation);
             self.drop_and_queue(now, id, task, run, why);
         }
     }
@@ -205,19 +205,19 @@
         }
         let life = worker.life();
         if was_lost {
-            self.acquit_all_on(now, &life);
+            self.clear_losses_on(now, &life);
         }
         for ended in &held.ended {
             self.ended(now, id, ended);
         }
         for running in &held.running {
-            self.acquit(now, running.task, running.run);
+            self.clear_loss(now, running.task, running.run);
             self.is_running(now, id, running);
         }
         self.reconcile(now, id, sent, &held.running);
-        self.accounted(now, &life, Fate::Answers);
+        self.accounted(now, &life, Liveness::Answering);
         // A record may not tell which life it means.
-        self.accounted(now, id, Fate::Answers);
+        self.accounted(now, id, Liveness::Answering);
         self.end_lives_before(now, id, sent);
     }
 
@@ -229,7 +229,7 @@
                 run.percent = row.percent;
                 run.progressed = now;
             }
-            run.looked = now;
+            run.last_seen = now;
             run.gauge = row.gauge;
             if row.checkpoint.is_some() {
                 run.checkpoint.clone_from(&row.checkpoint);
@@ -237,13 +237,13 @@
             if run.phase == Phase::Starting {
                 run.phase = Phase::Running;
                 run.answered = now;
-                self.begun(now, id.job);
+                self.mark_running(now, id.job);
             } else if run.phase == Phase::Stopped && now >= run.answered + STOPPED_WITHIN {
                 log::info!("event=run_shown_after_stop task={id} run={number} worker={worker}");
                 run.phase = Phase::Running;
                 self.stop_run(now, id, number);
             }
-            self.prove(now, worker, id, number);
+            self.end_probation(now, worker, id, number);
             return;
         }
         self.found(now, worker, row);
@@ -265,7 +265,7 @@
         let Some(known) = self.workers.get_mut(worker) else { return };
         known.reserve(id, number, room);
         known.suspect(id, number, losses);
-        let life = known.life();
+        let incarnation = known.life();
         if !wanted {
             log::info!("event=run_unwanted task={id} run={number} worker={worker}");
             let worker = known.target();
@@ -278,21 +278,21 @@
             task.runs.push(Run {
                 number,
                 worker: Arc::clone(worker),
-                life,
+                incarnation,
                 phase: Phase::Running,
-                sent: now,
+                start_sent: now,
                 answered: now,
                 stop_sent: Duration::ZERO,
                 percent: row.percent,
-                looked: now,
+                last_seen: now,
                 progressed: now,
                 checkpoint: row.checkpoint.clone(),
                 gauge: row.gauge,
-                pace: 100,
+                speed_percent: 100,
             });
         }
         self.commits.touch(now, id.job);
-        self.begun(now, id.job);
+        self.mark_running(now, id.job);
     }
 
     /// Rules out runs that a look, sent at `sent`, should have shown.
@@ -316,7 +316,7 @@
             let ruled_out = match run.phase {
                 Phase::Planned | Phase::Starting | Phase::Stopping => false,
                 Phase::Running | Phase::Stopped => run.answered < sent,
-                Phase::Doubtful => self.settings.terms.over(run.sent, start) < sent,
+                Phase::Doubtful => self.settings.terms.over(run.start_sent, start) < sent,
             };
             if ruled_out {
                 let ended = matches!(run.phase, Phase::Running);
--- a/crates/crosspath_schedule/src/losses.rs
+++ b/crates/crosspath_schedule/src/losses.rs
@@ -36,78 +36,80 @@
 use crate::worker::Worker;
 
 /// Losses from which tasks keep apart from each other.
-const APART_FROM: usize = 2;
+const SEPARATE_MIN_LOSSES: usize = 2;
 /// Losses from which a task runs alone.
-const ALONE_FROM: usize = 3;
+const ISOLATE_MIN_LOSSES: usize = 3;
 /// Losses from which one that came alone fails the task's job, so that a task that crashes its workers costs three or
 /// four lives.
-const GUILTY_FROM: usize = 3;
+const FAIL_ALONE_MIN_LOSSES: usize = 3;
 /// Losses from which a task's job has failed in any case: what an owner before left unseen has no witness. One fewer
 /// than the starts that callers are promised at most, three losses and two starts after them.
-const GIVEN_UP_FROM: usize = 4;
+const FAIL_MIN_LOSSES: usize = 4;
 /// A run that looks have shown for so long did not crash its worker by its start. Longer than brief tasks take on
 /// sound workers, and than three looks.
-const PROVEN: Duration = Duration::from_secs(3);
+const PROBATION: Duration = Duration::from_secs(3);
 /// Share of a pool's workers at most on which tasks run alone, or that are kept free for them.
-const ALONE_SHARE: f64 = 0.25;
+const MAX_ISOLATING_SHARE: f64 = 0.25;
 
 /// What came of a worker on which runs were unseen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Fate {
+pub(crate) enum Liveness {
     /// It answers: what it does not show is not there.
-    Answers,
+    Answering,
     /// Its life is over, or all leases there are.
-    Over,
+    Ended,
 }
 
 /// What ran on a worker when it was lost.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Company {
+pub(crate) struct Colocation {
     /// Runs beside each of its runs.
-    beside: usize,
+    others: usize,
     /// Whether no other run may be why the worker was lost.
     alone: bool,
 }
 
 /// Whether tasks with so many losses keep apart from each other.
-pub(crate) fn keeps_apart(losses: usize) -> bool {
-    losses >= APART_FROM
+pub(crate) fn needs_separation(losses: usize) -> bool {
+    losses >= SEPARATE_MIN_LOSSES
 }
 
 /// Whether a task with so many losses runs alone.
-pub(crate) fn runs_alone(losses: usize) -> bool {
-    losses >= ALONE_FROM
+pub(crate) fn needs_isolation(losses: usize) -> bool {
+    losses >= ISOLATE_MIN_LOSSES
 }
 
 impl Scheduler {
     /// Whether a run is known not to crash its worker by its start: it has gone on for so long, or is a lasting one
     /// that is past its start.
-    fn is_proven(&self, id: TaskId, number: u64) -> bool {
+    fn is_past_probation(&self, id: TaskId, number: u64) -> bool {
         let run = self.run(id, number);
-        run.is_some_and(|run| run.known() >= PROVEN || (self.lasts(id) && run.is_at_work()))
+        run.is_some_and(|run| {
+            run.observed() >= PROBATION || (self.is_long_running(id) && run.is_available())
+        })
     }
 
-    fn lasts(&self, id: TaskId) -> bool {
+    fn is_long_running(&self, id: TaskId) -> bool {
         self.step_of(id).is_some_and(|step| step.long_running)
     }
 
     /// Whether a run is surely not why its worker is lost: a lasting one that has proved itself.
-    fn is_innocent(&self, id: TaskId, number: u64) -> bool {
-        self.lasts(id) && self.is_proven(id, number)
+    fn is_above_suspicion(&self, id: TaskId, number: u64) -> bool {
+        self.is_long_running(id) && self.is_past_probation(id, number)
     }
 
     /// A run that a look has shown: once it has proved itself, it need not be alone any more, and a lasting task is
     /// cleared.
-    pub(crate) fn prove(&mut self, now: Duration, worker: &str, id: TaskId, number: u64) {
-        if !self.is_proven(id, number) {
+    pub(crate) fn end_probation(&mut self, now: Duration, worker: &str, id: TaskId, number: u64) {
+        if !self.is_past_probation(id, number) {
             return;
         }
-        let lasts = self.lasts(id);
+        let long_running = self.is_long_running(id);
         if let Some(worker) = self.workers.get_mut(worker) {
             self.place_again |= worker.suspects.remove(&(id, number)).is_some();
         }
         let Some(task) = self.task_mut(id) else { return };
-        if lasts && !task.lost.is_empty() {
+        if long_running && !task.lost.is_empty() {
             log::info!("event=task_cleared task={id} run={number} losses={}", task.lost.len());
             task.lost.clear();
             self.commits.touch(now, id.job);
@@ -115,53 +117,54 @@
     }
 
     /// A worker's end, or the end of its leases, takes a run along.
-    pub(crate) fn lose_run(
+    pub(crate) fn record_loss(
         &mut self,
         now: Duration,
         worker: &Arc<str>,
         id: TaskId,
         number: u64,
-        company: Company,
+        colocation: Colocation,
     ) {
         let Some(run) = self.run(id, number) else { return };
         let never_sent = run.phase == Phase::Planned;
-        let planned_end = self.workers.get(worker).is_some_and(|worker| worker.entry.draining);
-        if never_sent || planned_end || self.is_innocent(id, number) {
+        let draining = self.workers.get(worker).is_some_and(|worker| worker.entry.draining);
+        if never_sent || draining || self.is_above_suspicion(id, number) {
             return;
         }
-        let Company { beside, alone } = company;
+        let Colocation { others, alone } = colocation;
         log::info!(
-            "event=run_lost task={id} run={number} worker={worker} phase={:?} known_ms={} beside={beside}",
+            "event=run_lost task={id} run={number} worker={worker} phase={:?} known_ms={} beside={others}",
             run.phase,
-            run.known().as_millis()
+            run.observed().as_millis()
         );
-        let worker = Arc::clone(&run.life);
-        self.count_loss(now, id, Loss { run: number, worker, alone });
+        let worker = Arc::clone(&run.incarnation);
+        self.add_loss(now, id, Loss { run: number, worker, alone });
     }
 
     /// Runs of owners before that no answer has shown, and that the end of a worker's life took along.
-    pub(crate) fn lose_unseen(&mut self, now: Duration, life: &Arc<str>) {
-        let (worker, _) = lives::parse(life);
-        let drains = self.workers.get(worker).is_some_and(|worker| worker.entry.draining);
-        if drains && self.is_known_life(life) {
+    pub(crate) fn record_unreported_losses(&mut self, now: Duration, incarnation: &Arc<str>) {
+        let (worker, _) = lives::parse(incarnation);
+        let draining = self.workers.get(worker).is_some_and(|worker| worker.entry.draining);
+        if draining && self.is_known_life(incarnation) {
             return;
         }
         let mut lost = Vec::new();
         for job in self.jobs.values().filter(|job| job.inherited && !job.state.is_terminal()) {
             for (id, task) in job.tasks() {
-                let unseen = task.unseen.iter().filter(|(_, other)| other == life);
-                let unseen = unseen.filter(|(number, _)| self.run(id, *number).is_none());
-                lost.extend(unseen.map(|(number, _)| (id, *number)));
+                let unreported =
+                    task.unreported_runs.iter().filter(|(_, other)| other == incarnation);
+                let unreported = unreported.filter(|(number, _)| self.run(id, *number).is_none());
+                lost.extend(unreported.map(|(number, _)| (id, *number)));
             }
         }
         for (id, number) in lost {
-            log::info!("event=run_lost task={id} run={number} worker={life} phase=Unseen");
-            let worker = Arc::clone(life);
-            self.count_loss(now, id, Loss { run: number, worker, alone: false });
+            log::info!("event=run_lost task={id} run={number} worker={incarnation} phase=Unseen");
+            let worker = Arc::clone(incarnation);
+            self.add_loss(now, id, Loss { run: number, worker, alone: false });
         }
     }
 
-    fn count_loss(&mut self, now: Duration, id: TaskId, loss: Loss) {
+    fn add_loss(&mut self, now: Duration, id: TaskId, loss: Loss) {
         let Some(task) = self.task_mut(id) else { return };
         let known = task.lost.iter().any(|known| known.run == loss.run);
         if task.done || known {
@@ -174,7 +177,7 @@
     }
 
     /// An answer shows that a start had no effect, whatever became of the worker.
-    pub(crate) fn acquit(&mut self, now: Duration, id: TaskId, number: u64) {
+    pub(crate) fn clear_loss(&mut self, now: Duration, id: TaskId, number: u64) {
         let Some(task) = self.task_mut(id) else { return };
         let before = task.lost.len();
         task.lost.retain(|loss| loss.run != number);
@@ -185,10 +188,10 @@
     }
 
     /// A life answers that was taken for lost.
-    pub(crate) fn acquit_all_on(&mut self, now: Duration, life: &str) {
-        for id in self.tasks_lost_on(life) {
+    pub(crate) fn clear_losses_on(&mut self, now: Duration, incarnation: &str) {
+        for id in self.tasks_lost_on(incarnation) {
             let Some(task) = self.task_mut(id) else { continue };
-            task.lost.retain(|loss| *loss.worker != *life);
+            task.lost.retain(|loss| *loss.worker != *incarnation);
             self.commits.touch(now, id.job);
             self.requeue(id);
         }
@@ -197,90 +200,92 @@
     /// Its key tells whether a waiting task is to run alone.
     fn requeue(&mut self, id: TaskId) {
         let Some(job) = self.jobs.get(&id.job) else { return };
-        let key = Key::of(job, id);
+        let key = Key::new(job, id);
         if self.waiting.contains(&key) {
             self.waiting.replace(key);
         }
     }
 
-    fn tasks_lost_on(&self, life: &str) -> Vec<TaskId> {
+    fn tasks_lost_on(&self, incarnation: &str) -> Vec<TaskId> {
         let running = self.jobs.values().filter(|job| !job.state.is_terminal());
         let tasks = running.flat_map(Job::tasks);
-        let lost = tasks.filter(|(_, task)| task.lost.iter().any(|loss| *loss.worker == *life));
+        let lost =
+            tasks.filter(|(_, task)| task.lost.iter().any(|loss| *loss.worker == *incarnation));
         lost.map(|(id, _)| id).collect()
     }
 
     /// Gives up the tasks under which too many workers were lost, this life among them.
-    pub(crate) fn judge_lost_on(&mut self, now: Duration, life: &str) {
-        for id in self.tasks_lost_on(life) {
-            self.judge(now, id);
+    pub(crate) fn enforce_loss_limits_on(&mut self, now: Duration, incarnation: &str) {
+        for id in self.tasks_lost_on(incarnation) {
+            self.enforce_loss_limit(now, id);
         }
     }
 
-    fn judge(&mut self, now: Duration, id: TaskId) {
+    fn enforce_loss_limit(&mut self, now: Duration, id: TaskId) {
         let Some(job) = self.jobs.get(&id.job).filter(|job| !job.state.is_terminal()) else {
             return;
         };
         let Some(task) = job.task(id).filter(|task| !task.done) else { return };
         // A worker that is still listed may be back.
-        let over = task.lost.iter().filter(|loss| !self.is_known_life(&loss.worker));
-        let over: Vec<_> = over.collect();
-        let losses = over.len();
-        let alone = over.last().is_some_and(|loss| loss.alone);
-        if losses >= GIVEN_UP_FROM || (losses >= GUILTY_FROM && alone) {
+        let final_losses = task.lost.iter().filter(|loss| !self.is_known_life(&loss.worker));
+        let final_losses: Vec<_> = final_losses.collect();
+        let losses = final_losses.len();
+        let alone = final_losses.last().is_some_and(|loss| loss.alone);
+        if losses >= FAIL_MIN_LOSSES || (losses >= FAIL_ALONE_MIN_LOSSES && alone) {
             log::warn!("event=task_given_up task={id} losses={losses} workers={:?}", task.lost);
             self.finish(now, id.job, State::Failed);
         }
     }
 
     /// Notes which workers take nothing but tasks that run alone: as many as such tasks wait for.
-    pub(crate) fn keep_free(&mut self, now: Duration) {
+    pub(crate) fn reserve_for_isolation(&mut self, now: Duration) {
         self.kept_free.clear();
-        let alone = self.waiting.iter().filter(|key| key.alone).map(|key| key.task);
-        let alone: Vec<_> = alone.collect();
-        self.waits_alone = !alone.is_empty();
-        if alone.is_empty() {
+        let isolated = self.waiting.iter().filter(|key| key.isolated).map(|key| key.task);
+        let isolated: Vec<_> = isolated.collect();
+        self.waits_alone = !isolated.is_empty();
+        if isolated.is_empty() {
             return;
         }
-        let most = (self.workers.len() as f64 * ALONE_SHARE).ceil();
-        let taken = self.workers.values().filter(|worker| worker.isolates()).count();
-        let mut left = most - taken as f64;
-        for id in alone {
+        let max = (self.workers.len() as f64 * MAX_ISOLATING_SHARE).ceil();
+        let isolating = self.workers.values().filter(|worker| worker.isolates()).count();
+        let mut left = max - isolating as f64;
+        for id in isolated {
             if left < 1.0 {
                 return;
             }
-            let Some(worker) = self.soonest_free(now, id) else { continue };
+            let Some(worker) = self.best_worker_to_isolate(now, id) else { continue };
             self.kept_free.insert(worker);
             left -= 1.0;
         }
     }
 
     /// The worker where the fewest runs have to end before a task can run alone there.
-    fn soonest_free(&self, now: Duration, id: TaskId) -> Option<Arc<str>> {
+    fn best_worker_to_isolate(&self, now: Duration, id: TaskId) -> Option<Arc<str>> {
         let step = self.step_of(id)?;
-        let room = step.reserved();
-        let others = self.workers.values().filter(|worker| {
-            room.fits(&worker.entry.capacity) && self.takes(now, worker, id, step)
+        let resources = step.reserved();
+        let candidates = self.workers.values().filter(|worker| {
+            resources.fits(&worker.entry.capacity) && self.is_eligible(now, worker, id, step)
         });
-        let best = others.min_by_key(|worker| (self.unproven(worker), worker.runs.len()));
+        let best =
+            candidates.min_by_key(|worker| (self.runs_on_probation(worker), worker.runs.len()));
         best.map(|worker| Arc::clone(&worker.entry.id))
     }
 
     /// What runs on a worker. Any run may be why it is lost, but for lasting ones that have proved themselves.
-    pub(crate) fn company(&self, worker: &Worker) -> Company {
+    pub(crate) fn colocation(&self, worker: &Worker) -> Colocation {
         let runs = worker.runs.keys();
-        let to_blame = runs.filter(|(task, run)| !self.is_innocent(*task, *run));
-        let alone = to_blame.count() <= 1;
-        Company { beside: worker.runs.len().saturating_sub(1), alone }
+        let suspects = runs.filter(|(task, run)| !self.is_above_suspicion(*task, *run));
+        let alone = suspects.count() <= 1;
+        Colocation { others: worker.runs.len().saturating_sub(1), alone }
     }
 
     /// Runs there that have not proved themselves.
-    fn unproven(&self, worker: &Worker) -> usize {
-        worker.runs.keys().filter(|(task, run)| !self.is_proven(*task, *run)).count()
+    fn runs_on_probation(&self, worker: &Worker) -> usize {
+        worker.runs.keys().filter(|(task, run)| !self.is_past_probation(*task, *run)).count()
     }
 
     /// Whether a task that runs alone may start on a worker now.
-    pub(crate) fn is_free_for_one(&self, worker: &Worker) -> bool {
-        self.unproven(worker) == 0
+    pub(crate) fn can_isolate(&self, worker: &Worker) -> bool {
+        self.runs_on_probation(worker) == 0
     }
 }
--- a/crates/crosspath_schedule/src/report.rs
+++ b/crates/crosspath_schedule/src/report.rs
@@ -85,13 +85,13 @@
             });
         }
         for key in &self.waiting {
-            let cpu = key.room.cpu_millis;
+            let cpu = key.resources.cpu_millis;
             pool.waiting_millis += cpu;
-            pool.lasting_millis += if key.lasts() { cpu } else { 0 };
+            pool.lasting_millis += if key.is_long_running() { cpu } else { 0 };
             pool.largest_millis = pool.largest_millis.max(cpu);
         }
         // What only a customer's maximum holds back needs no VM.
-        pool.waiting_millis = pool.waiting_millis.saturating_sub(self.parts.held_back_millis);
+        pool.waiting_millis = pool.waiting_millis.saturating_sub(self.parts.quota_blocked_millis);
         pool.blocked_millis = self.blocked_millis();
         pool.unplaced_millis = if self.waiting.is_empty() { 0 } else { self.unplaced_millis };
         pool.unplaced_lasting = if self.waiting.is_empty() { 0 } else { self.unplaced_lasting };
@@ -127,11 +127,11 @@
     fn blocked_millis(&self) -> u64 {
         let mut total = 0;
         for job in self.jobs.values().filter(|job| !job.state.is_terminal()) {
-            for instance in job.instances.iter().filter(|instance| instance.due) {
-                for (number, step) in instance.steps.iter().enumerate() {
-                    if !step.open {
+            for occurrence in job.occurrences.iter().filter(|occurrence| occurrence.due) {
+                for (number, step) in occurrence.steps.iter().enumerate() {
+                    if !step.unblocked {
                         let room = job.accepted.spec.steps[number].reserved();
-                        total += room.cpu_millis * u64::from(step.left);
+                        total += room.cpu_millis * u64::from(step.remaining);
                     }
                 }
             }
--- a/crates/crosspath_schedule/src/scheduler.rs
+++ b/crates/crosspath_schedule/src/scheduler.rs
@@ -14,7 +14,7 @@
 use crate::event::Event;
 use crate::job::{Job, Task};
 use crate::lease::Terms;
-use crate::limits::Parts;
+use crate::limits::Quotas;
 use crate::looks::EndedLife;
 use crate::place::Key;
 use crate::shares::Shares;
@@ -54,7 +54,7 @@
     pub(crate) commits: Commits,
     pub(crate) settlement: Settlement,
     pub(crate) tickets: Tickets,
-    pub(crate) parts: Parts,
+    pub(crate) parts: Quotas,
     pub(crate) shares: Shares,
     pub(crate) vacate: BTreeSet<Arc<str>>,
     /// Data centres that get no new work.
@@ -97,7 +97,7 @@
             commits: Commits::default(),
             settlement: Settlement::new(&settings, now),
             tickets: Tickets::default(),
-            parts: Parts::new(settings.shard, epoch),
+            parts: Quotas::new(settings.shard, epoch),
             shares: Shares::default(),
             vacate: BTreeSet::new(),
             evacuated: Arc::default(),
@@ -138,8 +138,9 @@
     #[must_use]
     pub fn state(&self, job: JobId) -> Option<State> {
         let job = self.jobs.get(&job)?;
-        let unkept =
-            job.state.is_terminal() && job.state != State::Cancelled && job.kept != job.state;
+        let unkept = job.state.is_terminal()
+            && job.state != State::Cancelled
+            && job.durable_state != job.state;
         Some(if unkept { State::Running } else { job.state })
     }
 
@@ -182,7 +183,7 @@
                 self.stop_answered(now, &worker, task, run, answer);
             }
             Event::Advised { step, answer } => {
-                self.tickets.advised(now, step, answer);
+                self.tickets.record_answer(now, step, answer);
                 self.place_again = true;
             }
             Event::Committed => self.committed(now),
@@ -205,15 +206,15 @@
                 self.may_act = may_act;
             }
             Event::HandedOver(leases) => self.hand_over(leases),
-            Event::Limits(limits) => self.limit(limits),
-            Event::Weights { weights, part } => self.weigh(weights, part),
-            Event::Dealt { number, deal } => self.dealt(number, deal),
+            Event::Limits(limits) => self.set_limits(limits),
+            Event::Weights { weights, part } => self.set_weights(weights, part),
+            Event::Dealt { number, deal } => self.quota_answered(number, deal),
             Event::Superseded => self.superseded = true,
             Event::Tick => {
                 self.look_over = true;
                 // Time alone proves the runs beside which it may start.
                 self.place_again |= self.waits_alone;
-                self.open_due(now, wall_ms);
+                self.unblock_due_steps(now, wall_ms);
                 self.release_lapsed(now);
                 self.forget_ended(now);
                 self.forget_ended_lives(now);
@@ -226,9 +227,9 @@
         if self.may_act {
             if std::mem::take(&mut self.look_over) {
                 self.stop_again(now);
-                self.vacate_tasks(now);
+                self.stop_tasks_to_vacate(now);
                 self.stop_stalled(now);
-                self.pace();
+                self.throttle_best_effort();
             }
             let pause = if self.waiting.len() > BACKLOG { PLACE_INTERVAL } else { Duration::ZERO };
             if self.place_again && self.may_start && now >= self.placed + pause {
@@ -236,7 +237,7 @@
                 self.placed = now;
                 self.place(now);
             }
-            self.ask_for_parts(now);
+            self.request_quota(now);
         }
         self.commit(now, wall_ms);
         std::mem::take(&mut self.actions)
--- a/crates/crosspath_schedule/src/stall.rs
+++ b/crates/crosspath_schedule/src/stall.rs
@@ -12,9 +12,9 @@
 
 /// Between two looks that show no progress. Even a long task on a slow worker gains some percent in it; going on from
 /// a checkpoint takes a part of it before.
-const STANDSTILL: Duration = Duration::from_millis(1_200);
+const STALL_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// Blame for a run that stands still: two keep a worker from new work.
-const BLAME_STALLED: f64 = 1.5;
+const STALL_PENALTY: f64 = 1.5;
 
 impl Scheduler {
     pub(crate) fn stop_stalled(&mut self, now: Duration) {
@@ -27,20 +27,20 @@
             let Some(worker) = self.run(task, run).map(|run| run.worker.clone()) else { continue };
             log::info!("event=run_stalled task={task} run={run} worker={worker}");
             if let Some(worker) = self.workers.get_mut(&worker) {
-                worker.add_blame(now, BLAME_STALLED);
+                worker.add_blame(now, STALL_PENALTY);
             }
             self.stop_run(now, task, run);
         }
     }
 
     fn is_stalled(&self, id: TaskId, number: u64) -> bool {
-        let brief = self
+        let applies = self
             .step_of(id)
             .is_some_and(|step| !step.long_running && !step.gang && !step.best_effort);
-        brief && self.run(id, number).is_some_and(stands_still)
+        applies && self.run(id, number).is_some_and(has_stalled)
     }
 }
 
-fn stands_still(run: &Run) -> bool {
-    run.phase == Phase::Running && run.looked >= run.progressed + STANDSTILL
+fn has_stalled(run: &Run) -> bool {
+    run.phase == Phase::Running && run.last_seen >= run.progressed + STALL_TIMEOUT
 }
--- a/crates/crosspath_schedule/src/takeover.rs
+++ b/crates/crosspath_schedule/src/takeover.rs
@@ -21,7 +21,7 @@
 
 use crate::event::Event;
 use crate::lives;
-use crate::losses::Fate;
+use crate::losses::Liveness;
 use crate::scheduler::{Scheduler, Settings};
 
 /// For orders of the owner before that were on their way.
@@ -126,7 +126,7 @@
         }
         let ids: Vec<_> = self.jobs.keys().copied().collect();
         for id in ids {
-            self.open_steps(now, wall_ms, id);
+            self.unblock_steps(now, wall_ms, id);
         }
         for entry in workers {
             self.handle(now, wall_ms, Event::WorkerSeen(entry));
@@ -134,23 +134,23 @@
     }
 
     /// A life of a worker has answered, or is over: what it does not show is not there.
-    pub(crate) fn accounted(&mut self, now: Duration, life: &Arc<str>, fate: Fate) {
+    pub(crate) fn accounted(&mut self, now: Duration, life: &Arc<str>, fate: Liveness) {
         if self.settlement.unaccounted.remove(life).is_none() {
             return;
         }
-        if fate == Fate::Over {
-            self.lose_unseen(now, life);
+        if fate == Liveness::Ended {
+            self.record_unreported_losses(now, life);
         }
         self.place_again = true;
         for job in self.jobs.values_mut().filter(|job| job.inherited) {
-            job.rule_out(|other| other == life);
+            job.drop_unreported(|other| other == life);
         }
     }
 
     /// What was unseen on a life is over: it counts as lost, and its tasks are judged by that.
     pub(crate) fn lost_unseen(&mut self, now: Duration, life: &Arc<str>) {
-        self.accounted(now, life, Fate::Over);
-        self.judge_lost_on(now, life);
+        self.accounted(now, life, Liveness::Ended);
+        self.enforce_loss_limits_on(now, life);
     }
 
     /// What this owner knows of leases, for the next one. A worker that it looked at may have heard a
@@ -204,7 +204,7 @@
             self.lost_unseen(now, &life);
         }
         for job in self.jobs.values_mut().filter(|job| job.inherited) {
-            job.rule_out(|_| true);
+            job.drop_unreported(|_| true);
         }
     }
 
@@ -213,6 +213,6 @@
         let Some(job) = self.jobs.get(&id.job) else { return false };
         job.inherited
             && !self.settlement.over
-            && job.task(id).is_some_and(|task| !task.unseen.is_empty())
+            && job.task(id).is_some_and(|task| !task.unreported_runs.is_empty())
     }
 }
--- a/crates/crosspath_schedule/src/pace.rs
+++ b/crates/crosspath_schedule/src/throttle.rs
@@ -10,26 +10,26 @@
 use crate::scheduler::Scheduler;
 
 /// Tail, as a share of its target, from which fill work is slowed.
-const HIGH: f64 = 0.85;
+const SLOW_DOWN_RATIO: f64 = 0.85;
 /// Tail, as a share of its target, below which fill work may speed up.
-const LOW: f64 = 0.6;
+const SPEED_UP_RATIO: f64 = 0.6;
 /// What fill work keeps of its speed at each slowing, in percent.
-const SLOW_TO: u32 = 40;
+const SLOW_DOWN_PERCENT: u32 = 40;
 /// What it gains at each step up, in percent of full speed.
-const SPEED_UP: u32 = 15;
+const SPEED_UP_PERCENT: u32 = 15;
 /// Below this share it is stopped altogether, in percent.
-const LEAST: u32 = 5;
+const MIN_PERCENT: u32 = 5;
 
 impl Scheduler {
-    pub(crate) fn pace(&mut self) {
+    pub(crate) fn throttle_best_effort(&mut self) {
         let mut orders = Vec::new();
         for worker in self.workers.values().filter(|worker| worker.failures == 0) {
             let mut pressure: f64 = 0.0;
-            let mut fillers: Vec<(TaskId, u64)> = Vec::new();
+            let mut best_effort: Vec<(TaskId, u64)> = Vec::new();
             for (task, run) in worker.runs.keys() {
                 let Some(step) = self.step_of(*task) else { continue };
                 if step.best_effort {
-                    fillers.push((*task, *run));
+                    best_effort.push((*task, *run));
                 } else if step.tail_target_ms > 0 {
                     let gauge = self.run(*task, *run).map_or(0, |run| run.gauge);
                     pressure = pressure.max(gauge as f64 / step.tail_target_ms as f64);
@@ -37,7 +37,7 @@
             }
             let target = worker.target();
             orders.extend(
-                fillers.into_iter().map(|(task, run)| (target.clone(), task, run, pressure)),
+                best_effort.into_iter().map(|(task, run)| (target.clone(), task, run, pressure)),
             );
         }
         for (worker, id, number, pressure) in orders {
@@ -45,22 +45,22 @@
             if run.phase != Phase::Running {
                 continue;
             }
-            let percent = paced(run.pace, pressure);
-            if percent != run.pace {
-                run.pace = percent;
+            let percent = adjusted_percent(run.speed_percent, pressure);
+            if percent != run.speed_percent {
+                run.speed_percent = percent;
                 self.actions.push(Action::Pace { worker, task: id, run: number, percent });
             }
         }
     }
 }
 
-fn paced(now: u32, pressure: f64) -> u32 {
-    if pressure >= HIGH {
-        let slower = now * SLOW_TO / 100;
-        if slower < LEAST { 0 } else { slower }
-    } else if pressure < LOW {
-        (now + SPEED_UP).min(100)
+fn adjusted_percent(percent: u32, pressure: f64) -> u32 {
+    if pressure >= SLOW_DOWN_RATIO {
+        let slower = percent * SLOW_DOWN_PERCENT / 100;
+        if slower < MIN_PERCENT { 0 } else { slower }
+    } else if pressure < SPEED_UP_RATIO {
+        (percent + SPEED_UP_PERCENT).min(100)
     } else {
-        now
+        percent
     }
 }
--- a/crates/crosspath_schedule/src/tickets.rs
+++ b/crates/crosspath_schedule/src/tickets.rs
@@ -11,15 +11,15 @@
 use crate::scheduler::Scheduler;
 
 /// Workers that one question to the advice service may name.
-const ADVICE_WORKERS: usize = 100;
+const MAX_ADVICE_WORKERS: usize = 100;
 /// A question to the advice service without an answer is asked again after this.
-const ADVICE_AGAIN: Duration = Duration::from_millis(500);
+const ADVICE_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 /// A ticket is not used in its last moments: the start must arrive in time.
 const TICKET_MARGIN: Duration = Duration::from_millis(300);
 
 impl Scheduler {
     /// Whether the task needs no advice or has some; asks for it otherwise.
-    pub(crate) fn has_advice(&mut self, now: Duration, id: TaskId) -> bool {
+    pub(crate) fn ensure_advice(&mut self, now: Duration, id: TaskId) -> bool {
         let Some(job) = self.jobs.get(&id.job) else { return false };
         if job.accepted.advice.is_none() {
             return true;
@@ -28,10 +28,12 @@
         if self.tickets.is_fresh(now, step) {
             return true;
         }
-        if self.tickets.may_ask(now, step) {
+        if self.tickets.begin_request(now, step) {
             let workers = self.workers.values().filter(|worker| worker.is_usable(now));
-            let workers: Vec<_> =
-                workers.map(|worker| Arc::clone(&worker.entry.id)).take(ADVICE_WORKERS).collect();
+            let workers: Vec<_> = workers
+                .map(|worker| Arc::clone(&worker.entry.id))
+                .take(MAX_ADVICE_WORKERS)
+                .collect();
             if !workers.is_empty() {
                 self.actions.push(Action::Advise { step, workers });
             }
@@ -47,9 +49,9 @@
 
 #[derive(Debug, Default)]
 struct Advice {
-    good: BTreeMap<Arc<str>, Arc<str>>,
+    approved: BTreeMap<Arc<str>, Arc<str>>,
     valid_until: Duration,
-    asked: Duration,
+    requested: Duration,
 }
 
 fn step_id(task: TaskId) -> StepId {
@@ -62,16 +64,16 @@
     }
 
     /// Whether no question for the step is on its way; notes that one is now.
-    fn may_ask(&mut self, now: Duration, step: StepId) -> bool {
+    fn begin_request(&mut self, now: Duration, step: StepId) -> bool {
         let advice = self.0.entry(step).or_default();
-        let may = advice.asked.is_zero() || now >= advice.asked + ADVICE_AGAIN;
-        if may {
-            advice.asked = now;
+        let due = advice.requested.is_zero() || now >= advice.requested + ADVICE_RETRY_INTERVAL;
+        if due {
+            advice.requested = now;
         }
-        may
+        due
     }
 
-    pub(crate) fn advised(
+    pub(crate) fn record_answer(
         &mut self,
         now: Duration,
         step: StepId,
@@ -82,27 +84,27 @@
             Ok(answer) => {
                 let valid = Duration::from_millis(answer.valid_ms).saturating_sub(TICKET_MARGIN);
                 // The ticket's time may have begun when the question was sent.
-                advice.valid_until = advice.asked + valid;
-                advice.good = answer.approved.into_iter().collect();
+                advice.valid_until = advice.requested + valid;
+                advice.approved = answer.approved.into_iter().collect();
             }
             Err(error) => {
                 log::info!("event=no_advice job={} step={} error=\"{error}\"", step.job, step.step);
-                advice.asked = now;
+                advice.requested = now;
             }
         }
     }
 
     /// The step's tickets do not hold any more.
-    pub(crate) fn forget(&mut self, task: TaskId) {
+    pub(crate) fn invalidate(&mut self, task: TaskId) {
         self.0.remove(&step_id(task));
     }
 
     pub(crate) fn allows(&self, task: TaskId, worker: &Arc<str>) -> bool {
         let advice = self.0.get(&step_id(task));
-        advice.is_none_or(|advice| advice.good.contains_key(worker))
+        advice.is_none_or(|advice| advice.approved.contains_key(worker))
     }
 
     pub(crate) fn ticket(&self, task: TaskId, worker: &Arc<str>) -> Option<Arc<str>> {
-        self.0.get(&step_id(task))?.good.get(worker).cloned()
+        self.0.get(&step_id(task))?.approved.get(worker).cloned()
     }
 }
--- a/crates/crosspath_schedule/src/vacate.rs
+++ b/crates/crosspath_schedule/src/vacate.rs
@@ -13,18 +13,18 @@
 use crate::worker::Worker;
 
 /// Tasks with a checkpoint go on elsewhere below this percent of their work; above, they end soon.
-const MOVE_BELOW: u32 = 70;
+const MOVE_BELOW_PERCENT: u32 = 70;
 /// What moving a task costs its job: a stop of up to 0.9 s, a wait for room, another start.
 const MOVE_COST: Duration = Duration::from_millis(1_500);
 
 impl Scheduler {
-    pub(crate) fn vacate_tasks(&mut self, now: Duration) {
+    pub(crate) fn stop_tasks_to_vacate(&mut self, now: Duration) {
         let leaving = |worker: &&Worker| {
-            worker.failures == 0 && (worker.entry.draining || self.is_emptied(worker))
+            worker.failures == 0 && (worker.entry.draining || self.must_be_vacated(worker))
         };
         let leaving = self.workers.values().filter(leaving);
         let runs: Vec<_> = leaving.flat_map(|worker| worker.runs.keys().copied()).collect();
-        self.weigh_blame(now);
+        self.update_quarantine(now);
         for (task, run) in runs {
             if self.should_stop(now, task, run) {
                 log::info!("event=run_moved task={task} run={run}");
@@ -39,7 +39,7 @@
     }
 
     /// Whether a worker is to become vacant: its VM is wanted elsewhere, or its data centre is evacuated.
-    pub(crate) fn is_emptied(&self, worker: &Worker) -> bool {
+    pub(crate) fn must_be_vacated(&self, worker: &Worker) -> bool {
         self.vacate.contains(&worker.entry.vm) || self.is_evacuated(worker)
     }
 
@@ -52,42 +52,43 @@
         }
         if step.long_running {
             let limit = step.max_unavailable.unwrap_or(1);
-            return self.others_away(now, job, id) < limit && self.has_room_elsewhere(now, id);
+            return self.unavailable_siblings(now, job, id) < limit && self.fits_elsewhere(now, id);
         }
-        let movable = step.checkpoints && run.percent < MOVE_BELOW && run.checkpoint.is_some();
-        movable && !is_made_late_by_move(now, job, id, run.percent)
+        let movable =
+            step.checkpoints && run.percent < MOVE_BELOW_PERCENT && run.checkpoint.is_some();
+        movable && !misses_deadline_if_moved(now, job, id, run.percent)
     }
 
     /// Other tasks of the step that are not at work, as far as is known.
-    fn others_away(&self, now: Duration, job: &Job, id: TaskId) -> u32 {
-        let step = &job.instances[id.occurrence as usize].steps[id.step as usize];
-        let at_work = |run: &Run| {
+    fn unavailable_siblings(&self, now: Duration, job: &Job, id: TaskId) -> u32 {
+        let step = &job.occurrences[id.occurrence as usize].steps[id.step as usize];
+        let available = |run: &Run| {
             let worker = self.workers.get(&run.worker);
-            let sound = worker.is_some_and(Worker::answers);
-            let works = run.phase == Phase::Running && run.is_at_work();
-            sound && works && !self.may_be_stopped_by_another(now, run)
+            let answers = worker.is_some_and(Worker::answers);
+            let running = run.phase == Phase::Running && run.is_available();
+            answers && running && !self.may_be_stopped_by_another(now, run)
         };
         let others = (0..).zip(&step.tasks).filter(|(index, _)| *index != id.index);
-        let away = others.filter(|(_, task)| !task.runs.iter().any(at_work));
-        u32::try_from(away.count()).unwrap_or(u32::MAX)
+        let unavailable = others.filter(|(_, task)| !task.runs.iter().any(available));
+        u32::try_from(unavailable.count()).unwrap_or(u32::MAX)
     }
 
-    fn has_room_elsewhere(&self, now: Duration, id: TaskId) -> bool {
+    fn fits_elsewhere(&self, now: Duration, id: TaskId) -> bool {
         let Some(step) = self.step_of(id) else { return false };
-        let room = step.reserved();
+        let resources = step.reserved();
         self.workers
             .values()
-            .any(|worker| self.takes(now, worker, id, step) && room.fits(&worker.free()))
+            .any(|worker| self.is_eligible(now, worker, id, step) && resources.fits(&worker.free()))
     }
 }
 
 /// Whether a job ends in time by its estimates if its task goes on where it is, and does not if the
 /// task is moved.
-fn is_made_late_by_move(now: Duration, job: &Job, id: TaskId, percent: u32) -> bool {
-    let estimate = job.accepted.spec.steps[id.step as usize].estimate_ms;
-    let done = estimate * u64::from(percent.min(100)) / 100;
-    let left = job.chains_ms[id.step as usize].saturating_sub(done);
-    let end = now + Duration::from_millis(left);
-    let due = job.due();
-    end <= due && end + MOVE_COST > due
+fn misses_deadline_if_moved(now: Duration, job: &Job, id: TaskId, percent: u32) -> bool {
+    let estimate_ms = job.accepted.spec.steps[id.step as usize].estimate_ms;
+    let done_ms = estimate_ms * u64::from(percent.min(100)) / 100;
+    let remaining_ms = job.critical_paths_ms[id.step as usize].saturating_sub(done_ms);
+    let end = now + Duration::from_millis(remaining_ms);
+    let deadline = job.deadline();
+    end <= deadline && end + MOVE_COST > deadline
 }
--- a/crates/crosspath_schedule/src/worker.rs
+++ b/crates/crosspath_schedule/src/worker.rs
@@ -124,8 +124,8 @@
 
     /// Notes a run of a task with so many losses.
     pub(crate) fn suspect(&mut self, task: TaskId, run: u64, losses: usize) {
-        if losses::keeps_apart(losses) {
-            self.suspects.insert((task, run), losses::runs_alone(losses));
+        if losses::needs_separation(losses) {
+            self.suspects.insert((task, run), losses::needs_isolation(losses));
         }
     }
 
