--- a/crates/crosspath_caller/src/answer.rs
+++ b/crates/crosspath_caller/src/answer.rs
@@ -106,7 +106,7 @@
         Rejection::Body { source } => match source {
             BodyError::TooLarge { .. } => StatusCode::PAYLOAD_TOO_LARGE,
             BodyError::TooSlow { .. } => StatusCode::REQUEST_TIMEOUT,
-            BodyError::Cut => StatusCode::BAD_REQUEST,
+            BodyError::Truncated => StatusCode::BAD_REQUEST,
         },
     };
     let reason = rejection.reason();
--- a/crates/crosspath_caller/src/request.rs
+++ b/crates/crosspath_caller/src/request.rs
@@ -82,7 +82,7 @@
             Self::Body { source } => match source {
                 BodyError::TooLarge { .. } => "body_too_large",
                 BodyError::TooSlow { .. } => "body_too_slow",
-                BodyError::Cut => "body_cut",
+                BodyError::Truncated => "body_cut",
             },
         }
     }
--- a/crates/crosspath_fakes/src/site.rs
+++ b/crates/crosspath_fakes/src/site.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use crosspath_http::client::{self, Answer, Client, Method, StatusCode};
+use crosspath_http::client::{self, Client, Method, Response, StatusCode};
 use crosspath_state::name::VmName;
 use http::Request;
 use nix::sys::signal::{Signal, kill};
@@ -400,7 +400,7 @@
         token: &str,
         request: http::request::Builder,
         body: &str,
-    ) -> Result<Answer, client::Error> {
+    ) -> Result<Response, client::Error> {
         let client = Client::new(self.daemons[index].callers, CALL_TIMEOUT).with_token(token);
         client.send(request, Bytes::copy_from_slice(body.as_bytes())).await
     }
--- a/crates/crosspath_http/src/body.rs
+++ b/crates/crosspath_http/src/body.rs
@@ -33,7 +33,7 @@
     },
     /// It ended before it was whole.
     #[snafu(display("body ended before it was whole"))]
-    Cut,
+    Truncated,
 }
 
 /// Reads a whole body, bounded in size and time.
@@ -41,16 +41,16 @@
 /// # Errors
 ///
 /// [`BodyError`] when a bound is passed or the body is cut short.
-pub async fn read(body: Incoming, bytes: u64, time: Duration) -> Result<Bytes, BodyError> {
+pub async fn read(body: Incoming, bytes: u64, timeout: Duration) -> Result<Bytes, BodyError> {
     let limit = usize::try_from(bytes).unwrap_or(usize::MAX);
-    let whole = Limited::new(body, limit).collect();
-    let Ok(whole) = tokio::time::timeout(time, whole).await else {
-        return TooSlowSnafu { limit: time }.fail();
+    let collected = Limited::new(body, limit).collect();
+    let Ok(collected) = tokio::time::timeout(timeout, collected).await else {
+        return TooSlowSnafu { limit: timeout }.fail();
     };
-    match whole {
-        Ok(whole) => Ok(whole.to_bytes()),
+    match collected {
+        Ok(collected) => Ok(collected.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => TooLargeSnafu { limit: bytes }.fail(),
-        Err(_) => CutSnafu.fail(),
+        Err(_) => TruncatedSnafu.fail(),
     }
 }
 
@@ -68,9 +68,9 @@
 #[must_use]
 pub fn json(status: StatusCode, value: &impl Serialize) -> Response<Body> {
     let bytes = serde_json::to_vec(value).expect("answers have a JSON form");
-    let mut answer = Response::new(full(bytes));
-    *answer.status_mut() = status;
-    let kind = header::HeaderValue::from_static("application/json");
-    answer.headers_mut().insert(header::CONTENT_TYPE, kind);
-    answer
+    let mut response = Response::new(full(bytes));
+    *response.status_mut() = status;
+    let content_type = header::HeaderValue::from_static("application/json");
+    response.headers_mut().insert(header::CONTENT_TYPE, content_type);
+    response
 }
--- a/crates/crosspath_http/src/client.rs
+++ b/crates/crosspath_http/src/client.rs
@@ -13,7 +13,7 @@
 use http::{Request, header};
 use http_body_util::{BodyExt as _, Full, Limited};
 use hyper::body::Incoming;
-use hyper_util::client::legacy::Client as Pool;
+use hyper_util::client::legacy::Client as HyperClient;
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::TokioExecutor;
 use serde::Serialize;
@@ -23,7 +23,7 @@
 use crate::connection::Connection;
 use crate::latency::Latency;
 
-const MAX_ANSWER_BYTES: usize = 64 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 /// Idle time after which a connection is probed, and time between probes: the kernel counts whole
 /// seconds.
 const KEEPALIVE: Duration = Duration::from_secs(1);
@@ -66,12 +66,12 @@
     },
 }
 
-type Connections = Pool<HttpConnector, Full<Bytes>>;
+type Pool = HyperClient<HttpConnector, Full<Bytes>>;
 
 /// A client of one server; clones share its connections.
 #[derive(Debug, Clone)]
 pub struct Client {
-    connections: Arc<Mutex<Connections>>,
+    pool: Arc<Mutex<Pool>>,
     /// Idle connections for what goes by the process that it reaches.
     pub(crate) idle: Arc<Mutex<Vec<Connection>>>,
     latency: Arc<Mutex<Latency>>,
@@ -83,14 +83,14 @@
 
 /// An answer as it came.
 #[derive(Debug)]
-pub struct Answer {
+pub struct Response {
     /// Status and headers.
     pub head: http::response::Parts,
     /// The whole body.
     pub body: Bytes,
 }
 
-impl AsRef<Self> for Answer {
+impl AsRef<Self> for Response {
     fn as_ref(&self) -> &Self {
         self
     }
@@ -108,7 +108,7 @@
     #[must_use]
     pub fn with_connect_timeout(address: SocketAddr, connect: Duration, timeout: Duration) -> Self {
         Self {
-            connections: Arc::new(Mutex::new(connections(connect))),
+            pool: Arc::new(Mutex::new(new_pool(connect))),
             idle: Arc::default(),
             latency: Arc::default(),
             connect_timeout: connect,
@@ -157,8 +157,8 @@
         timeout: Duration,
     ) -> Result<A, Error> {
         let request = Request::builder().method(method).uri(path);
-        let answer = self.send_within(request, encode(body), timeout).await?;
-        self.decode(&answer)
+        let response = self.send_within(request, encode(body), timeout).await?;
+        self.decode(&response)
     }
 
     /// As [`Self::call`], for a call whose effect is the same however often it arrives.
@@ -166,7 +166,7 @@
     /// # Errors
     ///
     /// As for [`Self::call`].
-    pub async fn call_repeatable<A: DeserializeOwned>(
+    pub async fn call_idempotent<A: DeserializeOwned>(
         &self,
         method: Method,
         path: &str,
@@ -174,18 +174,18 @@
     ) -> Result<A, Error> {
         let request = Request::builder().method(method).uri(path);
         let body = encode(body);
-        let answer = self.send_repeatable(request, body, self.timeout, Duration::ZERO).await?;
-        self.decode(&answer)
+        let response = self.send_idempotent(request, body, self.timeout, Duration::ZERO).await?;
+        self.decode(&response)
     }
 
-    fn decode<A: DeserializeOwned>(&self, answer: &Answer) -> Result<A, Error> {
+    fn decode<A: DeserializeOwned>(&self, response: &Response) -> Result<A, Error> {
         let address = self.address;
-        let status = answer.head.status;
+        let status = response.head.status;
         if !status.is_success() {
-            let body = String::from_utf8_lossy(&answer.body).into_owned();
+            let body = String::from_utf8_lossy(&response.body).into_owned();
             return StatusSnafu { address, status, body }.fail();
         }
-        let bytes = if answer.body.is_empty() { b"null".as_slice() } else { &answer.body };
+        let bytes = if response.body.is_empty() { b"null".as_slice() } else { &response.body };
         serde_json::from_slice(bytes).context(MalformedSnafu { address })
     }
 
@@ -198,7 +198,7 @@
         &self,
         request: http::request::Builder,
         body: Bytes,
-    ) -> Result<Answer, Error> {
+    ) -> Result<Response, Error> {
         self.send_within(request, body, self.timeout).await
     }
 
@@ -212,16 +212,16 @@
         request: http::request::Builder,
         body: Bytes,
         timeout: Duration,
-    ) -> Result<Answer, Error> {
+    ) -> Result<Response, Error> {
         let request = self.request(request, body)?;
         // Also when the caller stops waiting first, and this future is dropped.
-        let doubt = Doubt { client: self };
+        let pending = PendingCall { client: self };
         let exchange = tokio::time::timeout(timeout, self.exchange(request));
-        let Ok(answer) = exchange.await else {
+        let Ok(response) = exchange.await else {
             return NoAnswerSnafu { address: self.address }.fail();
         };
-        doubt.settle();
-        answer
+        pending.complete();
+        response
     }
 
     /// As [`Self::send_within`], for a request whose effect is the same however often it arrives.
@@ -230,22 +230,22 @@
     /// # Errors
     ///
     /// As for [`Self::send`].
-    pub async fn send_repeatable(
+    pub async fn send_idempotent(
         &self,
         request: http::request::Builder,
         body: Bytes,
         timeout: Duration,
         wait: Duration,
-    ) -> Result<Answer, Error> {
+    ) -> Result<Response, Error> {
         let request = self.request(request, body)?;
         let exchange = || self.exchange(request.clone());
-        self.repeat(exchange, timeout, wait).await
+        self.hedge(exchange, timeout, wait).await
     }
 
     /// Time after which an answer is overdue now, beyond what the server may wait.
     #[must_use]
-    pub fn overdue(&self) -> Duration {
-        self.latency().overdue()
+    pub fn hedging_delay(&self) -> Duration {
+        self.latency().hedging_delay()
     }
 
     pub(crate) fn request(
@@ -268,37 +268,37 @@
     }
 
     /// Gives up the idle connections; calls under way keep theirs.
-    pub(crate) fn renew(&self) {
-        *self.connections() = connections(self.connect_timeout);
+    pub(crate) fn discard_idle(&self) {
+        *self.pool() = new_pool(self.connect_timeout);
         self.idle().clear();
     }
 
-    fn connections(&self) -> MutexGuard<'_, Connections> {
-        self.connections.lock().unwrap_or_else(PoisonError::into_inner)
+    fn pool(&self) -> MutexGuard<'_, Pool> {
+        self.pool.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) async fn exchange(&self, request: Request<Full<Bytes>>) -> Result<Answer, Error> {
+    pub(crate) async fn exchange(&self, request: Request<Full<Bytes>>) -> Result<Response, Error> {
         let address = self.address;
-        let connections = self.connections().clone();
-        let answer = match connections.request(request).await {
-            Ok(answer) => answer,
+        let pool = self.pool().clone();
+        let response = match pool.request(request).await {
+            Ok(response) => response,
             Err(error) if error.is_connect() => return NotSentSnafu { address }.fail(),
             Err(_) => return NoAnswerSnafu { address }.fail(),
         };
-        whole(address, answer).await
+        read_response(address, response).await
     }
 }
 
 /// Reads the whole of an answer.
-pub(crate) async fn whole(
+pub(crate) async fn read_response(
     address: SocketAddr,
-    answer: http::Response<Incoming>,
-) -> Result<Answer, Error> {
-    let (head, body) = answer.into_parts();
-    let Ok(whole) = Limited::new(body, MAX_ANSWER_BYTES).collect().await else {
+    response: http::Response<Incoming>,
+) -> Result<Response, Error> {
+    let (head, body) = response.into_parts();
+    let Ok(body) = Limited::new(body, MAX_RESPONSE_BYTES).collect().await else {
         return NoAnswerSnafu { address }.fail();
     };
-    Ok(Answer { head, body: whole.to_bytes() })
+    Ok(Response { head, body: body.to_bytes() })
 }
 
 fn encode(body: Option<&impl Serialize>) -> Bytes {
@@ -307,8 +307,8 @@
 }
 
 /// Connections to one server, none open yet.
-fn connections(connect_timeout: Duration) -> Connections {
-    Pool::builder(TokioExecutor::new()).build(connector(connect_timeout))
+fn new_pool(connect_timeout: Duration) -> Pool {
+    HyperClient::builder(TokioExecutor::new()).build(connector(connect_timeout))
 }
 
 pub(crate) fn connector(connect_timeout: Duration) -> HttpConnector {
@@ -323,19 +323,19 @@
 
 /// A call that has no answer yet. Dropped without one it gives up the idle connections.
 #[derive(Debug)]
-pub(crate) struct Doubt<'a> {
+pub(crate) struct PendingCall<'a> {
     pub(crate) client: &'a Client,
 }
 
-impl Doubt<'_> {
+impl PendingCall<'_> {
     /// The call has ended with an answer, or with an error of its connection.
-    pub(crate) fn settle(self) {
+    pub(crate) fn complete(self) {
         std::mem::forget(self);
     }
 }
 
-impl Drop for Doubt<'_> {
+impl Drop for PendingCall<'_> {
     fn drop(&mut self) {
-        self.client.renew();
+        self.client.discard_idle();
     }
 }
--- a/crates/crosspath_http/src/connection.rs
+++ b/crates/crosspath_http/src/connection.rs
@@ -15,36 +15,38 @@
 use hyper_util::client::legacy::connect::HttpConnector;
 use tower::ServiceExt as _;
 
-use crate::client::{Answer, Client, Doubt, Error, NoAnswerSnafu, NotSentSnafu, connector, whole};
+use crate::client::{
+    Client, Error, NoAnswerSnafu, NotSentSnafu, PendingCall, Response, connector, read_response,
+};
 
 /// An answer, and the connection that it came over; closed unless it is kept.
 #[derive(Debug)]
-pub struct Heard {
+pub struct Exchange {
     /// The answer.
-    pub answer: Answer,
+    pub response: Response,
     connection: Connection,
     idle: Arc<Mutex<Vec<Connection>>>,
 }
 
-impl AsRef<Answer> for Heard {
-    fn as_ref(&self) -> &Answer {
-        &self.answer
+impl AsRef<Response> for Exchange {
+    fn as_ref(&self) -> &Response {
+        &self.response
     }
 }
 
-impl Heard {
+impl Exchange {
     /// Keeps the connection for further requests.
-    pub fn keep(self) -> Answer {
+    pub fn keep_alive(self) -> Response {
         let process = self.connection.process;
-        self.keep_to(process)
+        self.keep_alive_to(process)
     }
 
     /// Keeps the connection for further requests; the answer tells which process it leads to, or does not.
-    pub fn keep_to(self, process: Option<u64>) -> Answer {
+    pub fn keep_alive_to(self, process: Option<u64>) -> Response {
         let mut connection = self.connection;
         connection.process = process;
         self.idle.lock().unwrap_or_else(PoisonError::into_inner).push(connection);
-        self.answer
+        self.response
     }
 }
 
@@ -80,10 +82,10 @@
     pub(crate) async fn exchange(
         &mut self,
         request: Request<Full<Bytes>>,
-    ) -> Result<Answer, Error> {
+    ) -> Result<Response, Error> {
         let address = self.address;
         match self.sender.send_request(in_origin_form(request, address)).await {
-            Ok(answer) => whole(address, answer).await,
+            Ok(response) => read_response(address, response).await,
             Err(error) if error.is_canceled() => NotSentSnafu { address }.fail(),
             Err(_) => NoAnswerSnafu { address }.fail(),
         }
@@ -91,24 +93,24 @@
 }
 
 impl Client {
-    /// As [`Self::send_repeatable`], for a request that may depend on which process it reaches: `request` makes it
+    /// As [`Self::send_idempotent`], for a request that may depend on which process it reaches: `request` makes it
     /// for the process that answered over its connection before, or for one that is not known.
     ///
     /// # Errors
     ///
     /// As for [`Self::send`].
-    pub async fn send_by_process(
+    pub async fn send_idempotent_with(
         &self,
         request: impl Fn(Option<u64>) -> (http::request::Builder, Bytes),
         timeout: Duration,
         wait: Duration,
-    ) -> Result<Heard, Error> {
+    ) -> Result<Exchange, Error> {
         let request = |process| {
             let (request, body) = request(process);
             self.request(request, body)
         };
-        let exchange = || self.exchange_directly(&request);
-        self.repeat(exchange, timeout, wait).await
+        let exchange = || self.exchange_over_connection(&request);
+        self.hedge(exchange, timeout, wait).await
     }
 
     /// Sends a request over a connection that leads to `process`; none where there is no such connection.
@@ -122,21 +124,21 @@
         request: http::request::Builder,
         body: Bytes,
         timeout: Duration,
-    ) -> Option<Result<Heard, Error>> {
-        let leads_there = |connection: &Connection| connection.process == Some(process);
-        let mut connection = self.idle_connection(leads_there).await?;
+    ) -> Option<Result<Exchange, Error>> {
+        let matches_process = |connection: &Connection| connection.process == Some(process);
+        let mut connection = self.idle_connection(matches_process).await?;
         let request = match self.request(request, body) {
             Ok(request) => request,
             Err(error) => return Some(Err(error)),
         };
-        let doubt = Doubt { client: self };
+        let pending = PendingCall { client: self };
         let exchange = tokio::time::timeout(timeout, connection.exchange(request));
-        let Ok(answer) = exchange.await else {
+        let Ok(response) = exchange.await else {
             return Some(NoAnswerSnafu { address: self.address }.fail());
         };
-        doubt.settle();
+        pending.complete();
         let idle = Arc::clone(&self.idle);
-        Some(answer.map(|answer| Heard { answer, connection, idle }))
+        Some(response.map(|response| Exchange { response, connection, idle }))
     }
 
     pub(crate) fn idle(&self) -> MutexGuard<'_, Vec<Connection>> {
@@ -144,12 +146,12 @@
     }
 
     /// An idle connection that is still open, the one used last.
-    async fn idle_connection(&self, suits: impl Fn(&Connection) -> bool) -> Option<Connection> {
+    async fn idle_connection(&self, matches: impl Fn(&Connection) -> bool) -> Option<Connection> {
         loop {
             let mut connection = {
                 let mut idle = self.idle();
-                let at = idle.iter().rposition(&suits)?;
-                idle.remove(at)
+                let index = idle.iter().rposition(&matches)?;
+                idle.remove(index)
             };
             if connection.is_open().await {
                 return Some(connection);
@@ -157,16 +159,16 @@
         }
     }
 
-    async fn exchange_directly(
+    async fn exchange_over_connection(
         &self,
         request: &impl Fn(Option<u64>) -> Result<Request<Full<Bytes>>, Error>,
-    ) -> Result<Heard, Error> {
+    ) -> Result<Exchange, Error> {
         let mut connection = match self.idle_connection(|_| true).await {
             Some(connection) => connection,
             None => Connection::open(connector(self.connect_timeout), self.address).await?,
         };
-        let answer = connection.exchange(request(connection.process)?).await?;
-        Ok(Heard { answer, connection, idle: Arc::clone(&self.idle) })
+        let response = connection.exchange(request(connection.process)?).await?;
+        Ok(Exchange { response, connection, idle: Arc::clone(&self.idle) })
     }
 }
 
--- a/crates/crosspath_http/src/repeat.rs
+++ b/crates/crosspath_http/src/hedge.rs
@@ -11,66 +11,67 @@
 use http::StatusCode;
 use tokio::time::Instant;
 
-use crate::client::{Answer, Client, Doubt, Error, NoAnswerSnafu, NotSentSnafu};
+use crate::client::{Client, Error, NoAnswerSnafu, NotSentSnafu, PendingCall, Response};
 
 /// Times that a request which may be repeated is sent at most: of answers of which a third is lost,
 /// one call in 27 gets none.
-const MOST_TRIES: usize = 3;
+const MAX_ATTEMPTS: usize = 3;
 
 impl Client {
     /// The first answer to some tries of one request, within `timeout`.
-    pub(crate) async fn repeat<T: AsRef<Answer>, F: Future<Output = Result<T, Error>>>(
+    pub(crate) async fn hedge<T: AsRef<Response>, F: Future<Output = Result<T, Error>>>(
         &self,
         exchange: impl Fn() -> F,
         timeout: Duration,
         wait: Duration,
     ) -> Result<T, Error> {
-        let doubt = Doubt { client: self };
-        let Ok(answer) = tokio::time::timeout(timeout, self.tries(exchange, wait)).await else {
+        let pending = PendingCall { client: self };
+        let Ok(response) = tokio::time::timeout(timeout, self.attempts(exchange, wait)).await
+        else {
             // It takes at least as long, so that a server that turns this slow is not asked thrice each time.
             self.latency().observe(timeout.saturating_sub(wait));
             return NoAnswerSnafu { address: self.address }.fail();
         };
-        doubt.settle();
-        answer
+        pending.complete();
+        response
     }
 
     /// The first answer to some tries, each begun when the one before is overdue or has failed.
-    async fn tries<T: AsRef<Answer>, F: Future<Output = Result<T, Error>>>(
+    async fn attempts<T: AsRef<Response>, F: Future<Output = Result<T, Error>>>(
         &self,
         exchange: impl Fn() -> F,
         wait: Duration,
     ) -> Result<T, Error> {
-        let mut tries = FuturesUnordered::new();
-        let mut overdue = self.latency().overdue();
-        let mut failed = Failures::default();
-        for _ in 0..MOST_TRIES {
-            tries.push(self.observed(exchange(), wait));
-            match tokio::time::timeout(wait + overdue, tries.next()).await {
+        let mut attempts = FuturesUnordered::new();
+        let mut delay = self.latency().hedging_delay();
+        let mut failures = Failures::default();
+        for _ in 0..MAX_ATTEMPTS {
+            attempts.push(self.timed(exchange(), wait));
+            match tokio::time::timeout(wait + delay, attempts.next()).await {
                 Ok(Some(result)) => {
-                    if let Some(answer) = failed.sift(result, !tries.is_empty()) {
-                        return Ok(answer);
+                    if let Some(response) = failures.conclusive(result, !attempts.is_empty()) {
+                        return Ok(response);
                     }
                 }
                 Ok(None) | Err(_) => {
                     log::info!(
                         "event=answer_overdue server={} after_ms={}",
                         self.address,
-                        (wait + overdue).as_millis()
+                        (wait + delay).as_millis()
                     );
                     // A lost answer says nothing of how long answers take: only those that come do.
-                    overdue *= 2;
+                    delay *= 2;
                 }
             }
-            self.renew();
+            self.discard_idle();
         }
-        while let Some(result) = tries.next().await {
-            if let Some(answer) = failed.sift(result, !tries.is_empty()) {
-                return Ok(answer);
+        while let Some(result) = attempts.next().await {
+            if let Some(response) = failures.conclusive(result, !attempts.is_empty()) {
+                return Ok(response);
             }
         }
         let address = self.address;
-        if failed.doubtful {
+        if failures.unconfirmed {
             NoAnswerSnafu { address }.fail()
         } else {
             NotSentSnafu { address }.fail()
@@ -78,17 +79,17 @@
     }
 
     /// An exchange whose time is noted, unless the server was asked to wait.
-    async fn observed<T>(
+    async fn timed<T>(
         &self,
         exchange: impl Future<Output = Result<T, Error>>,
         wait: Duration,
     ) -> Result<T, Error> {
         let sent = Instant::now();
-        let answer = exchange.await?;
+        let response = exchange.await?;
         if wait.is_zero() {
             self.latency().observe(sent.elapsed());
         }
-        Ok(answer)
+        Ok(response)
     }
 }
 
@@ -96,28 +97,28 @@
 #[derive(Debug, Default)]
 struct Failures {
     /// Whether one of them may have had its effect.
-    doubtful: bool,
+    unconfirmed: bool,
 }
 
 impl Failures {
     /// The answer of a try, if it tells the fate of the request. A refusal tells that of its own try
     /// only, so it is no answer while another may have had its effect, or yet have it.
-    fn sift<T: AsRef<Answer>>(
+    fn conclusive<T: AsRef<Response>>(
         &mut self,
         result: Result<T, Error>,
-        others_under_way: bool,
+        others_pending: bool,
     ) -> Option<T> {
         match result {
-            Ok(answer)
-                if is_refusal(answer.as_ref().head.status)
-                    && (self.doubtful || others_under_way) =>
+            Ok(response)
+                if is_refusal(response.as_ref().head.status)
+                    && (self.unconfirmed || others_pending) =>
             {
-                self.doubtful = true;
+                self.unconfirmed = true;
                 None
             }
-            Ok(answer) => Some(answer),
+            Ok(response) => Some(response),
             Err(error) => {
-                self.doubtful |= !matches!(error, Error::NotSent { .. });
+                self.unconfirmed |= !matches!(error, Error::NotSent { .. });
                 None
             }
         }
--- a/crates/crosspath_http/src/latency.rs
+++ b/crates/crosspath_http/src/latency.rs
@@ -6,17 +6,17 @@
 use std::time::Duration;
 
 /// Overdue before anything was answered: servers are some ms away, and busy at a start.
-const FIRST_OVERDUE: Duration = Duration::from_millis(300);
+const INITIAL_HEDGING_DELAY: Duration = Duration::from_millis(300);
 /// Never overdue sooner: a daemon on a slow VM takes some 50 ms for an answer that takes 5 else.
-const LEAST_OVERDUE: Duration = Duration::from_millis(150);
+const MIN_HEDGING_DELAY: Duration = Duration::from_millis(150);
 /// Always overdue by then: above the time-outs of calls, since a server that takes this long is only
 /// made slower by repeating what it was asked.
-const MOST_OVERDUE: Duration = Duration::from_millis(2_000);
+const MAX_HEDGING_DELAY: Duration = Duration::from_millis(2_000);
 /// Weight of the last answer in mean and deviation: a server that turns slow is known as such after
 /// some three answers.
 const WEIGHT: f64 = 0.3;
 /// Deviations above the mean.
-const DEVIATIONS: f64 = 4.0;
+const DEVIATION_FACTOR: f64 = 4.0;
 
 /// Time that the answers of a server take.
 #[derive(Debug, Default, Clone, Copy)]
@@ -43,9 +43,9 @@
 
     /// Time after which an answer is overdue.
     #[must_use]
-    pub fn overdue(&self) -> Duration {
-        let Some(mean) = self.mean else { return FIRST_OVERDUE };
-        let overdue = Duration::from_secs_f64(mean + DEVIATIONS * self.deviation);
-        overdue.clamp(LEAST_OVERDUE, MOST_OVERDUE)
+    pub fn hedging_delay(&self) -> Duration {
+        let Some(mean) = self.mean else { return INITIAL_HEDGING_DELAY };
+        let delay = Duration::from_secs_f64(mean + DEVIATION_FACTOR * self.deviation);
+        delay.clamp(MIN_HEDGING_DELAY, MAX_HEDGING_DELAY)
     }
 }
--- a/crates/crosspath_http/src/lib.rs
+++ b/crates/crosspath_http/src/lib.rs
@@ -3,8 +3,8 @@
 pub mod body;
 pub mod client;
 pub mod connection;
+mod hedge;
 pub mod latency;
-mod repeat;
 pub mod server;
 
 pub use body::Body;
--- a/crates/crosspath_http/src/server.rs
+++ b/crates/crosspath_http/src/server.rs
@@ -20,7 +20,7 @@
 
 use crate::body::Body;
 
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 const MAX_HEADERS: usize = 100;
 
 /// Limits on connections.
@@ -67,21 +67,21 @@
     H: Fn(Request<Incoming>, SocketAddr) -> F + Clone + Send + Sync + 'static,
     F: Future<Output = Response<Body>> + Send + 'static,
 {
-    let slots = Arc::new(Semaphore::new(limits.connections));
+    let permits = Arc::new(Semaphore::new(limits.connections));
     let graceful = GracefulShutdown::new();
     let builder = Arc::new(builder(&limits));
     loop {
         let accepted = tokio::select! {
-            accepted = accept(&listener, &slots) => accepted,
+            accepted = accept(&listener, &permits) => accepted,
             _ = stop.wait_for(|stage| *stage >= Stage::Finishing) => break,
         };
-        let Some((stream, peer, slot)) = accepted else {
+        let Some((stream, peer, permit)) = accepted else {
             continue;
         };
         let handler = handler.clone();
         let service = service_fn(move |request| {
-            let answer = handler(request, peer);
-            async move { Ok::<_, Infallible>(answer.await) }
+            let response = handler(request, peer);
+            async move { Ok::<_, Infallible>(response.await) }
         });
         let connection = builder.serve_connection(TokioIo::new(stream), service);
         let connection = graceful.watch(connection.into_owned());
@@ -89,7 +89,7 @@
             if let Err(error) = connection.await {
                 log::debug!("event=connection_ended peer={peer} error={error:?}");
             }
-            drop(slot);
+            drop(permit);
         });
     }
     drop(listener);
@@ -117,16 +117,16 @@
 
 type Accepted = (TcpStream, SocketAddr, tokio::sync::OwnedSemaphorePermit);
 
-async fn accept(listener: &TcpListener, slots: &Arc<Semaphore>) -> Option<Accepted> {
-    let slot = Arc::clone(slots).acquire_owned().await.ok()?;
+async fn accept(listener: &TcpListener, permits: &Arc<Semaphore>) -> Option<Accepted> {
+    let permit = Arc::clone(permits).acquire_owned().await.ok()?;
     match listener.accept().await {
         Ok((stream, peer)) => {
             let _ = stream.set_nodelay(true);
-            Some((stream, peer, slot))
+            Some((stream, peer, permit))
         }
         Err(error) => {
             log::warn!("event=accept_failed error={error}");
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             None
         }
     }
--- a/crates/crosspath_http/tests/http/latency.rs
+++ b/crates/crosspath_http/tests/http/latency.rs
@@ -9,45 +9,45 @@
 }
 
 /// A server that has answered some times within `took`.
-fn answering(took: Duration, times: usize) -> Latency {
+fn latency_after(took: Duration, count: usize) -> Latency {
     let mut latency = Latency::default();
-    (0..times).for_each(|_| latency.observe(took));
+    (0..count).for_each(|_| latency.observe(took));
     latency
 }
 
 #[test]
-fn a_quick_server_is_overdue_soon() {
-    assert_eq!(answering(ms(10), 20).overdue(), ms(150));
+fn a_fast_server_has_the_minimum_delay() {
+    assert_eq!(latency_after(ms(10), 20).hedging_delay(), ms(150));
 }
 
 #[test]
-fn a_server_that_turns_slow_is_not_overdue_after_some_answers() {
-    let mut latency = answering(ms(10), 20);
+fn the_delay_adapts_to_a_slower_server_within_three_responses() {
+    let mut latency = latency_after(ms(10), 20);
     for _ in 0..3 {
         latency.observe(ms(240));
     }
-    assert!(latency.overdue() > ms(300), "{:?}", latency.overdue());
+    assert!(latency.hedging_delay() > ms(300), "{:?}", latency.hedging_delay());
 }
 
 #[test]
-fn a_server_that_is_quick_again_is_known_as_such() {
-    let mut latency = answering(ms(240), 20);
+fn the_delay_adapts_to_a_server_that_is_fast_again() {
+    let mut latency = latency_after(ms(240), 20);
     for _ in 0..20 {
         latency.observe(ms(10));
     }
-    assert!(latency.overdue() < ms(170), "{:?}", latency.overdue());
+    assert!(latency.hedging_delay() < ms(170), "{:?}", latency.hedging_delay());
 }
 
 #[test]
-fn an_answer_is_overdue_in_any_case_at_last() {
-    assert_eq!(answering(ms(5_000), 5).overdue(), ms(2_000));
+fn the_delay_has_a_maximum() {
+    assert_eq!(latency_after(ms(5_000), 5).hedging_delay(), ms(2_000));
 }
 
 #[test]
-fn a_server_that_takes_longer_than_calls_last_is_not_asked_twice() {
-    let mut latency = answering(ms(10), 20);
+fn the_delay_exceeds_call_timeouts_of_a_slow_server() {
+    let mut latency = latency_after(ms(10), 20);
     for took in [150, 300, 430, 600, 800] {
         latency.observe(ms(took));
     }
-    assert!(latency.overdue() > ms(1_200), "{:?}", latency.overdue());
+    assert!(latency.hedging_delay() > ms(1_200), "{:?}", latency.hedging_delay());
 }
--- a/crates/crosspath_http/tests/http/main.rs
+++ b/crates/crosspath_http/tests/http/main.rs
@@ -1,5 +1,5 @@
 //! Tests of the client against servers over loopback.
 
+mod hedge;
 mod latency;
-mod repeat;
 mod silent;
--- a/crates/crosspath_http/tests/http/silent.rs
+++ b/crates/crosspath_http/tests/http/silent.rs
@@ -15,7 +15,7 @@
 /// For an answer; far above what loopback takes on a busy machine.
 const TIMEOUT: Duration = Duration::from_millis(2_000);
 /// For an answer that will not come.
-const SHORT: Duration = Duration::from_millis(100);
+const UNANSWERED_TIMEOUT: Duration = Duration::from_millis(100);
 /// So long a request is under way, so that others need connections of their own.
 const SERVICE_TIME: Duration = Duration::from_millis(30);
 
@@ -39,11 +39,11 @@
     async fn accept(self: Arc<Self>, listener: TcpListener) {
         while let Ok((stream, _)) = listener.accept().await {
             let number = self.accepted.fetch_add(1, Ordering::SeqCst);
-            drop(tokio::spawn(Arc::clone(&self).answer(stream, number)));
+            drop(tokio::spawn(Arc::clone(&self).respond(stream, number)));
         }
     }
 
-    async fn answer(self: Arc<Self>, mut stream: TcpStream, number: usize) {
+    async fn respond(self: Arc<Self>, mut stream: TcpStream, number: usize) {
         let mut head = vec![0; 4096];
         while let Ok(length) = stream.read(&mut head).await {
             if length == 0 {
@@ -53,8 +53,8 @@
             if number < self.silent_below.load(Ordering::SeqCst) {
                 std::future::pending::<()>().await;
             }
-            let answer = b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nnull";
-            if stream.write_all(answer).await.is_err() {
+            let response = b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nnull";
+            if stream.write_all(response).await.is_err() {
                 return;
             }
         }
@@ -74,43 +74,43 @@
 }
 
 /// A client with some idle connections, all of which have gone silent.
-async fn silenced() -> (Arc<Server>, Client) {
+async fn client_with_silent_connections() -> (Arc<Server>, Client) {
     let (server, address) = Server::start().await;
     let client = Client::new(address, TIMEOUT);
-    for answer in join_all((0..CONNECTIONS).map(|_| call(&client, TIMEOUT))).await {
-        answer.expect("an answer");
+    for response in join_all((0..CONNECTIONS).map(|_| call(&client, TIMEOUT))).await {
+        response.expect("a response");
     }
     server.silence_open_connections();
     (server, client)
 }
 
 #[tokio::test]
-async fn after_a_call_without_an_answer_none_waits_on_a_silent_connection() {
-    let (_server, client) = silenced().await;
-    let unanswered = call(&client, SHORT).await;
+async fn no_call_uses_a_silent_connection_after_an_unanswered_one() {
+    let (_server, client) = client_with_silent_connections().await;
+    let unanswered = call(&client, UNANSWERED_TIMEOUT).await;
     assert!(matches!(unanswered, Err(Error::NoAnswer { .. })), "{unanswered:?}");
     for _ in 0..CONNECTIONS {
-        call(&client, TIMEOUT).await.expect("an answer on a new connection");
+        call(&client, TIMEOUT).await.expect("a response on a new connection");
     }
 }
 
 #[tokio::test]
-async fn a_caller_that_stops_waiting_first_leaves_no_silent_connection_to_the_next() {
-    let (_server, client) = silenced().await;
-    let unanswered = tokio::time::timeout(SHORT, call(&client, TIMEOUT)).await;
+async fn a_cancelled_call_leaves_no_silent_connection_to_the_next() {
+    let (_server, client) = client_with_silent_connections().await;
+    let unanswered = tokio::time::timeout(UNANSWERED_TIMEOUT, call(&client, TIMEOUT)).await;
     assert!(unanswered.is_err(), "{unanswered:?}");
     // A clone shares the connections.
     let client = client.clone();
     for _ in 0..CONNECTIONS {
-        call(&client, TIMEOUT).await.expect("an answer on a new connection");
+        call(&client, TIMEOUT).await.expect("a response on a new connection");
     }
 }
 
 #[tokio::test]
-async fn a_call_under_way_is_not_cut_by_another_without_an_answer() {
-    let (_server, client) = silenced().await;
+async fn an_unanswered_call_does_not_abort_a_concurrent_one() {
+    let (_server, client) = client_with_silent_connections().await;
     let unanswered = call(&client, Duration::from_millis(1));
-    let waits = async {
+    let concurrent = async {
         // On a new connection: the first one has given up the silent ones by then.
         tokio::time::sleep(SERVICE_TIME).await;
         let slow = call(&client, TIMEOUT);
@@ -118,16 +118,16 @@
         let (slow, _) = tokio::join!(slow, other);
         slow
     };
-    let (_, slow) = tokio::join!(unanswered, waits);
-    slow.expect("an answer");
+    let (_, slow) = tokio::join!(unanswered, concurrent);
+    slow.expect("a response");
 }
 
 #[tokio::test]
-async fn answered_calls_share_a_connection() {
+async fn sequential_calls_reuse_a_connection() {
     let (server, address) = Server::start().await;
     let client = Client::new(address, TIMEOUT);
     for _ in 0..CONNECTIONS {
-        call(&client, TIMEOUT).await.expect("an answer");
+        call(&client, TIMEOUT).await.expect("a response");
     }
     assert_eq!(server.connections(), 1);
 }
--- a/crates/crosspath_node/src/rpc.rs
+++ b/crates/crosspath_node/src/rpc.rs
@@ -120,7 +120,7 @@
         address: SocketAddr,
         question: &Question,
     ) -> Result<Answer, CallError> {
-        self.client(address).call_repeatable(Method::POST, PATH, Some(question)).await
+        self.client(address).call_idempotent(Method::POST, PATH, Some(question)).await
     }
 
     /// Asks a peer to append: sent once, since the fate of one try is told.
--- a/crates/crosspath_operator/src/answer.rs
+++ b/crates/crosspath_operator/src/answer.rs
@@ -48,7 +48,7 @@
             Self::TooOld { .. } => StatusCode::GONE,
             Self::Body { source: BodyError::TooLarge { .. } } => StatusCode::PAYLOAD_TOO_LARGE,
             Self::Body { source: BodyError::TooSlow { .. } } => StatusCode::REQUEST_TIMEOUT,
-            Self::Body { source: BodyError::Cut } => StatusCode::BAD_REQUEST,
+            Self::Body { source: BodyError::Truncated } => StatusCode::BAD_REQUEST,
             Self::Commit { source } => commit_status(source),
         }
     }
--- a/crates/crosspathd/examples/quickstart/traffic.rs
+++ b/crates/crosspathd/examples/quickstart/traffic.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use crosspath_fakes::ledger::{PAYMENT_ID, Receipt};
 use crosspath_fakes::site::{Daemon, Declared};
-use crosspath_http::client::{Answer, Client};
+use crosspath_http::client::{Client, Response};
 use crosspath_state::resource::Kind;
 use hdrhistogram::Histogram;
 use http::Request;
@@ -188,7 +188,7 @@
         told
     }
 
-    fn read(&self, payment: &str, answer: &Answer) -> Told {
+    fn read(&self, payment: &str, answer: &Response) -> Told {
         let outcome = answer.head.headers.get("crosspath-outcome");
         match outcome.and_then(|outcome| outcome.to_str().ok()) {
             Some("upstream" | "recorded") => {
--- a/crates/crosspathd/tests/site/common.rs
+++ b/crates/crosspathd/tests/site/common.rs
@@ -5,7 +5,7 @@
 
 use crosspath_fakes::ledger::{PAYMENT_ID, Receipt};
 use crosspath_fakes::site::{Plan, Site};
-use crosspath_http::client::{self, Answer, Method};
+use crosspath_http::client::{self, Method, Response};
 use crosspath_state::resource::Kind;
 use http::Request;
 use serde_json::{Value, json};
@@ -108,7 +108,7 @@
 }
 
 impl Told {
-    fn read(answer: Result<Answer, client::Error>) -> Self {
+    fn read(answer: Result<Response, client::Error>) -> Self {
         let Ok(answer) = answer else {
             let (outcome, reason) = ("nothing".to_owned(), String::new());
             return Self { status: 0, outcome, reason, receipt: None, retry_after: false };
