--- a/crates/crosspath_fleet/src/donor.rs
+++ b/crates/crosspath_fleet/src/donor.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank<'a> {
     /// A VM that is idle while it awaits its upkeep can have it at once.
-    awaits_upkeep: bool,
+    awaits_maintenance: bool,
     used_millis: u64,
     name: &'a str,
 }
@@ -24,7 +24,7 @@
     /// VMs of serving pools that have been idle for long, the best last.
     idle: BTreeMap<Arc<str>, Vec<(Rank<'a>, &'a Vm)>>,
     /// VMs that are off, the best last.
-    off: Vec<(Rank<'a>, &'a Vm)>,
+    spare: Vec<(Rank<'a>, &'a Vm)>,
     /// Other VMs of serving pools without lasting tasks, the best last.
     serving: BTreeMap<Arc<str>, Vec<(Rank<'a>, &'a Vm)>>,
 }
@@ -33,15 +33,15 @@
     /// Ranks VMs that are free to be moved; `is_long_idle` tells of those that go off if they are not given away.
     pub(crate) fn new(
         index: &Index<'a>,
-        free: impl Iterator<Item = &'a Vm>,
+        movable: impl Iterator<Item = &'a Vm>,
         is_long_idle: impl Fn(&Vm) -> bool,
     ) -> Self {
         let mut donors = Self::default();
-        for vm in free {
-            let awaits_upkeep = index.awaits_upkeep(vm);
-            let rank = |used_millis| Rank { awaits_upkeep, used_millis, name: &vm.name };
-            if index.is_off(vm) {
-                donors.off.push((rank(0), vm));
+        for vm in movable {
+            let awaits_maintenance = index.awaits_maintenance(vm);
+            let rank = |used_millis| Rank { awaits_maintenance, used_millis, name: &vm.name };
+            if index.is_spare(vm) {
+                donors.spare.push((rank(0), vm));
                 continue;
             }
             let Some(reported) = index.reported(vm) else { continue };
@@ -53,7 +53,7 @@
             }
         }
         for ranked in
-            donors.idle.values_mut().chain(donors.serving.values_mut()).chain([&mut donors.off])
+            donors.idle.values_mut().chain(donors.serving.values_mut()).chain([&mut donors.spare])
         {
             ranked.sort_unstable_by_key(|(rank, _)| Reverse(*rank));
         }
@@ -63,25 +63,29 @@
     /// Takes a VM that has long been idle of the pools that have VMs `over` what they want, else one that is
     /// off, else, where `lacks_much`, the least used of those pools. A VM that is idle for so long goes off
     /// now, and to bring another in instead would be two moves where one will do.
-    pub(crate) fn take(&mut self, over: &BTreeSet<&Arc<str>>, lacks_much: bool) -> Option<&'a Vm> {
-        if let Some(vm) = pop_best(&mut self.idle, over) {
+    pub(crate) fn take(
+        &mut self,
+        oversized: &BTreeSet<&Arc<str>>,
+        is_large_deficit: bool,
+    ) -> Option<&'a Vm> {
+        if let Some(vm) = pop_best(&mut self.idle, oversized) {
             return Some(vm);
         }
-        if let Some((_, vm)) = self.off.pop() {
+        if let Some((_, vm)) = self.spare.pop() {
             return Some(vm);
         }
-        if lacks_much { pop_best(&mut self.serving, over) } else { None }
+        if is_large_deficit { pop_best(&mut self.serving, oversized) } else { None }
     }
 }
 
 /// Takes the best VM of some pools.
 fn pop_best<'a>(
     pools: &mut BTreeMap<Arc<str>, Vec<(Rank<'a>, &'a Vm)>>,
-    over: &BTreeSet<&Arc<str>>,
+    oversized: &BTreeSet<&Arc<str>>,
 ) -> Option<&'a Vm> {
-    let givers =
-        pools.iter_mut().filter(|(pool, ranked)| over.contains(pool) && !ranked.is_empty());
-    let (_, ranked) = givers.min_by(|(_, one), (_, other)| {
+    let oversized_pools =
+        pools.iter_mut().filter(|(pool, ranked)| oversized.contains(pool) && !ranked.is_empty());
+    let (_, ranked) = oversized_pools.min_by(|(_, one), (_, other)| {
         one.last().map(|(rank, _)| rank).cmp(&other.last().map(|(rank, _)| rank))
     })?;
     ranked.pop().map(|(_, vm)| vm)
--- a/crates/crosspath_fleet/src/index.rs
+++ b/crates/crosspath_fleet/src/index.rs
@@ -19,12 +19,12 @@
     /// What pools' owners say of VMs, by pool and VM.
     reported: HashMap<(&'a str, &'a str), &'a report::Vm>,
     /// VMs of each wave that stay and have not had their upkeep.
-    left: BTreeMap<u64, Vec<&'a Vm>>,
-    awaits_upkeep: BTreeSet<&'a str>,
+    pending_maintenance: BTreeMap<u64, Vec<&'a Vm>>,
+    awaits_maintenance: BTreeSet<&'a str>,
     /// Pools of those.
-    to_be_emptied: BTreeSet<&'a str>,
+    pools_awaiting_maintenance: BTreeSet<&'a str>,
     /// VMs looked at in this round so far.
-    steps: Cell<u64>,
+    vm_visits: Cell<u64>,
 }
 
 impl<'a> Index<'a> {
@@ -34,75 +34,77 @@
         for (pool, report) in &view.pools {
             reported.extend(report.vms.iter().map(|vm| ((&**pool, &*vm.name), vm)));
         }
-        let left_of = |wave: &Wave| -> Vec<&Vm> {
-            let had = maintained.get(&wave.number);
-            let is_left = |vm: &&Vm| {
-                wave.vms.contains(&vm.name) && had.is_none_or(|had| !had.contains(&vm.name))
+        let pending_in = |wave: &Wave| -> Vec<&Vm> {
+            let serviced = maintained.get(&wave.number);
+            let is_pending = |vm: &&Vm| {
+                wave.vms.contains(&vm.name)
+                    && serviced.is_none_or(|serviced| !serviced.contains(&vm.name))
             };
-            view.vms.iter().filter(is_left).collect()
+            view.vms.iter().filter(is_pending).collect()
         };
-        let left: BTreeMap<_, _> =
-            view.waves.iter().map(|(wave, _)| (wave.number, left_of(wave))).collect();
-        let awaiting = || left.values().flatten();
+        let pending_maintenance: BTreeMap<_, _> =
+            view.waves.iter().map(|(wave, _)| (wave.number, pending_in(wave))).collect();
+        let awaiting = || pending_maintenance.values().flatten();
         Self {
             view,
             listed: view.vms.iter().map(|vm| (&*vm.name, vm)).collect(),
             reported,
-            awaits_upkeep: awaiting().map(|vm| &*vm.name).collect(),
-            to_be_emptied: awaiting().map(|vm| &*vm.pool).collect(),
-            left,
+            awaits_maintenance: awaiting().map(|vm| &*vm.name).collect(),
+            pools_awaiting_maintenance: awaiting().map(|vm| &*vm.pool).collect(),
+            pending_maintenance,
             // Each wave looks at all VMs, and each index holds them once.
-            steps: Cell::new(((view.waves.len() + 2) * view.vms.len()) as u64),
+            vm_visits: Cell::new(((view.waves.len() + 2) * view.vms.len()) as u64),
         }
     }
 
-    fn step(&self, count: usize) {
-        self.steps.set(self.steps.get() + count as u64);
+    fn count_visits(&self, count: usize) {
+        self.vm_visits.set(self.vm_visits.get() + count as u64);
     }
 
     /// VMs looked at so far: what the round costs, counted.
-    pub(crate) fn steps(&self) -> u64 {
-        self.steps.get()
+    pub(crate) fn vm_visits(&self) -> u64 {
+        self.vm_visits.get()
     }
 
     /// All VMs as listed.
     pub(crate) fn vms(&self) -> &'a [Vm] {
-        self.step(self.view.vms.len());
+        self.count_visits(self.view.vms.len());
         &self.view.vms
     }
 
     /// A VM as listed.
     pub(crate) fn listed(&self, name: &str) -> Option<&'a Vm> {
-        self.step(1);
+        self.count_visits(1);
         self.listed.get(name).copied()
     }
 
     /// The pool's owner's word on a VM.
     pub(crate) fn reported(&self, vm: &Vm) -> Option<&'a report::Vm> {
-        self.step(1);
+        self.count_visits(1);
         self.reported.get(&(&*vm.pool, &*vm.name)).copied()
     }
 
     /// VMs of a wave that stay and have not had their upkeep.
-    pub(crate) fn left(&self, wave: &Wave) -> &[&'a Vm] {
-        let left: &[_] = self.left.get(&wave.number).map_or(&[], Vec::as_slice);
-        self.step(left.len());
-        left
+    pub(crate) fn pending_maintenance(&self, wave: &Wave) -> &[&'a Vm] {
+        let pending_maintenance: &[_] =
+            self.pending_maintenance.get(&wave.number).map_or(&[], Vec::as_slice);
+        self.count_visits(pending_maintenance.len());
+        pending_maintenance
     }
 
     /// Whether some wave still wants the VM.
-    pub(crate) fn awaits_upkeep(&self, vm: &Vm) -> bool {
-        self.awaits_upkeep.contains(&*vm.name)
+    pub(crate) fn awaits_maintenance(&self, vm: &Vm) -> bool {
+        self.awaits_maintenance.contains(&*vm.name)
     }
 
     /// Whether some wave still wants a VM of the pool.
-    pub(crate) fn is_to_be_emptied(&self, pool: &str) -> bool {
-        self.to_be_emptied.contains(pool)
+    pub(crate) fn has_pending_maintenance(&self, pool: &str) -> bool {
+        self.pools_awaiting_maintenance.contains(pool)
     }
 
     /// Whether a VM is off.
-    pub(crate) fn is_off(&self, vm: &Vm) -> bool {
-        self.view.is_off(vm)
+    pub(crate) fn is_spare(&self, vm: &Vm) -> bool {
+        self.view.is_spare(vm)
     }
 
     /// Whether nothing runs on a VM of a serving pool, as its owner reports.
--- a/crates/crosspath_fleet/src/intent.rs
+++ b/crates/crosspath_fleet/src/intent.rs
@@ -28,24 +28,24 @@
 pub(crate) struct Intent {
     pub(crate) order: Order,
     pub(crate) stage: Stage,
-    pub(crate) since: Duration,
+    pub(crate) planned_at: Duration,
     /// How long the lasting tasks that were there take to move elsewhere.
-    pub(crate) emptying: Duration,
+    pub(crate) time_to_vacate: Duration,
 }
 
 impl Intent {
-    pub(crate) fn new(order: Order, now: Duration, emptying: Duration) -> Self {
-        Self { order, stage: Stage::Vacating, since: now, emptying }
+    pub(crate) fn new(order: Order, now: Duration, time_to_vacate: Duration) -> Self {
+        Self { order, stage: Stage::Vacating, planned_at: now, time_to_vacate }
     }
 
-    pub(crate) fn upkeep_of(&self) -> Option<u64> {
+    pub(crate) fn maintenance_wave(&self) -> Option<u64> {
         match self.order {
             Order::Maintain { wave } => Some(wave),
             Order::Move { .. } => None,
         }
     }
 
-    pub(crate) fn moves_to(&self) -> Option<&Arc<str>> {
+    pub(crate) fn target_pool(&self) -> Option<&Arc<str>> {
         match &self.order {
             Order::Move { pool } => Some(pool),
             Order::Maintain { .. } => None,
@@ -53,25 +53,25 @@
     }
 
     /// Whether the VM is to become vacant for its upkeep in a wave.
-    pub(crate) fn is_emptying_for(&self, wave: u64) -> bool {
-        self.upkeep_of() == Some(wave) && self.stage == Stage::Vacating
+    pub(crate) fn is_vacating_for(&self, wave: u64) -> bool {
+        self.maintenance_wave() == Some(wave) && self.stage == Stage::Vacating
     }
 
     /// Whether upkeep in a wave was ordered, done or not.
     pub(crate) fn is_ordered_for(&self, wave: u64) -> bool {
-        self.upkeep_of() == Some(wave) && self.stage != Stage::Vacating
+        self.maintenance_wave() == Some(wave) && self.stage != Stage::Vacating
     }
 
     /// Whether the order may be given by what is left of the upkeep orders of each wave; it is then
     /// one fewer. An order that was given before is counted already.
-    pub(crate) fn takes_turn(&self, upkeep_left: &mut BTreeMap<u64, usize>) -> bool {
-        let Some(wave) = self.upkeep_of() else { return true };
+    pub(crate) fn consume_budget(&self, budgets: &mut BTreeMap<u64, usize>) -> bool {
+        let Some(wave) = self.maintenance_wave() else { return true };
         if self.stage != Stage::Vacating {
             return true;
         }
-        let Some(left) = upkeep_left.get_mut(&wave) else { return false };
-        let may = *left > 0;
-        *left = left.saturating_sub(1);
-        may
+        let Some(budget) = budgets.get_mut(&wave) else { return false };
+        let has_budget = *budget > 0;
+        *budget = budget.saturating_sub(1);
+        has_budget
     }
 }
--- a/crates/crosspath_fleet/src/lib.rs
+++ b/crates/crosspath_fleet/src/lib.rs
@@ -7,13 +7,13 @@
 //!
 //! Nothing here does I/O or reads a clock; `now` is the time since the process started.
 
+mod allocation;
 mod demand;
 mod donor;
 mod index;
 mod intent;
 mod moves;
 mod planner;
-mod share;
 mod wave;
 
 pub use planner::{Outcome, Plan, Planner, Settings, View};
--- a/crates/crosspath_fleet/src/planner.rs
+++ b/crates/crosspath_fleet/src/planner.rs
@@ -13,18 +13,18 @@
 use crate::intent::{Intent, Stage};
 
 /// An order without an answer is given again after this; it is the same order.
-const ORDER_AGAIN: Duration = Duration::from_millis(1_200);
+const ORDER_RETRY_INTERVAL: Duration = Duration::from_millis(1_200);
 /// A VM whose order is done is back in the list within this; a move or upkeep takes about 2 s.
-const BACK_WITHIN: Duration = Duration::from_secs(5);
+const COMPLETION_TIMEOUT: Duration = Duration::from_secs(5);
 /// A list that was asked for so long after an order shows it.
 const LIST_LAG: Duration = Duration::from_millis(800);
 /// Before a VM that was refused is tried again.
-const REFUSED_PAUSE: Duration = Duration::from_millis(1_000);
+const BUSY_COOLDOWN: Duration = Duration::from_millis(1_000);
 /// A longer time between two rounds gives no right to more orders.
-const MAX_ROUND: Duration = Duration::from_millis(400);
+const MAX_ROUND_INTERVAL: Duration = Duration::from_millis(400);
 /// For which a VM that is to become vacant may take, beside the moves of its lasting tasks; after it
 /// another is chosen.
-const VACATE_PATIENCE: Duration = Duration::from_secs(8);
+const VACATE_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// What the planner is told once.
 #[derive(Debug, Clone, Copy)]
@@ -39,7 +39,7 @@
 
 impl Settings {
     /// Idle time after which moving a VM out and back costs less than keeping it.
-    pub(crate) fn idle_pays(&self) -> Duration {
+    pub(crate) fn idle_timeout(&self) -> Duration {
         let seconds = 2.0 * self.vm_move / self.vm_second.max(f64::MIN_POSITIVE);
         // A VM that was wanted a moment ago is likely to be wanted again.
         Duration::from_secs_f64((seconds * 0.5).clamp(0.8, 30.0))
@@ -52,7 +52,7 @@
     /// All VMs as listed.
     pub vms: Vec<Vm>,
     /// When the list was asked for.
-    pub listed: Duration,
+    pub listed_at: Duration,
     /// Pools whose owners answered just now, with the VMs that were to become vacant in force.
     pub pools: BTreeMap<Arc<str>, report::Pool>,
     /// Pools that serve.
@@ -62,16 +62,16 @@
     /// Waves and when they were first seen.
     pub waves: Vec<(Arc<Wave>, Duration)>,
     /// Slices of the fleet that have a planner each; 0 counts as 1.
-    pub slices: u32,
+    pub slice_count: u32,
     /// VMs of each wave in other slices that are, or may be, in their upkeep.
-    pub elsewhere: BTreeMap<u64, usize>,
+    pub in_maintenance_elsewhere: BTreeMap<u64, usize>,
     /// Data centres that get no new work.
     pub evacuated: Arc<BTreeSet<Arc<str>>>,
 }
 
 impl View {
     /// Whether a VM is off: in the spare pool, where nothing runs.
-    pub(crate) fn is_off(&self, vm: &Vm) -> bool {
+    pub(crate) fn is_spare(&self, vm: &Vm) -> bool {
         Some(&vm.pool) == self.spare.as_ref()
     }
 
@@ -94,7 +94,7 @@
     /// Waves of which no VM is left.
     pub completed: Vec<u64>,
     /// VMs that the round looked at, each as often as it did.
-    pub steps: u64,
+    pub vm_visits: u64,
 }
 
 /// How an order ended.
@@ -109,12 +109,12 @@
     pub(crate) idle_since: BTreeMap<Arc<str>, Duration>,
     /// VMs that have had their upkeep, by wave.
     pub(crate) maintained: BTreeMap<u64, BTreeSet<Arc<str>>>,
-    pub(crate) not_before: BTreeMap<Arc<str>, Duration>,
+    pub(crate) cooldown_until: BTreeMap<Arc<str>, Duration>,
     pub(crate) immovable: BTreeSet<Arc<str>>,
     /// When pools were last told of in the log.
-    pub(crate) told: Duration,
+    pub(crate) logged_at: Duration,
     /// When the last round was.
-    planned: Duration,
+    last_round_at: Duration,
 }
 
 impl Planner {
@@ -124,7 +124,7 @@
     pub fn new(
         settings: Settings,
         maintained: BTreeMap<u64, BTreeSet<Arc<str>>>,
-        not_before: BTreeMap<Arc<str>, Duration>,
+        cooldown_until: BTreeMap<Arc<str>, Duration>,
     ) -> Self {
         Self {
             settings,
@@ -132,54 +132,54 @@
             demands: BTreeMap::new(),
             idle_since: BTreeMap::new(),
             maintained,
-            not_before,
+            cooldown_until,
             immovable: BTreeSet::new(),
-            told: Duration::ZERO,
-            planned: Duration::ZERO,
+            logged_at: Duration::ZERO,
+            last_round_at: Duration::ZERO,
         }
     }
 
     /// VMs that are to become vacant, by pool; to be in force when the pools report.
     #[must_use]
-    pub fn vacate(&self, vms: &[Vm]) -> BTreeMap<Arc<str>, BTreeSet<Arc<str>>> {
-        let mut found: BTreeMap<Arc<str>, BTreeSet<Arc<str>>> = BTreeMap::new();
+    pub fn vms_to_vacate(&self, vms: &[Vm]) -> BTreeMap<Arc<str>, BTreeSet<Arc<str>>> {
+        let mut vms_by_pool: BTreeMap<Arc<str>, BTreeSet<Arc<str>>> = BTreeMap::new();
         for vm in vms.iter().filter(|vm| self.intents.contains_key(&vm.name)) {
-            found.entry(Arc::clone(&vm.pool)).or_default().insert(Arc::clone(&vm.name));
+            vms_by_pool.entry(Arc::clone(&vm.pool)).or_default().insert(Arc::clone(&vm.name));
         }
-        found
+        vms_by_pool
     }
 
     /// A VM need not be left alone any more after an order of an owner before.
-    pub fn lift_rest(&mut self, vm: &Arc<str>) {
-        self.not_before.remove(vm);
+    pub fn clear_cooldown(&mut self, vm: &Arc<str>) {
+        self.cooldown_until.remove(vm);
     }
 
     /// One round.
     pub fn plan(&mut self, now: Duration, view: &View) -> Plan {
         let index = Index::new(view, &self.maintained);
-        self.settle(now, &index);
+        self.retire_intents(now, &index);
         self.sample(now, &index);
-        let most = self.orders_in_round(now, view);
+        let max_orders = self.order_budget(now, view);
         // What pools lack comes before upkeep, which can wait for as long as its wave has time.
-        let lacking = self.choose_moves(now, &index, most);
-        self.choose_upkeep(now, &index, lacking);
-        self.planned = now;
+        let total_deficit = self.plan_moves(now, &index, max_orders);
+        self.plan_maintenance(now, &index, total_deficit);
+        self.last_round_at = now;
         let orders = self.due_orders(now, &index);
         let completed = completed(&index);
-        Plan { orders, completed, steps: index.steps() }
+        Plan { orders, completed, vm_visits: index.vm_visits() }
     }
 
     /// Orders that may be given in a round, by the time since the last one.
-    fn orders_in_round(&self, now: Duration, view: &View) -> usize {
-        let since = now.saturating_sub(self.planned).min(MAX_ROUND);
-        let rate = self.settings.orders_per_s / f64::from(view.slices.max(1));
+    fn order_budget(&self, now: Duration, view: &View) -> usize {
+        let elapsed = now.saturating_sub(self.last_round_at).min(MAX_ROUND_INTERVAL);
+        let rate = self.settings.orders_per_s / f64::from(view.slice_count.max(1));
         #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "some orders")]
-        let orders = (rate * since.as_secs_f64()) as usize;
+        let orders = (rate * elapsed.as_secs_f64()) as usize;
         orders.max(1)
     }
 
     /// Takes in how an order ended; whether upkeep of a wave is to be noted as had.
-    pub fn ordered(
+    pub fn record_outcome(
         &mut self,
         now: Duration,
         vm: &Arc<str>,
@@ -196,7 +196,7 @@
             }
             Ok(Verdict::Busy) => {
                 self.intents.remove(vm);
-                self.not_before.insert(Arc::clone(vm), now + REFUSED_PAUSE);
+                self.cooldown_until.insert(Arc::clone(vm), now + BUSY_COOLDOWN);
             }
             Ok(Verdict::OtherWave) => {
                 self.intents.remove(vm);
@@ -217,25 +217,29 @@
     }
 
     /// Ends plans that are through, and those that take too long.
-    fn settle(&mut self, now: Duration, index: &Index<'_>) {
+    fn retire_intents(&mut self, now: Duration, index: &Index<'_>) {
         let view = index.view;
         self.intents.retain(|name, intent| {
             let Some(vm) = index.listed(name) else { return view.vms.is_empty() };
             match intent.stage {
                 Stage::Vacating => {
                     // A lasting task came before the pool's owner knew; moving it costs more.
-                    let disturbs = intent.moves_to().is_some()
+                    let would_disrupt = intent.target_pool().is_some()
                         && index.reported(vm).is_some_and(|reported| reported.lasting > 0);
-                    let moves_to_serve = intent.moves_to().is_some_and(|pool| view.serves(pool));
-                    let is_vain = moves_to_serve && view.is_evacuated(vm);
-                    !disturbs && !is_vain && now < intent.since + VACATE_PATIENCE + intent.emptying
+                    let targets_serving_pool =
+                        intent.target_pool().is_some_and(|pool| view.serves(pool));
+                    let is_futile = targets_serving_pool && view.is_evacuated(vm);
+                    !would_disrupt
+                        && !is_futile
+                        && now < intent.planned_at + VACATE_TIMEOUT + intent.time_to_vacate
                 }
                 Stage::Ordered { .. } => true,
                 Stage::Done { at } => {
-                    let there = intent.moves_to().is_none_or(|pool| *pool == vm.pool);
+                    let in_target_pool = intent.target_pool().is_none_or(|pool| *pool == vm.pool);
                     // The list may lag behind the order.
-                    let back = there && vm.state == State::Up && view.listed > at + LIST_LAG;
-                    !back && now < at + BACK_WITHIN
+                    let is_back =
+                        in_target_pool && vm.state == State::Up && view.listed_at > at + LIST_LAG;
+                    !is_back && now < at + COMPLETION_TIMEOUT
                 }
             }
         });
@@ -260,21 +264,21 @@
     fn due_orders(&mut self, now: Duration, index: &Index<'_>) -> Vec<(Arc<str>, Order)> {
         let mut orders = Vec::new();
         let view = index.view;
-        let left = |(wave, _): &(Arc<Wave>, Duration)| {
-            (wave.number, self.upkeep_orders_left(now, wave, view))
+        let budget = |(wave, _): &(Arc<Wave>, Duration)| {
+            (wave.number, self.maintenance_budget(now, wave, view))
         };
-        let mut upkeep_left: BTreeMap<_, _> = view.waves.iter().map(left).collect();
+        let mut budgets: BTreeMap<_, _> = view.waves.iter().map(budget).collect();
         for (name, intent) in &mut self.intents {
             let due = match intent.stage {
                 // Chosen in an earlier round, so that the pool's owner knew when it reported; a VM
                 // that is off has no owner.
                 Stage::Vacating => index.listed(name).is_some_and(|vm| {
-                    index.is_off(vm) || (intent.since < now && index.is_vacant(vm))
+                    index.is_spare(vm) || (intent.planned_at < now && index.is_vacant(vm))
                 }),
-                Stage::Ordered { at } => now >= at + ORDER_AGAIN,
+                Stage::Ordered { at } => now >= at + ORDER_RETRY_INTERVAL,
                 Stage::Done { .. } => false,
             };
-            if due && intent.takes_turn(&mut upkeep_left) {
+            if due && intent.consume_budget(&mut budgets) {
                 intent.stage = Stage::Ordered { at: now };
                 orders.push((Arc::clone(name), intent.order.clone()));
             }
@@ -286,7 +290,7 @@
     pub(crate) fn is_free(&self, now: Duration, vm: &Vm) -> bool {
         vm.state == State::Up
             && !self.intents.contains_key(&vm.name)
-            && self.not_before.get(&vm.name).is_none_or(|until| now >= *until)
+            && self.cooldown_until.get(&vm.name).is_none_or(|until| now >= *until)
     }
 }
 
@@ -295,6 +299,7 @@
     if index.view.vms.is_empty() {
         return Vec::new();
     }
-    let over = index.view.waves.iter().filter(|(wave, _)| index.left(wave).is_empty());
-    over.map(|(wave, _)| wave.number).collect()
+    let finished =
+        index.view.waves.iter().filter(|(wave, _)| index.pending_maintenance(wave).is_empty());
+    finished.map(|(wave, _)| wave.number).collect()
 }
--- a/crates/crosspath_fleet/tests/fleet/common.rs
+++ b/crates/crosspath_fleet/tests/fleet/common.rs
@@ -12,7 +12,7 @@
 
 pub(crate) const VM_MILLIS: u64 = 32_000;
 /// A VM is down so long for an order.
-pub(crate) const DOWN: Duration = Duration::from_millis(2_000);
+pub(crate) const ORDER_DURATION: Duration = Duration::from_millis(2_000);
 pub(crate) const ROUND: Duration = Duration::from_millis(200);
 
 pub(crate) fn ms(ms: u64) -> Duration {
@@ -37,27 +37,27 @@
 
 /// A fleet and its planner.
 #[derive(Debug)]
-pub(crate) struct Bed {
+pub(crate) struct Harness {
     pub(crate) planner: Planner,
     pub(crate) view: View,
     pub(crate) now: Duration,
     /// Tasks on VMs.
     pub(crate) tasks: BTreeMap<Arc<str>, u32>,
     /// Lasting tasks on VMs, among those.
-    pub(crate) lasting: BTreeMap<Arc<str>, u32>,
+    pub(crate) long_running: BTreeMap<Arc<str>, u32>,
     /// Demand of pools beyond what runs, in thousandths of a core.
     pub(crate) waiting: BTreeMap<Arc<str>, u64>,
     /// Part of that which is of lasting tasks.
-    pub(crate) lasting_millis: BTreeMap<Arc<str>, u64>,
+    pub(crate) long_running_millis: BTreeMap<Arc<str>, u64>,
     down_until: BTreeMap<Arc<str>, Duration>,
     pub(crate) orders: Vec<(Duration, Arc<str>, Order)>,
     /// Whether orders get no answer.
-    pub(crate) mute: bool,
+    pub(crate) drop_answers: bool,
     /// VMs that the last round looked at.
-    pub(crate) steps: u64,
+    pub(crate) vm_visits: u64,
 }
 
-impl Bed {
+impl Harness {
     pub(crate) fn new(vms: Vec<Vm>) -> Self {
         let serving: BTreeSet<_> =
             vms.iter().map(|vm| Arc::clone(&vm.pool)).filter(|pool| &**pool != "spare").collect();
@@ -72,13 +72,13 @@
             view,
             now: ms(1_000),
             tasks: BTreeMap::new(),
-            lasting: BTreeMap::new(),
+            long_running: BTreeMap::new(),
             waiting: BTreeMap::new(),
-            lasting_millis: BTreeMap::new(),
+            long_running_millis: BTreeMap::new(),
             down_until: BTreeMap::new(),
             orders: Vec::new(),
-            mute: false,
-            steps: 0,
+            drop_answers: false,
+            vm_visits: 0,
         }
     }
 
@@ -89,20 +89,20 @@
     }
 
     /// VMs that were ordered to a pool.
-    pub(crate) fn planned_moves_to(&self, pool: &str) -> usize {
+    pub(crate) fn moves_ordered_to(&self, pool: &str) -> usize {
         let to = |order: &Order| matches!(order, Order::Move { pool: to } if &**to == pool);
         self.orders.iter().filter(|(_, _, order)| to(order)).count()
     }
 
-    pub(crate) fn wave(&mut self, vms: &[&str], maximum: u32) {
+    pub(crate) fn wave(&mut self, vms: &[&str], max_concurrent: u32) {
         let vms = vms.iter().map(|vm| (*vm).into()).collect();
-        let wave = Wave { number: 1, vms, deadline_ms: 27_000, max_concurrent: maximum };
+        let wave = Wave { number: 1, vms, deadline_ms: 27_000, max_concurrent };
         self.view.waves = vec![(Arc::new(wave), self.now)];
     }
 
     fn report(&self, pool: &Arc<str>) -> report::Pool {
-        let own = self.view.vms.iter().filter(|vm| vm.pool == *pool && vm.state == State::Up);
-        let vms = own.map(|vm| {
+        let pool_vms = self.view.vms.iter().filter(|vm| vm.pool == *pool && vm.state == State::Up);
+        let vms = pool_vms.map(|vm| {
             let tasks = self.tasks.get(&vm.name).copied().unwrap_or(0);
             let used_millis = u64::from(tasks) * 1_000;
             report::Vm {
@@ -110,7 +110,7 @@
                 cpu_millis: VM_MILLIS,
                 used_millis,
                 tasks,
-                lasting: self.lasting.get(&vm.name).copied().unwrap_or(0),
+                lasting: self.long_running.get(&vm.name).copied().unwrap_or(0),
                 usable: true,
                 known: true,
             }
@@ -119,18 +119,18 @@
         report::Pool {
             running_millis: vms.iter().map(|vm| vm.used_millis).sum(),
             waiting_millis: self.waiting.get(pool).copied().unwrap_or(0),
-            lasting_millis: self.lasting_millis.get(pool).copied().unwrap_or(0),
+            lasting_millis: self.long_running_millis.get(pool).copied().unwrap_or(0),
             vms,
             ..report::Pool::default()
         }
     }
 
     /// VMs that are in their upkeep.
-    pub(crate) fn down(&self) -> usize {
-        let lasting = self.orders.iter().filter(|(at, _, order)| {
-            matches!(order, Order::Maintain { .. }) && self.now < *at + DOWN
+    pub(crate) fn in_maintenance(&self) -> usize {
+        let under_way = self.orders.iter().filter(|(at, _, order)| {
+            matches!(order, Order::Maintain { .. }) && self.now < *at + ORDER_DURATION
         });
-        lasting.count()
+        under_way.count()
     }
 
     /// One round; orders are carried out. Gives waves that are completed.
@@ -140,20 +140,20 @@
             let is_down = self.down_until.get(&vm.name).is_some_and(|until| self.now < *until);
             vm.state = if is_down { State::Maintenance } else { State::Up };
         }
-        self.view.listed = self.now;
+        self.view.listed_at = self.now;
         let pools: Vec<_> = self.view.serving.clone();
         self.view.pools = pools.iter().map(|pool| (Arc::clone(pool), self.report(pool))).collect();
         let plan = self.planner.plan(self.now, &self.view);
-        self.steps = plan.steps;
+        self.vm_visits = plan.vm_visits;
         for (name, order) in plan.orders {
             assert_eq!(self.tasks.get(&name).copied().unwrap_or(0), 0, "{name} is not vacant");
             let vm = self.view.vms.iter_mut().find(|vm| vm.name == name).expect("a listed VM");
             if let Order::Move { pool } = &order {
                 vm.pool = Arc::clone(pool);
             }
-            self.down_until.insert(Arc::clone(&name), self.now + DOWN);
-            let outcome = if self.mute { Err(Error::NoAnswer) } else { Ok(Verdict::Done) };
-            self.planner.ordered(self.now, &name, &order, outcome);
+            self.down_until.insert(Arc::clone(&name), self.now + ORDER_DURATION);
+            let outcome = if self.drop_answers { Err(Error::NoAnswer) } else { Ok(Verdict::Done) };
+            self.planner.record_outcome(self.now, &name, &order, outcome);
             self.orders.push((self.now, name, order));
         }
         plan.completed
--- a/crates/crosspath_fleet/tests/fleet/evacuation.rs
+++ b/crates/crosspath_fleet/tests/fleet/evacuation.rs
@@ -5,89 +5,90 @@
 
 use crosspath_border::vm::{Order, Vm};
 
-use crate::common::{Bed, VM_MILLIS, vm};
+use crate::common::{Harness, VM_MILLIS, vm};
 
 fn vm_in(data_centre: &str, name: &str, pool: &str) -> Vm {
     Vm { data_centre: data_centre.into(), ..vm(name, pool) }
 }
 
 /// A pool whose VMs are in one data centre, and VMs that are off in two.
-fn bed() -> Bed {
+fn harness() -> Harness {
     let mut vms: Vec<_> = (0..6).map(|n| vm_in("a", &format!("c{n}"), "counter")).collect();
     vms.extend((0..4).map(|n| vm_in("a", &format!("sa{n}"), "spare")));
     vms.extend((0..8).map(|n| vm_in("b", &format!("sb{n}"), "spare")));
-    Bed::new(vms)
+    Harness::new(vms)
 }
 
-fn evacuate(bed: &mut Bed, names: &[&str]) {
+fn evacuate(harness: &mut Harness, names: &[&str]) {
     let names: BTreeSet<Arc<str>> = names.iter().map(|name| Arc::from(*name)).collect();
-    bed.view.evacuated = Arc::new(names);
+    harness.view.evacuated = Arc::new(names);
 }
 
-fn busy(bed: &mut Bed) {
+fn start_tasks(harness: &mut Harness) {
     for n in 0..6 {
-        bed.tasks.insert(format!("c{n}").as_str().into(), 24);
+        harness.tasks.insert(format!("c{n}").as_str().into(), 24);
     }
 }
 
 #[test]
-fn vms_elsewhere_are_fetched_before_work_waits() {
-    let mut bed = bed();
-    busy(&mut bed);
+fn replacements_are_ordered_before_work_waits() {
+    let mut harness = harness();
+    start_tasks(&mut harness);
     for _ in 0..4 {
-        bed.round();
+        harness.round();
     }
-    let before = bed.planned_moves_to("counter");
-    let ordered = bed.orders.len();
-    evacuate(&mut bed, &["a"]);
+    let moves_before = harness.moves_ordered_to("counter");
+    let orders_before = harness.orders.len();
+    evacuate(&mut harness, &["a"]);
     for _ in 0..3 {
-        bed.round();
+        harness.round();
     }
     // As many as the work of the six that count no more asks for: no task waits yet.
-    let fetched = bed.planned_moves_to("counter") - before;
-    assert!(fetched >= 5, "{fetched}");
-    let there = bed.view.vms.iter().filter(|vm| &*vm.pool == "counter" && &*vm.data_centre == "b");
-    assert!(there.count() >= 5);
-    let from_a = bed.orders[ordered..].iter().filter(|(_, vm, order)| {
+    let replacements = harness.moves_ordered_to("counter") - moves_before;
+    assert!(replacements >= 5, "{replacements}");
+    let in_b =
+        harness.view.vms.iter().filter(|vm| &*vm.pool == "counter" && &*vm.data_centre == "b");
+    assert!(in_b.count() >= 5);
+    let from_a = harness.orders[orders_before..].iter().filter(|(_, vm, order)| {
         matches!(order, Order::Move { pool } if &**pool == "counter") && vm.starts_with("sa")
     });
     assert_eq!(from_a.count(), 0, "none of the data centre that is evacuated");
 }
 
 #[test]
-fn vms_there_go_off_once_they_are_vacant_and_come_back_as_needed() {
-    let mut bed = bed();
-    busy(&mut bed);
-    evacuate(&mut bed, &["a"]);
+fn vacant_vms_of_an_evacuated_data_centre_move_to_the_spare_pool_and_return_only_on_demand() {
+    let mut harness = harness();
+    start_tasks(&mut harness);
+    evacuate(&mut harness, &["a"]);
     for _ in 0..10 {
-        bed.round();
+        harness.round();
     }
-    let is_there = |vm: &&Vm| &*vm.data_centre == "a" && &*vm.pool == "counter";
-    assert_eq!(bed.view.vms.iter().filter(is_there).count(), 6, "their tasks end there");
-    bed.tasks.clear();
+    let in_evacuated = |vm: &&Vm| &*vm.data_centre == "a" && &*vm.pool == "counter";
+    assert_eq!(harness.view.vms.iter().filter(in_evacuated).count(), 6, "their tasks end there");
+    harness.tasks.clear();
     for _ in 0..40 {
-        bed.round();
+        harness.round();
     }
-    assert_eq!(bed.view.vms.iter().filter(is_there).count(), 0);
-    let ordered = bed.orders.len();
-    evacuate(&mut bed, &[]);
+    assert_eq!(harness.view.vms.iter().filter(in_evacuated).count(), 0);
+    let orders_before = harness.orders.len();
+    evacuate(&mut harness, &[]);
     for _ in 0..20 {
-        bed.round();
+        harness.round();
     }
-    assert_eq!(bed.orders.len(), ordered, "nothing needs them");
+    assert_eq!(harness.orders.len(), orders_before, "nothing needs them");
 }
 
 /// The pool wants all its VMs, but none that are in the evacuated data centre.
 #[test]
-fn a_wave_uses_the_time() {
-    let mut bed = bed();
-    bed.waiting.insert("counter".into(), 30 * VM_MILLIS);
-    evacuate(&mut bed, &["a"]);
-    bed.wave(&["c0", "c1", "sa0", "sb0"], 4);
+fn a_wave_services_vms_of_an_evacuated_data_centre() {
+    let mut harness = harness();
+    harness.waiting.insert("counter".into(), 30 * VM_MILLIS);
+    evacuate(&mut harness, &["a"]);
+    harness.wave(&["c0", "c1", "sa0", "sb0"], 4);
     for _ in 0..3 {
-        bed.round();
+        harness.round();
     }
-    let maintained: BTreeSet<_> = bed
+    let maintained: BTreeSet<_> = harness
         .orders
         .iter()
         .filter(|(_, _, order)| matches!(order, Order::Maintain { .. }))
@@ -98,12 +99,12 @@
 
 /// One data centre is evacuated and the other lost: there is nothing to fetch, and nothing is ordered in vain.
 #[test]
-fn nothing_is_ordered_where_no_vm_is_left() {
-    let mut bed = bed();
-    busy(&mut bed);
-    evacuate(&mut bed, &["a", "b"]);
+fn no_moves_are_ordered_when_every_data_centre_is_evacuated() {
+    let mut harness = harness();
+    start_tasks(&mut harness);
+    evacuate(&mut harness, &["a", "b"]);
     for _ in 0..20 {
-        bed.round();
+        harness.round();
     }
-    assert_eq!(bed.planned_moves_to("counter"), 0);
+    assert_eq!(harness.moves_ordered_to("counter"), 0);
 }
--- a/crates/crosspath_fleet/tests/fleet/wave.rs
+++ b/crates/crosspath_fleet/tests/fleet/wave.rs
@@ -7,152 +7,156 @@
 use crosspath_border::vm::{Order, State};
 use crosspath_fleet::Planner;
 
-use crate::common::{Bed, VM_MILLIS, ms, settings, vm};
+use crate::common::{Harness, VM_MILLIS, ms, settings, vm};
 
 const NAMES: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
 
-fn bed() -> Bed {
-    let mut bed = Bed::new(NAMES.iter().map(|name| vm(name, "counter")).collect());
-    bed.wave(&NAMES, 2);
-    bed
+fn harness() -> Harness {
+    let mut harness = Harness::new(NAMES.iter().map(|name| vm(name, "counter")).collect());
+    harness.wave(&NAMES, 2);
+    harness
 }
 
-fn upkeeps(bed: &Bed) -> usize {
-    bed.orders.iter().filter(|(_, _, order)| matches!(order, Order::Maintain { .. })).count()
+fn maintenance_orders(harness: &Harness) -> usize {
+    harness.orders.iter().filter(|(_, _, order)| matches!(order, Order::Maintain { .. })).count()
 }
 
 #[test]
-fn every_vm_has_its_upkeep_and_never_more_than_the_maximum_at_once() {
-    let mut bed = bed();
+fn every_vm_is_serviced_within_the_concurrency_limit() {
+    let mut harness = harness();
     let mut completed = false;
     for _ in 0..100 {
-        completed |= !bed.round().is_empty();
-        assert!(bed.down() <= 2, "{} down", bed.down());
+        completed |= !harness.round().is_empty();
+        assert!(harness.in_maintenance() <= 2, "{} in maintenance", harness.in_maintenance());
     }
-    assert_eq!(upkeeps(&bed), NAMES.len());
+    assert_eq!(maintenance_orders(&harness), NAMES.len());
     assert!(completed);
 }
 
 #[test]
-fn a_vm_with_tasks_is_not_ordered_about() {
-    let mut bed = bed();
-    bed.tasks.insert("a".into(), 1);
+fn a_vm_with_tasks_gets_no_order() {
+    let mut harness = harness();
+    harness.tasks.insert("a".into(), 1);
     for _ in 0..50 {
-        assert!(bed.round().is_empty(), "a has not had its upkeep");
+        assert!(harness.round().is_empty(), "a has not had its upkeep");
     }
-    assert!(bed.orders.iter().all(|(_, name, _)| &**name != "a"));
+    assert!(harness.orders.iter().all(|(_, name, _)| &**name != "a"));
 }
 
 #[test]
-fn a_new_owner_counts_upkeep_that_the_owner_before_ordered() {
-    let mut bed = bed();
+fn a_new_owner_counts_maintenance_ordered_by_the_previous_owner() {
+    let mut harness = harness();
     // Ordered a moment ago; the list does not show it yet.
-    let rest: BTreeMap<Arc<str>, _> =
-        [("a".into(), bed.now + ms(3_000)), ("b".into(), bed.now + ms(3_000))].into();
-    bed.planner = Planner::new(settings(), BTreeMap::new(), rest);
-    bed.round();
-    bed.round();
-    assert_eq!(upkeeps(&bed), 0);
+    let cooldowns: BTreeMap<Arc<str>, _> =
+        [("a".into(), harness.now + ms(3_000)), ("b".into(), harness.now + ms(3_000))].into();
+    harness.planner = Planner::new(settings(), BTreeMap::new(), cooldowns);
+    harness.round();
+    harness.round();
+    assert_eq!(maintenance_orders(&harness), 0);
 }
 
 #[test]
-fn a_new_owner_counts_upkeep_that_the_list_shows() {
-    let mut bed = bed();
-    bed.view.vms[0].state = State::Maintenance;
-    bed.view.vms[1].state = State::Maintenance;
-    let pools = bed.view.serving.clone();
-    bed.view.pools = pools.into_iter().map(|pool| (pool, Default::default())).collect();
-    let plan = bed.planner.plan(bed.now, &bed.view);
-    assert!(bed.planner.vacate(&bed.view.vms).is_empty(), "{plan:?}");
+fn a_new_owner_counts_maintenance_shown_in_the_vm_list() {
+    let mut harness = harness();
+    harness.view.vms[0].state = State::Maintenance;
+    harness.view.vms[1].state = State::Maintenance;
+    let pools = harness.view.serving.clone();
+    harness.view.pools = pools.into_iter().map(|pool| (pool, Default::default())).collect();
+    let plan = harness.planner.plan(harness.now, &harness.view);
+    assert!(harness.planner.vms_to_vacate(&harness.view.vms).is_empty(), "{plan:?}");
 }
 
 #[test]
-fn an_order_without_an_answer_is_given_again_and_counts_until_it_has_one() {
-    let mut bed = bed();
-    bed.wave(&NAMES, 1);
-    bed.mute = true;
+fn an_unanswered_order_is_retried_and_counts_against_the_limit() {
+    let mut harness = harness();
+    harness.wave(&NAMES, 1);
+    harness.drop_answers = true;
     for _ in 0..30 {
-        bed.round();
+        harness.round();
     }
-    assert!(upkeeps(&bed) > 1, "given again");
-    let upkeep = bed.orders.iter().filter(|(_, _, order)| matches!(order, Order::Maintain { .. }));
-    let vms: BTreeSet<_> = upkeep.map(|(_, vm, _)| vm).collect();
+    assert!(maintenance_orders(&harness) > 1, "given again");
+    let maintenance =
+        harness.orders.iter().filter(|(_, _, order)| matches!(order, Order::Maintain { .. }));
+    let vms: BTreeSet<_> = maintenance.map(|(_, vm, _)| vm).collect();
     assert_eq!(vms.len(), 1, "{vms:?}");
 }
 
 #[test]
-fn vms_that_a_growing_pool_will_want_are_not_taken_for_upkeep() {
+fn spare_vms_needed_by_a_growing_pool_are_not_taken_for_maintenance() {
     let mut vms = vec![vm("a1", "a"), vm("a2", "a")];
     vms.extend((0..8).map(|n| vm(&format!("s{n}"), "spare")));
-    let mut bed = Bed::new(vms);
-    bed.waiting.insert("a".into(), 20 * VM_MILLIS);
-    bed.wave(&["s0", "s1", "s2", "s3", "s4", "s5", "s6", "s7"], 8);
-    bed.round();
-    let upkeep = bed.orders.iter().filter(|(_, _, order)| matches!(order, Order::Maintain { .. }));
-    assert_eq!(upkeep.count(), 0, "{:?}", bed.orders);
+    let mut harness = Harness::new(vms);
+    harness.waiting.insert("a".into(), 20 * VM_MILLIS);
+    harness.wave(&["s0", "s1", "s2", "s3", "s4", "s5", "s6", "s7"], 8);
+    harness.round();
+    let maintenance =
+        harness.orders.iter().filter(|(_, _, order)| matches!(order, Order::Maintain { .. }));
+    assert_eq!(maintenance.count(), 0, "{:?}", harness.orders);
 }
 
 /// Gives a VM lasting tasks, of which one can be moved in each `every`, and plays the wave.
-fn upkeep_of_laden(lasting: u32, every: Duration) -> Option<Duration> {
-    let mut bed = bed();
-    let began = bed.now;
-    bed.tasks.insert("f".into(), lasting);
-    bed.lasting.insert("f".into(), lasting);
-    let mut chosen: Option<Duration> = None;
-    while bed.now < began + ms(27_000) {
-        bed.round();
-        let vacates = bed.planner.vacate(&bed.view.vms);
-        let is_chosen = vacates.values().any(|vms| vms.contains("f"));
-        chosen = if is_chosen { chosen.or(Some(bed.now)) } else { None };
-        let moved =
-            chosen.map_or(0, |since| ((bed.now - since).as_millis() / every.as_millis()) as u32);
-        let left = lasting.saturating_sub(moved);
-        bed.tasks.insert("f".into(), left);
-        bed.lasting.insert("f".into(), left);
+fn maintenance_time_of_loaded_vm(long_running: u32, move_interval: Duration) -> Option<Duration> {
+    let mut harness = harness();
+    let started_at = harness.now;
+    harness.tasks.insert("f".into(), long_running);
+    harness.long_running.insert("f".into(), long_running);
+    let mut selected: Option<Duration> = None;
+    while harness.now < started_at + ms(27_000) {
+        harness.round();
+        let vms_to_vacate = harness.planner.vms_to_vacate(&harness.view.vms);
+        let is_selected = vms_to_vacate.values().any(|vms| vms.contains("f"));
+        selected = if is_selected { selected.or(Some(harness.now)) } else { None };
+        let moved = selected.map_or(0, |since| {
+            ((harness.now - since).as_millis() / move_interval.as_millis()) as u32
+        });
+        let left = long_running.saturating_sub(moved);
+        harness.tasks.insert("f".into(), left);
+        harness.long_running.insert("f".into(), left);
     }
-    let (at, ..) = bed.orders.iter().find(|(_, vm, _)| &**vm == "f")?;
-    Some(*at - began)
+    let (at, ..) = harness.orders.iter().find(|(_, vm, _)| &**vm == "f")?;
+    Some(*at - started_at)
 }
 
 #[test]
-fn a_vm_that_takes_long_to_empty_is_begun_with_early_and_not_given_up() {
-    let at = upkeep_of_laden(9, ms(1_400)).expect("its upkeep");
+fn a_vm_that_is_slow_to_vacate_is_selected_early_and_not_abandoned() {
+    let at = maintenance_time_of_loaded_vm(9, ms(1_400)).expect("its upkeep");
     assert!(at < ms(16_000), "after {at:?}");
 }
 
 #[test]
-fn a_vm_with_few_lasting_tasks_is_in_time() {
-    assert!(upkeep_of_laden(2, ms(1_400)).is_some());
+fn a_vm_with_few_long_running_tasks_is_serviced_in_time() {
+    assert!(maintenance_time_of_loaded_vm(2, ms(1_400)).is_some());
 }
 
 #[test]
-fn vms_that_are_slow_to_empty_do_not_keep_idle_ones_from_their_upkeep() {
-    let mut bed = bed();
+fn slow_vacating_does_not_delay_maintenance_of_idle_vms() {
+    let mut harness = harness();
     for name in NAMES {
-        bed.tasks.insert(name.into(), 1);
+        harness.tasks.insert(name.into(), 1);
     }
-    bed.round();
-    let chosen: usize = bed.planner.vacate(&bed.view.vms).values().map(BTreeSet::len).sum();
-    assert_eq!(chosen, 2, "as many as may be down");
+    harness.round();
+    let selected: usize =
+        harness.planner.vms_to_vacate(&harness.view.vms).values().map(BTreeSet::len).sum();
+    assert_eq!(selected, 2, "as many as may be in maintenance");
     for name in &NAMES[2..] {
-        bed.tasks.remove(*name);
+        harness.tasks.remove(*name);
     }
     // Before the first two are given up.
     for _ in 0..35 {
-        bed.round();
-        assert!(bed.down() <= 2, "{} down", bed.down());
+        harness.round();
+        assert!(harness.in_maintenance() <= 2, "{} in maintenance", harness.in_maintenance());
     }
-    assert_eq!(upkeeps(&bed), 4);
+    assert_eq!(maintenance_orders(&harness), 4);
 }
 
 #[test]
-fn a_pool_that_lacks_vms_gets_those_that_do_not_await_upkeep() {
+fn a_pool_with_a_deficit_gets_vms_not_awaiting_maintenance_first() {
     let vms = vec![vm("a1", "a"), vm("a2", "a"), vm("s1", "spare"), vm("s2", "spare")];
-    let mut bed = Bed::new(vms);
-    bed.wave(&["s1"], 1);
-    bed.waiting.insert("a".into(), VM_MILLIS);
-    bed.round();
-    let moved = bed.orders.iter().filter(|(_, _, order)| matches!(order, Order::Move { .. }));
+    let mut harness = Harness::new(vms);
+    harness.wave(&["s1"], 1);
+    harness.waiting.insert("a".into(), VM_MILLIS);
+    harness.round();
+    let moved = harness.orders.iter().filter(|(_, _, order)| matches!(order, Order::Move { .. }));
     let moved: Vec<_> = moved.map(|(_, vm, _)| &**vm).collect();
     assert_eq!(moved.first(), Some(&"s2"), "{moved:?}");
 }
--- a/crates/crosspath_node/src/daemon.rs
+++ b/crates/crosspath_node/src/daemon.rs
@@ -111,7 +111,7 @@
     drop(tokio::spawn(feed::follow_operators(Arc::clone(&node))));
     drop(tokio::spawn(fresh::follow(Arc::clone(&node))));
     drop(tokio::spawn(workers::follow(Arc::clone(&node))));
-    drop(tokio::spawn(map::follow(Arc::clone(&node))));
+    drop(tokio::spawn(map::run(Arc::clone(&node))));
     let member = tokio::spawn(membership::run(Arc::clone(&node)));
     loop {
         tokio::select! {
--- a/crates/crosspath_node/src/directory.rs
+++ b/crates/crosspath_node/src/directory.rs
@@ -15,7 +15,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::change_log::ChangeLog;
-use crate::map::{Map, Unit};
+use crate::map::{Map, PoolSlice};
 
 /// The part of the list that is known.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -24,7 +24,7 @@
     #[default]
     Nothing,
     /// Workers of these slices.
-    Slices(BTreeSet<Unit>),
+    Slices(BTreeSet<PoolSlice>),
     /// All workers.
     Whole,
 }
@@ -89,7 +89,7 @@
 
     /// Whether all workers of a slice are known.
     #[must_use]
-    pub fn covers(&self, unit: &Unit) -> bool {
+    pub fn covers(&self, unit: &PoolSlice) -> bool {
         match &self.part {
             Part::Nothing => false,
             Part::Slices(units) => units.contains(unit),
@@ -139,7 +139,7 @@
         &self,
         reader: &Arc<str>,
         map: &Map,
-        units: &BTreeSet<Unit>,
+        units: &BTreeSet<PoolSlice>,
         cursor: Option<&Cursor>,
     ) -> Option<Update> {
         if !self.is_whole() {
@@ -166,7 +166,7 @@
     }
 
     /// Takes in what was told of the workers of `units`, and tells what has changed.
-    pub fn update(&mut self, update: Update, units: &BTreeSet<Unit>) -> Vec<Change> {
+    pub fn update(&mut self, update: Update, units: &BTreeSet<PoolSlice>) -> Vec<Change> {
         let mut changes = Vec::new();
         if update.whole {
             let there = update.entries.iter().map(|entry| &*entry.id).collect();
@@ -202,6 +202,6 @@
 }
 
 /// The slice of a worker.
-pub(crate) fn unit_of(map: &Map, pool: &Arc<str>, vm: &str) -> Unit {
-    Unit { pool: Arc::clone(pool), slice: map.slice_of_vm(vm) }
+pub(crate) fn unit_of(map: &Map, pool: &Arc<str>, vm: &str) -> PoolSlice {
+    PoolSlice { pool: Arc::clone(pool), slice: map.slice_of_vm(vm) }
 }
--- a/crates/crosspath_node/src/evacuation.rs
+++ b/crates/crosspath_node/src/evacuation.rs
@@ -16,7 +16,7 @@
 
 /// Left of the time in which an evacuation has to be in force, for a start that was just decided: it waits for
 /// its turn at the worker, and then for the worker.
-const START_TIME: Duration = Duration::from_millis(500);
+const START_DELAY: Duration = Duration::from_millis(500);
 
 /// A record that names a data centre that there is not.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
@@ -64,7 +64,7 @@
     /// # Errors
     ///
     /// [`UnknownError`]; nothing is kept of such a record.
-    pub fn take(&mut self, at: u64, evacuation: &Evacuation) -> Result<(), UnknownError> {
+    pub fn apply(&mut self, at: u64, evacuation: &Evacuation) -> Result<(), UnknownError> {
         if at < self.newest.read_to {
             return Ok(());
         }
@@ -86,20 +86,20 @@
     /// Takes in all records that there are, as of the place `read_to`: what none of them asks for is taken back.
     /// Gives the errors of the records that are left out.
     pub fn replace(&mut self, records: &[Evacuation], read_to: u64) -> Vec<UnknownError> {
-        let mut asked = BTreeSet::new();
+        let mut requested = BTreeSet::new();
         let mut unknown = Vec::new();
         for evacuation in records.iter().filter(|evacuation| evacuation.requested) {
             match self.check(evacuation) {
-                Ok(()) => drop(asked.insert(Arc::clone(&evacuation.data_centre))),
+                Ok(()) => drop(requested.insert(Arc::clone(&evacuation.data_centre))),
                 Err(error) => unknown.push(error),
             }
         }
-        self.learn(&Evacuated { data_centres: Arc::new(asked), read_to });
+        self.merge(&Evacuated { data_centres: Arc::new(requested), read_to });
         unknown
     }
 
     /// Takes in what another daemon knows, if that is more.
-    pub fn learn(&mut self, other: &Evacuated) {
+    pub fn merge(&mut self, other: &Evacuated) {
         if other.read_to <= self.newest.read_to && self.newest.read_to > 0 {
             return;
         }
@@ -128,6 +128,6 @@
 /// Whether a start may be decided at `now` by what was last `heard`, where an evacuation has to be in force
 /// `within` some time. Nothing may be where nothing was heard yet.
 #[must_use]
-pub fn may_start(heard: Option<Duration>, now: Duration, within: Duration) -> bool {
-    heard.is_some_and(|heard| now + START_TIME <= heard + within)
+pub fn may_start(confirmed_at: Option<Duration>, now: Duration, limit: Duration) -> bool {
+    confirmed_at.is_some_and(|confirmed_at| now + START_DELAY <= confirmed_at + limit)
 }
--- a/crates/crosspath_node/src/feed.rs
+++ b/crates/crosspath_node/src/feed.rs
@@ -142,7 +142,7 @@
             let all: Vec<_> = evacuations.iter().map(|(_, word)| word.clone()).collect();
             known.replace(&all, read_to)
         }
-        None => evacuations.iter().filter_map(|(at, word)| known.take(*at, word).err()).collect(),
+        None => evacuations.iter().filter_map(|(at, word)| known.apply(*at, word).err()).collect(),
     };
     for error in unknown {
         log::warn!("event=evacuation_refused error=\"{error}\"");
--- a/crates/crosspath_node/src/fleet.rs
+++ b/crates/crosspath_node/src/fleet.rs
@@ -20,9 +20,9 @@
 use crate::claim::{Claim, claim};
 use crate::clock;
 use crate::feed;
-use crate::handover::{self, Kept, Rest};
+use crate::handover::{self, Cooldown, History};
 use crate::listing::Listing;
-use crate::map::Unit;
+use crate::map::PoolSlice;
 use crate::member::Member;
 use crate::node::{Node, only_partition, shard_partition};
 use crate::pages::Pages;
@@ -30,20 +30,20 @@
 use crate::shard_log;
 
 /// Between rounds. A pool's turn comes within a second, and what it lacks is known a round later.
-const ROUND: Duration = Duration::from_millis(100);
+const ROUND_INTERVAL: Duration = Duration::from_millis(100);
 /// For which the new owner waits to hear whether an owner before lives on: peers answer within some ms.
-const LIFE_PATIENCE: Duration = Duration::from_millis(100);
+const INCARNATION_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Runs while this daemon holds the fleet's shard.
 pub(crate) async fn run(node: Arc<Node>) {
     let claimed = claim(&*node.store, shard_partition(node.fleet_shard()), &node.member).await;
-    let _dealing = Dealing::begin(&node, claimed.epoch);
+    let _ledger_term = LedgerTerm::begin(&node, claimed.epoch);
     let Some(fleet) = node.fleet.clone() else {
         std::future::pending::<()>().await;
         return;
     };
-    let kept = kept(&node).await;
-    let rests = kept.rests(clock::now(), clock::wall_ms(), node.settings.vm_order);
+    let history = load_history(&node).await;
+    let cooldowns = history.cooldowns(clock::now(), clock::wall_ms(), node.settings.vm_order);
     let costs = node.settings.costs;
     let settings = Settings {
         vm_second: costs.vm_second,
@@ -54,19 +54,19 @@
         authority: Authority { holder: Arc::clone(&node.settings.name), token: claimed.token },
         slices: Vec::new(),
         settings,
-        kept,
-        rests,
+        history,
+        cooldowns,
         vms: Vec::new(),
         waves: Vec::new(),
-        listed: Duration::ZERO,
+        listed_at: Duration::ZERO,
         listing: Listing::new(Arc::clone(&fleet)),
         sequence: claimed.sequence,
-        told: BTreeMap::new(),
+        published: BTreeMap::new(),
         claimed,
         fleet,
         node,
     };
-    let mut rounds = tokio::time::interval(ROUND);
+    let mut rounds = tokio::time::interval(ROUND_INTERVAL);
     rounds.set_missed_tick_behavior(MissedTickBehavior::Delay);
     while owner.round().await {
         rounds.tick().await;
@@ -75,33 +75,33 @@
 
 /// Ends the dealing of customers' maxima with the ownership of the fleet.
 #[derive(Debug)]
-struct Dealing {
+struct LedgerTerm {
     node: Arc<Node>,
     term: u64,
 }
 
-impl Dealing {
+impl LedgerTerm {
     fn begin(node: &Arc<Node>, term: u64) -> Self {
         node.begin_dealing(Ledger::new(term));
         Self { node: Arc::clone(node), term }
     }
 }
 
-impl Drop for Dealing {
+impl Drop for LedgerTerm {
     fn drop(&mut self) {
         self.node.end_dealing(self.term);
     }
 }
 
-async fn kept(node: &Node) -> Kept {
+async fn load_history(node: &Node) -> History {
     let mut pages = Pages::default();
     let mut backoff = Backoff::new(backoff::OWNERS);
     loop {
         match feed::newest(node, shard_partition(node.fleet_shard()), &mut pages).await {
             Ok((records, _)) => {
-                let mut kept = Kept::default();
-                records.iter().for_each(|record| kept.take(record));
-                return kept;
+                let mut history = History::default();
+                records.iter().for_each(|record| history.apply(record));
+                return history;
             }
             Err(error) => {
                 log::info!("event=fleet_unread error=\"{error}\"");
@@ -112,18 +112,19 @@
 }
 
 /// The member, if its life is surely over.
-async fn is_over(node: &Node, member: Member) -> Option<Member> {
+async fn confirm_ended(node: &Node, member: Member) -> Option<Member> {
     let own: Option<Member> = node.member.parse().ok();
-    if own.is_some_and(|own| handover::is_over(&member, &own)) {
+    if own.is_some_and(|own| handover::has_ended(&member, &own)) {
         return Some(member);
     }
-    let ask = node.peers.ask(member.address, &Question::Life);
-    let Ok(Ok(Answer::Life { member: text })) = tokio::time::timeout(LIFE_PATIENCE, ask).await
+    let request = node.peers.ask(member.address, &Question::Life);
+    let Ok(Ok(Answer::Life { member: text })) =
+        tokio::time::timeout(INCARNATION_TIMEOUT, request).await
     else {
         return None;
     };
     let seen: Member = text.parse().ok()?;
-    handover::is_over(&member, &seen).then_some(member)
+    handover::has_ended(&member, &seen).then_some(member)
 }
 
 /// A slice of the fleet, with a planner of its own.
@@ -135,16 +136,19 @@
 
 impl Slice {
     /// VMs of each wave that are, or may be, in their upkeep.
-    fn under_way(&self, now: Duration, waves: &[Arc<Wave>]) -> BTreeMap<u64, usize> {
-        let count = |wave: &Arc<Wave>| self.planner.under_way(now, wave, &self.view);
+    fn count_in_maintenance(&self, now: Duration, waves: &[Arc<Wave>]) -> BTreeMap<u64, usize> {
+        let count = |wave: &Arc<Wave>| self.planner.count_in_maintenance(now, wave, &self.view);
         waves.iter().map(|wave| (wave.number, count(wave))).collect()
     }
 }
 
 /// VMs of each wave that are under way in other slices than the one `at` a place.
-fn besides(under_way: &[BTreeMap<u64, usize>], at: usize) -> BTreeMap<u64, usize> {
+fn in_maintenance_elsewhere(
+    in_maintenance: &[BTreeMap<u64, usize>],
+    index: usize,
+) -> BTreeMap<u64, usize> {
     let mut total = BTreeMap::new();
-    for (_, others) in under_way.iter().enumerate().filter(|(other, _)| *other != at) {
+    for (_, others) in in_maintenance.iter().enumerate().filter(|(other, _)| *other != index) {
         for (wave, count) in others {
             *total.entry(*wave).or_default() += count;
         }
@@ -160,19 +164,19 @@
     claimed: Claim,
     sequence: u64,
     settings: Settings,
-    kept: Kept,
+    history: History,
     /// VMs that are left alone after orders of owners before.
-    rests: BTreeMap<Arc<str>, Rest>,
+    cooldowns: BTreeMap<Arc<str>, Cooldown>,
     slices: Vec<Slice>,
     /// All VMs as listed.
     vms: Vec<Vm>,
     /// Waves that are not completed, and when they were first seen.
     waves: Vec<(Arc<Wave>, Duration)>,
     /// When the list was asked for that `vms` comes of.
-    listed: Duration,
+    listed_at: Duration,
     listing: Listing,
     /// What was last written of each wave.
-    told: BTreeMap<u64, WaveState>,
+    published: BTreeMap<u64, WaveState>,
 }
 
 impl Owner {
@@ -181,57 +185,61 @@
         if !self.node.may_act(clock::now()) {
             return true;
         }
-        self.lift_rests().await;
-        self.look().await;
-        self.ask_pools().await;
+        self.clear_cooldowns().await;
+        self.refresh().await;
+        self.poll_pools().await;
         let now = clock::now();
         if self.vms.is_empty() || !self.node.may_act(now) {
             return true;
         }
         let (orders, completed) = self.plan(now).await;
-        if !self.give(orders).await {
+        if !self.send_orders(orders).await {
             return false;
         }
-        self.tell_waves(&completed).await;
+        self.publish_wave_status(&completed).await;
         true
     }
 
     /// Frees VMs whose last order came from an owner that has ended since.
-    async fn lift_rests(&mut self) {
+    async fn clear_cooldowns(&mut self) {
         let now = clock::now();
-        self.rests.retain(|_, rest| now < rest.until);
-        let givers: BTreeSet<Member> =
-            self.rests.values().filter_map(|rest| rest.giver.clone()).collect();
-        let asks = givers.into_iter().map(|giver| is_over(&self.node, giver));
-        let over: BTreeSet<Member> = join_all(asks).await.into_iter().flatten().collect();
-        if over.is_empty() {
+        self.cooldowns.retain(|_, cooldown| now < cooldown.until);
+        let issuers: BTreeSet<Member> =
+            self.cooldowns.values().filter_map(|cooldown| cooldown.issuer.clone()).collect();
+        let requests = issuers.into_iter().map(|issuer| confirm_ended(&self.node, issuer));
+        let ended: BTreeSet<Member> = join_all(requests).await.into_iter().flatten().collect();
+        if ended.is_empty() {
             return;
         }
-        let lifted = |rest: &Rest| rest.giver.as_ref().is_some_and(|giver| over.contains(giver));
-        let (lifted, rests) =
-            std::mem::take(&mut self.rests).into_iter().partition(|(_, rest)| lifted(rest));
-        self.rests = rests;
-        log::info!("event=rests_lifted vms={} left={}", lifted.len(), self.rests.len());
-        for vm in lifted.keys() {
+        let cleared = |cooldown: &Cooldown| {
+            cooldown.issuer.as_ref().is_some_and(|issuer| ended.contains(issuer))
+        };
+        let (cleared, cooldowns) = std::mem::take(&mut self.cooldowns)
+            .into_iter()
+            .partition(|(_, cooldown)| cleared(cooldown));
+        self.cooldowns = cooldowns;
+        log::info!("event=rests_lifted vms={} left={}", cleared.len(), self.cooldowns.len());
+        for vm in cleared.keys() {
             for slice in &mut self.slices {
-                slice.planner.lift_rest(vm);
+                slice.planner.clear_cooldown(vm);
             }
         }
     }
 
     /// Refreshes what is known of VMs and waves, and what of it each slice sees.
-    async fn look(&mut self) {
+    async fn refresh(&mut self) {
         let (Some(table), map) = (self.node.table(), self.node.map()) else { return };
         let Some(count) = map.slices() else { return };
         if let Some(list) = self.listing.next(clock::now(), self.vms.len()).await {
-            self.listed = list.asked;
+            self.listed_at = list.requested_at;
             self.vms = list.vms;
         }
         self.waves = self.open_waves();
         while self.slices.len() < count as usize {
-            let rests = self.rests.iter().map(|(vm, rest)| (Arc::clone(vm), rest.until));
-            let maintained = self.kept.maintained.clone();
-            let planner = Planner::new(self.settings, maintained, rests.collect());
+            let cooldowns =
+                self.cooldowns.iter().map(|(vm, cooldown)| (Arc::clone(vm), cooldown.until));
+            let maintained = self.history.maintained.clone();
+            let planner = Planner::new(self.settings, maintained, cooldowns.collect());
             self.slices.push(Slice { planner, view: View::default() });
         }
         let pools = &table.config.pools;
@@ -242,11 +250,11 @@
         for (number, slice) in (0..).zip(&mut self.slices) {
             let own = self.vms.iter().filter(|vm| map.slice_of_vm(&vm.name) == number);
             slice.view.vms = own.cloned().collect();
-            slice.view.listed = self.listed;
+            slice.view.listed_at = self.listed_at;
             slice.view.waves.clone_from(&self.waves);
             slice.view.serving.clone_from(&serving);
             slice.view.spare.clone_from(&spare);
-            slice.view.slices = count;
+            slice.view.slice_count = count;
             slice.view.evacuated = Arc::clone(&evacuated);
         }
     }
@@ -255,35 +263,35 @@
         let waves = self.node.waves();
         let open = waves
             .values()
-            .filter(|(wave, _)| self.told.get(&wave.number) != Some(&WaveState::Completed));
+            .filter(|(wave, _)| self.published.get(&wave.number) != Some(&WaveState::Completed));
         open.cloned().collect()
     }
 
     /// Has pools empty VMs, and hears how they are.
-    async fn ask_pools(&mut self) {
+    async fn poll_pools(&mut self) {
         let map = self.node.map();
-        let mut asks = Vec::new();
+        let mut requests = Vec::new();
         for (number, slice) in (0..).zip(&self.slices) {
-            let vacate = slice.planner.vacate(&slice.view.vms);
+            let vacate = slice.planner.vms_to_vacate(&slice.view.vms);
             for pool in &slice.view.serving {
-                let unit = Unit { pool: Arc::clone(pool), slice: number };
-                let Some(shard) = map.shard(&unit) else { continue };
+                let pool_slice = PoolSlice { pool: Arc::clone(pool), slice: number };
+                let Some(shard) = map.shard(&pool_slice) else { continue };
                 let vacate = vacate.get(pool).cloned().unwrap_or_default();
                 let node = Arc::clone(&self.node);
-                asks.push(async move {
+                requests.push(async move {
                     let question = Question::Pool { shard, vacate };
                     let answer = rpc::ask_holder(&node, shard, question).await;
-                    (unit, answer)
+                    (pool_slice, answer)
                 });
             }
         }
         for slice in &mut self.slices {
             slice.view.pools.clear();
         }
-        for (unit, answer) in join_all(asks).await {
+        for (pool_slice, answer) in join_all(requests).await {
             if let Some(Answer::Pool(report)) = answer {
-                let slice = &mut self.slices[unit.slice as usize];
-                slice.view.pools.insert(unit.pool, report);
+                let slice = &mut self.slices[pool_slice.slice as usize];
+                slice.view.pools.insert(pool_slice.pool, report);
             }
         }
     }
@@ -293,13 +301,13 @@
         let mut orders = Vec::new();
         let mut completed: Vec<u64> = self.waves.iter().map(|(wave, _)| wave.number).collect();
         let waves: Vec<_> = self.waves.iter().map(|(wave, _)| Arc::clone(wave)).collect();
-        let mut under_way: Vec<_> =
-            self.slices.iter().map(|slice| slice.under_way(now, &waves)).collect();
-        for at in 0..self.slices.len() {
-            let slice = &mut self.slices[at];
-            slice.view.elsewhere = besides(&under_way, at);
+        let mut in_maintenance: Vec<_> =
+            self.slices.iter().map(|slice| slice.count_in_maintenance(now, &waves)).collect();
+        for index in 0..self.slices.len() {
+            let slice = &mut self.slices[index];
+            slice.view.in_maintenance_elsewhere = in_maintenance_elsewhere(&in_maintenance, index);
             let plan = slice.planner.plan(now, &slice.view);
-            under_way[at] = slice.under_way(now, &waves);
+            in_maintenance[index] = slice.count_in_maintenance(now, &waves);
             orders.extend(plan.orders);
             completed.retain(|wave| plan.completed.contains(wave));
             // Joins, looks and answers to peers go between two slices.
@@ -313,11 +321,11 @@
     }
 
     /// Gives orders; whether none told of a later owner.
-    async fn give(&mut self, orders: Vec<(Arc<str>, Order)>) -> bool {
+    async fn send_orders(&mut self, orders: Vec<(Arc<str>, Order)>) -> bool {
         if orders.is_empty() {
             return true;
         }
-        if !self.announce(&orders).await {
+        if !self.record_orders(&orders).await {
             return false;
         }
         let calls = orders.into_iter().map(|(vm, order)| {
@@ -327,51 +335,52 @@
                 (vm, order, outcome)
             }
         });
-        let mut noted = Vec::new();
+        let mut maintained = Vec::new();
         let mut fenced = false;
         for (vm, order, outcome) in join_all(calls).await {
             log::info!("event=vm_order vm={vm} order={order:?} outcome={outcome:?}");
             fenced |= outcome == Ok(Verdict::Fenced);
-            self.listing.outdate();
-            if let Some(wave) = self.take(&vm, &order, outcome) {
-                noted.push(handover::upkeep_record(&vm, wave));
+            self.listing.mark_outdated();
+            if let Some(wave) = self.apply_outcome(&vm, &order, outcome) {
+                maintained.push(handover::maintenance_record(&vm, wave));
             }
         }
-        !fenced && (noted.is_empty() || self.keep(noted).await)
+        !fenced && (maintained.is_empty() || self.append(maintained).await)
     }
 
     /// Keeps which VMs are ordered about now, for the next owner.
-    async fn announce(&mut self, orders: &[(Arc<str>, Order)]) -> bool {
+    async fn record_orders(&mut self, orders: &[(Arc<str>, Order)]) -> bool {
         let now = clock::wall_ms();
         let record = |(vm, order): &(Arc<str>, Order)| {
             handover::order_record(vm, order, &self.node.member, now)
         };
-        self.keep(orders.iter().map(record).collect()).await
+        self.append(orders.iter().map(record).collect()).await
     }
 
-    fn take(&mut self, vm: &Arc<str>, order: &Order, outcome: Outcome) -> Option<u64> {
+    fn apply_outcome(&mut self, vm: &Arc<str>, order: &Order, outcome: Outcome) -> Option<u64> {
         if outcome == Err(Error::NoAnswer) {
             log::info!("event=vm_order_unanswered vm={vm}");
         }
         let slice = self.node.map().slice_of_vm(vm) as usize;
         let planner = &mut self.slices.get_mut(slice)?.planner;
-        planner.ordered(clock::now(), vm, order, outcome)
+        planner.record_outcome(clock::now(), vm, order, outcome)
     }
 
     /// Keeps records as owner; whether the shard is still owned.
-    async fn keep(&mut self, records: Vec<NewRecord>) -> bool {
+    async fn append(&mut self, records: Vec<NewRecord>) -> bool {
         self.sequence += 1;
-        let guard = Precondition::Owner { epoch: self.claimed.epoch, sequence: self.sequence };
+        let precondition =
+            Precondition::Owner { epoch: self.claimed.epoch, sequence: self.sequence };
         let partition = shard_partition(self.node.fleet_shard());
-        shard_log::append_owned(&self.node, partition, &records, guard).await
+        shard_log::append_owned(&self.node, partition, &records, precondition).await
     }
 
-    async fn tell_waves(&mut self, completed: &[u64]) {
+    async fn publish_wave_status(&mut self, completed: &[u64]) {
         let waves: Vec<u64> = self.waves.iter().map(|(wave, _)| wave.number).collect();
         for number in waves {
-            let over = completed.contains(&number);
-            let state = if over { WaveState::Completed } else { WaveState::Running };
-            if self.told.get(&number) == Some(&state) {
+            let is_completed = completed.contains(&number);
+            let state = if is_completed { WaveState::Completed } else { WaveState::Running };
+            if self.published.get(&number) == Some(&state) {
                 continue;
             }
             let record = self.node.store.encode_wave_status(number, state);
@@ -379,7 +388,7 @@
             match self.node.store.append(partition, &[record], Precondition::Unconditional).await {
                 Ok(_) => {
                     log::info!("event=wave_told wave={number} state={state:?}");
-                    self.told.insert(number, state);
+                    self.published.insert(number, state);
                 }
                 Err(error) => log::info!("event=wave_untold wave={number} error=\"{error}\""),
             }
--- a/crates/crosspath_node/src/fresh.rs
+++ b/crates/crosspath_node/src/fresh.rs
@@ -54,7 +54,7 @@
                     log::info!("event=config_of_peer version={} peer={peer}", config.version);
                     feed::take_config(node, *config);
                 }
-                node.evacuations().learn(&evacuated);
+                node.evacuations().merge(&evacuated);
                 let heard = asked.saturating_sub(Duration::from_millis(heard_ms_ago));
                 node.operators_told(heard);
                 return;
--- a/crates/crosspath_node/src/gateway.rs
+++ b/crates/crosspath_node/src/gateway.rs
@@ -93,7 +93,7 @@
         };
         let mut unsure = false;
         for pool in pools {
-            let Some(shards) = self.node.map().shards_of_job(&pool, job) else {
+            let Some(shards) = self.node.map().candidate_shards(&pool, job) else {
                 unsure = true;
                 continue;
             };
@@ -117,7 +117,7 @@
         until: Duration,
     ) -> Option<Vec<u32>> {
         let queue = &access.queue;
-        let shards = self.node.map().shards_of_job(&queue.pool, job)?;
+        let shards = self.node.map().candidate_shards(&queue.pool, job)?;
         if shards.len() == 1 && !self.has_moved(queue) {
             return Some(shards);
         }
@@ -187,7 +187,7 @@
         let pools_known = self.node.table().is_some_and(|table| {
             let serving = table.config.pools.iter().filter(|pool| !pool.spare);
             let map = self.node.map();
-            serving.into_iter().all(|pool| map.has(&pool.name))
+            serving.into_iter().all(|pool| map.is_complete_for(&pool.name))
         });
         pools_known && !self.node.is_stopping()
     }
@@ -204,7 +204,7 @@
             }
         }
         let lasts = spec.steps.iter().any(|step| step.long_running);
-        let Some(shard) = self.node.map().shard_of_job(&queue.pool, job, lasts) else {
+        let Some(shard) = self.node.map().shard_for_new_job(&queue.pool, job, lasts) else {
             log::info!("event=submit job={job} queue={} outcome=no_shard", queue.name);
             return Submitted::NotTaken { retry_after_s: RETRY_AFTER_S };
         };
@@ -280,7 +280,7 @@
         let table = self.node.table()?;
         let map = self.node.map();
         let pools = table.pools_of(queue);
-        let units = pools.iter().flat_map(|pool| map.units(pool));
+        let units = pools.iter().flat_map(|pool| map.pool_slices(pool));
         let shards = units.map(|unit| map.shard(&unit)).collect::<Option<Vec<_>>>()?;
         let asks = shards.into_iter().map(|shard| {
             let question = Question::Waiting { shard, queue: Arc::clone(&queue.name) };
--- a/crates/crosspath_node/src/lib.rs
+++ b/crates/crosspath_node/src/lib.rs
@@ -9,7 +9,6 @@
 pub mod away;
 pub mod backoff;
 pub mod candidacy;
-pub mod census;
 mod change_log;
 pub mod claim;
 pub mod clock;
@@ -37,6 +36,7 @@
 mod shard;
 mod shard_log;
 mod table;
+pub mod vm_count;
 mod watch;
 pub mod workers;
 
--- a/crates/crosspath_node/src/membership.rs
+++ b/crates/crosspath_node/src/membership.rs
@@ -77,7 +77,7 @@
     refresh_holders(Arc::clone(&node)).await;
     let Ok(own) = node.member.parse::<Member>() else { return };
     let owners = node.owners().unwrap_or_default();
-    for earlier in handover::earlier_lives(&owners, &own) {
+    for earlier in handover::earlier_incarnations(&owners, &own) {
         match node.store.leave(&earlier.to_string()).await {
             Ok(()) => log::info!("event=earlier_life_ended member={earlier}"),
             Err(error) => {
--- a/crates/crosspath_node/src/node.rs
+++ b/crates/crosspath_node/src/node.rs
@@ -22,7 +22,7 @@
 use crate::contact::Contact;
 use crate::directory::Directory;
 use crate::evacuation::{self, Evacuated, Evacuations};
-use crate::map::{Map, Unit};
+use crate::map::{Map, PoolSlice};
 use crate::member::Member;
 use crate::metrics::Metrics;
 use crate::rpc::Peers;
@@ -350,7 +350,7 @@
     }
 
     /// Waits until all workers of a slice are known.
-    pub(crate) async fn workers_known(&self, unit: &Unit) {
+    pub(crate) async fn workers_known(&self, unit: &PoolSlice) {
         while !self.directory().covers(unit) {
             tokio::time::sleep(LIST_PAUSE).await;
         }
--- a/crates/crosspath_node/src/rpc.rs
+++ b/crates/crosspath_node/src/rpc.rs
@@ -26,7 +26,7 @@
 use crate::directory::{Cursor, Update};
 use crate::evacuation::Evacuated;
 use crate::fresh;
-use crate::map::Unit;
+use crate::map::PoolSlice;
 use crate::node::Node;
 use crate::pending::Outcome;
 use crate::workers;
@@ -59,7 +59,7 @@
     /// not tell of anything newer.
     Config { known: Option<u64> },
     /// What has changed of the workers of slices since a cursor, of the daemon that reads the list.
-    Workers { units: BTreeSet<Unit>, cursor: Option<Cursor> },
+    Workers { units: BTreeSet<PoolSlice>, cursor: Option<Cursor> },
     /// How long ago the store answered.
     Store,
     /// Which life of the daemon this is.
--- a/crates/crosspath_node/src/seen.rs
+++ b/crates/crosspath_node/src/seen.rs
@@ -6,7 +6,7 @@
 
 use crosspath_schedule::Event;
 
-use crate::map::Unit;
+use crate::map::PoolSlice;
 use crate::node::Node;
 
 /// What the scheduler was last told.
@@ -41,7 +41,7 @@
         node: &Node,
         now: Duration,
         shard: u32,
-        unit: &Unit,
+        unit: &PoolSlice,
     ) -> Vec<Event> {
         let mut events = Vec::new();
         if let Some(table) = node.table()
--- a/crates/crosspath_node/src/shard.rs
+++ b/crates/crosspath_node/src/shard.rs
@@ -20,7 +20,7 @@
 use crate::claim::{Claim, claim};
 use crate::clock;
 use crate::feed;
-use crate::map::Unit;
+use crate::map::PoolSlice;
 use crate::membership::TTL;
 use crate::node::{Node, shard_partition};
 use crate::order::Order;
@@ -48,7 +48,7 @@
 /// A shard that this daemon holds.
 #[derive(Debug)]
 pub(crate) struct Handle {
-    unit: Option<Unit>,
+    unit: Option<PoolSlice>,
     events: mpsc::UnboundedSender<Event>,
     scheduler: Shared,
     task: JoinHandle<()>,
@@ -60,7 +60,7 @@
 
 impl Handle {
     /// Begins to own a shard: that of a slice of a pool, or the fleet's.
-    pub(crate) fn start(node: &Arc<Node>, number: u32, unit: Option<Unit>) -> Self {
+    pub(crate) fn start(node: &Arc<Node>, number: u32, unit: Option<PoolSlice>) -> Self {
         let (events, receiver) = mpsc::unbounded_channel();
         let shared = Shared::default();
         let task = if let Some(unit) = unit.clone() {
@@ -80,7 +80,7 @@
     }
 
     /// The slice of a pool; none for the fleet.
-    pub(crate) fn unit(&self) -> Option<&Unit> {
+    pub(crate) fn unit(&self) -> Option<&PoolSlice> {
         self.unit.as_ref()
     }
 
@@ -152,7 +152,7 @@
 struct Owner {
     node: Arc<Node>,
     number: u32,
-    unit: Unit,
+    unit: PoolSlice,
     shared: Shared,
     /// Address of the daemon that held the shard before, as far as is known.
     before: Option<SocketAddr>,
--- a/crates/crosspath_node/src/census.rs
+++ b/crates/crosspath_node/src/vm_count.rs
@@ -11,12 +11,12 @@
 
 /// After the first list that was refused. The platform takes some dozens of lists a second, and
 /// every daemon's clients may be asking.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 /// Longest pause: a daemon that starts serves nobody before the map is there.
-const LONGEST_PAUSE: Duration = Duration::from_millis(800);
+const MAX_BACKOFF: Duration = Duration::from_millis(800);
 /// From the first count on, after which one source speaks alone. Callers come 10 s after the start
 /// of the daemons at the earliest, and owners need some 2 s to take over.
-const ALONE_AFTER: Duration = Duration::from_secs(5);
+const SINGLE_SOURCE_AFTER: Duration = Duration::from_secs(5);
 
 /// What a number of VMs goes by.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -40,37 +40,37 @@
 
 /// The number of VMs is not known yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
-#[snafu(display("the number of VMs is not known yet; counting again in {} ms", again_in.as_millis()))]
+#[snafu(display("the number of VMs is not known yet; counting again in {} ms", retry_after.as_millis()))]
 pub struct Unknown {
     /// Pause before the next try.
-    pub again_in: Duration,
+    pub retry_after: Duration,
 }
 
 /// Counts VMs until two sources agree, or time is up.
 #[derive(Debug)]
-pub struct Census {
-    began: Duration,
+pub struct Counter {
+    started_at: Duration,
     /// Whether there is a list of VMs; else the list of workers is the one source.
-    lists_vms: bool,
+    has_vm_list: bool,
     /// What the last list held that was read whole.
     listed: Option<usize>,
-    pause: Duration,
+    backoff: Duration,
 }
 
-impl Census {
+impl Counter {
     /// A count that begins at `now`; `lists_vms` says whether the platform has a list of VMs.
     #[must_use]
-    pub fn new(now: Duration, lists_vms: bool) -> Self {
-        Self { began: now, lists_vms, listed: None, pause: FIRST_PAUSE }
+    pub fn new(now: Duration, has_vm_list: bool) -> Self {
+        Self { started_at: now, has_vm_list, listed: None, backoff: INITIAL_BACKOFF }
     }
 
     /// Takes in how a reading of the list of VMs ended: the number of VMs in it.
-    pub fn listed(&mut self, answer: Result<usize, Error>) {
+    pub fn record_listing(&mut self, answer: Result<usize, Error>) {
         match answer {
             Ok(vms) => self.listed = Some(vms),
             Err(error) => {
                 log::info!("event=vms_uncounted error=\"{error}\"");
-                self.pause = (self.pause * 2).min(LONGEST_PAUSE);
+                self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
             }
         }
     }
@@ -93,9 +93,10 @@
         {
             return Ok(Count { vms, source: Source::Both });
         }
-        let alone = !self.lists_vms || now >= self.began + ALONE_AFTER;
-        let unknown = Unknown { again_in: self.pause.mul_f64(0.5 + 0.5 * jitter) };
-        if !alone {
+        let single_source_suffices =
+            !self.has_vm_list || now >= self.started_at + SINGLE_SOURCE_AFTER;
+        let unknown = Unknown { retry_after: self.backoff.mul_f64(0.5 + 0.5 * jitter) };
+        if !single_source_suffices {
             return Err(unknown);
         }
         let workers = workers.filter(|vms| *vms > 0);
--- a/crates/crosspath_node/src/workers.rs
+++ b/crates/crosspath_node/src/workers.rs
@@ -15,7 +15,7 @@
 use crate::clock;
 use crate::directory::{Change, Cursor, Update, unit_of};
 use crate::feed::Feed;
-use crate::map::Unit;
+use crate::map::PoolSlice;
 use crate::node::{Node, only_partition};
 use crate::rpc::{self, Answer, Question};
 use crate::shard::Handle;
@@ -94,7 +94,7 @@
     /// How far the reader has told.
     cursor: Option<Cursor>,
     /// Slices of which the reader tells.
-    units: BTreeSet<Unit>,
+    units: BTreeSet<PoolSlice>,
     /// When a reader last answered, or since when one is needed.
     heard: Duration,
     /// When one was last asked.
@@ -186,7 +186,7 @@
     }
 
     /// Takes in what a reader has told of the workers of `units`.
-    fn told(&mut self, update: Update, units: BTreeSet<Unit>) {
+    fn told(&mut self, update: Update, units: BTreeSet<PoolSlice>) {
         self.heard = clock::now();
         self.cursor = Some(update.cursor.clone());
         let changes = self.node.directory().update(update, &units);
@@ -194,7 +194,7 @@
         pass_on(&self.node, changes);
     }
 
-    fn owned_units(&self) -> BTreeSet<Unit> {
+    fn owned_units(&self) -> BTreeSet<PoolSlice> {
         self.node.owned().values().filter_map(Handle::unit).cloned().collect()
     }
 }
@@ -212,7 +212,7 @@
 }
 
 /// What another daemon is told of the workers of `units`; nothing from a daemon that does not read the list.
-pub(crate) fn tell(node: &Node, units: &BTreeSet<Unit>, cursor: Option<&Cursor>) -> Answer {
+pub(crate) fn tell(node: &Node, units: &BTreeSet<PoolSlice>, cursor: Option<&Cursor>) -> Answer {
     if !is_reader(node) || !node.may_act(clock::now()) {
         return Answer::NotOwner;
     }
--- a/crates/crosspath_node/tests/node/listing.rs
+++ b/crates/crosspath_node/tests/node/listing.rs
@@ -12,15 +12,15 @@
 
 /// A list that comes when it is let.
 #[derive(Debug)]
-struct Slow {
-    let_through: Semaphore,
+struct Delayed {
+    permits: Semaphore,
     inner: Crowded,
 }
 
 #[async_trait]
-impl Fleet for Slow {
+impl Fleet for Delayed {
     async fn list(&self) -> Result<Vec<Vm>, Error> {
-        self.let_through.acquire().await.expect("it is open").forget();
+        self.permits.acquire().await.expect("it is open").forget();
         self.inner.list().await
     }
 
@@ -34,33 +34,33 @@
 }
 
 #[tokio::test]
-async fn a_short_list_is_there_in_the_same_round() {
+async fn a_short_list_arrives_within_the_round() {
     let fleet = Arc::new(Crowded::calm(30));
     let mut listing = Listing::new(Arc::clone(&fleet) as Arc<dyn Fleet>);
     let list = listing.next(ms(1_000), 0).await.expect("a list");
-    assert_eq!((list.asked, list.vms.len()), (ms(1_000), 30));
+    assert_eq!((list.requested_at, list.vms.len()), (ms(1_000), 30));
     assert!(listing.next(ms(1_100), 30).await.is_none(), "nothing was ordered since");
-    listing.outdate();
+    listing.mark_outdated();
     assert!(listing.next(ms(1_100), 30).await.is_some());
     assert_eq!(fleet.calls(), 2);
 }
 
 #[tokio::test]
-async fn rounds_go_on_while_a_long_list_comes() {
-    let fleet = Arc::new(Slow { let_through: Semaphore::new(0), inner: Crowded::calm(6_000) });
+async fn rounds_continue_while_a_long_list_is_read() {
+    let fleet = Arc::new(Delayed { permits: Semaphore::new(0), inner: Crowded::calm(6_000) });
     let mut listing = Listing::new(Arc::clone(&fleet) as Arc<dyn Fleet>);
     for round in 0..5 {
         assert!(listing.next(ms(1_000 + round * 100), 0).await.is_none());
     }
-    fleet.let_through.add_permits(1);
+    fleet.permits.add_permits(1);
     let list = loop {
         if let Some(list) = listing.next(ms(1_500), 0).await {
             break list;
         }
     };
-    assert_eq!(list.asked, ms(1_000), "it may lack what was ordered since");
+    assert_eq!(list.requested_at, ms(1_000), "it may lack what was ordered since");
     // A long one is not read again at once, whatever was ordered.
-    listing.outdate();
+    listing.mark_outdated();
     assert!(listing.next(ms(1_600), 6_000).await.is_none());
     assert_eq!(fleet.inner.calls(), 1);
 }
--- a/crates/crosspath_node/tests/node/main.rs
+++ b/crates/crosspath_node/tests/node/main.rs
@@ -3,7 +3,6 @@
 mod appends;
 mod away;
 mod candidacy;
-mod census;
 mod claim;
 mod clock;
 mod common;
@@ -17,4 +16,5 @@
 mod pending;
 mod standby;
 mod storm;
+mod vm_count;
 mod workers;
--- a/crates/crosspath_node/tests/node/map.rs
+++ b/crates/crosspath_node/tests/node/map.rs
@@ -13,8 +13,8 @@
 
 /// Adds what the map lacks for `pools` on `vms` VMs, with 23 shards to give.
 fn extend(map: &mut Map, pools: &BTreeSet<Arc<str>>, vms: usize) {
-    for NewRecord { key, value } in map.missing(pools, vms, 120, 23) {
-        map.take(&Stored { offset: 0, key, value });
+    for NewRecord { key, value } in map.missing_records(pools, vms, 120, 23) {
+        map.apply(&Stored { offset: 0, key, value });
     }
 }
 
@@ -25,11 +25,11 @@
     extend(&mut map, &four, 48);
     assert_eq!(map.slices(), Some(1));
     assert_eq!(map.by_shard().into_keys().collect::<Vec<_>>(), [19, 20, 21, 22]);
-    assert!(four.iter().all(|pool| map.has(pool)));
+    assert!(four.iter().all(|pool| map.is_complete_for(pool)));
 }
 
 #[test]
-fn a_large_fleet_is_cut_as_far_as_there_are_shards() {
+fn a_large_fleet_gets_as_many_slices_as_the_shards_allow() {
     let mut map = Map::default();
     let four = pools(&["a", "b", "c", "d"]);
     extend(&mut map, &four, 780);
@@ -38,15 +38,15 @@
 }
 
 #[test]
-fn a_pool_that_comes_later_gets_shards_that_are_free() {
+fn a_pool_added_later_gets_free_shards() {
     let mut map = Map::default();
     extend(&mut map, &pools(&["a", "b"]), 100);
     let before = map.by_shard();
     extend(&mut map, &pools(&["a", "b", "c"]), 500);
     assert_eq!(map.slices(), Some(2), "the number of slices never changes");
-    assert!(map.has(&"c".into()));
+    assert!(map.is_complete_for(&"c".into()));
     assert_eq!(map.by_shard().len(), before.len() + 2);
-    assert!(before.iter().all(|(shard, unit)| map.by_shard().get(shard) == Some(unit)));
+    assert!(before.iter().all(|(shard, pool_slice)| map.by_shard().get(shard) == Some(pool_slice)));
 }
 
 #[test]
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn slices_with_lasting_tasks_of_other_pools_get_fewer_brief_jobs() {
+fn slices_with_long_running_tasks_of_other_pools_get_fewer_short_lived_jobs() {
     let mut map = Map::default();
     extend(&mut map, &pools(&["a", "b"]), 300);
     let mut jobs = vec![0; 5];
@@ -81,17 +81,17 @@
 }
 
 #[test]
-fn a_job_is_found_where_it_was_put_also_after_a_pool_was_added() {
+fn a_job_is_found_in_its_shard_after_a_pool_was_added() {
     let mut map = Map::default();
     extend(&mut map, &pools(&["m", "n"]), 300);
     let mut later = map.clone();
     extend(&mut later, &pools(&["a", "m", "n"]), 300);
     for n in 0..1_000_u64 {
         let (pool, job) = ("m".into(), JobId(n.wrapping_mul(0x9e37_79b9_7f4a_7c15)));
-        for lasts in [false, true] {
-            let put = map.shard_of_job(&pool, job, lasts).expect("a shard");
-            assert!(later.shards_of_job(&pool, job).expect("shards").contains(&put));
-            assert_eq!(later.shard_of_job(&pool, job, lasts), Some(put));
+        for long_running in [false, true] {
+            let shard = map.shard_for_new_job(&pool, job, long_running).expect("a shard");
+            assert!(later.candidate_shards(&pool, job).expect("shards").contains(&shard));
+            assert_eq!(later.shard_for_new_job(&pool, job, long_running), Some(shard));
         }
     }
 }
--- a/crates/crosspath_node/tests/node/census.rs
+++ b/crates/crosspath_node/tests/node/vm_count.rs
@@ -6,12 +6,12 @@
 use crosspath_border::store::{Partition, Topic};
 use crosspath_border::vm::{Error, Fleet};
 use crosspath_fakes::memory_store::MemoryStore;
-use crosspath_node::census::{Census, Count, Source};
+use crosspath_node::vm_count::{Count, Counter, Source};
 
 use crate::common::{Crowded, Daemon, SHARDS, log_of_one_pool};
 
 /// For which the map is waited for at most.
-const PATIENCE: Duration = Duration::from_secs(20);
+const MAP_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Slices as the log has them, once it does.
 async fn slices(log: &MemoryStore) -> String {
@@ -25,26 +25,26 @@
     }
 }
 
-async fn slices_with(fleet: &Arc<Crowded>) -> String {
+async fn slices_written_with(fleet: &Arc<Crowded>) -> String {
     let log = log_of_one_pool().await;
     let start = |name| Daemon::start_with(name, &log, Some(Arc::clone(fleet) as Arc<dyn Fleet>));
     let daemons = futures::future::join_all([start("entry-1"), start("entry-2"), start("entry-3")]);
-    let found = tokio::time::timeout(PATIENCE, async {
+    let written = tokio::time::timeout(MAP_TIMEOUT, async {
         let _daemons = daemons.await;
         slices(&log).await
     });
-    found.await.expect("a map in time")
+    written.await.expect("a map in time")
 }
 
 #[tokio::test]
-async fn a_list_that_is_refused_is_asked_for_again() {
+async fn a_refused_vm_list_is_retried() {
     let fleet = Arc::new(Crowded::new(10, 300));
-    assert_eq!(slices_with(&fleet).await, (SHARDS - 1).to_string());
+    assert_eq!(slices_written_with(&fleet).await, (SHARDS - 1).to_string());
 }
 
 /// Of three daemons one counts, at pauses that grow; each asking every 150 ms would make 40 calls.
 #[tokio::test]
-async fn a_list_that_refuses_is_not_pressed() {
+async fn only_one_daemon_polls_a_refusing_vm_list_with_backoff() {
     let fleet = Arc::new(Crowded::new(usize::MAX, 0));
     let log = log_of_one_pool().await;
     let start = |name| Daemon::start_with(name, &log, Some(Arc::clone(&fleet) as Arc<dyn Fleet>));
@@ -61,58 +61,58 @@
 }
 
 #[test]
-fn a_refusal_is_no_number() {
-    let mut census = Census::new(START, true);
-    census.listed(Err(Error::Refused));
-    assert!(census.count(after(1_000), Some(0), 0.0).is_err());
-    assert!(census.count(after(60_000), None, 0.0).is_err());
-    assert!(census.count(after(60_000), Some(0), 0.0).is_err());
+fn a_refused_list_does_not_count_as_zero() {
+    let mut counter = Counter::new(START, true);
+    counter.record_listing(Err(Error::Refused));
+    assert!(counter.count(after(1_000), Some(0), 0.0).is_err());
+    assert!(counter.count(after(60_000), None, 0.0).is_err());
+    assert!(counter.count(after(60_000), Some(0), 0.0).is_err());
 }
 
 #[test]
-fn two_sources_that_agree_count_at_once() {
-    let mut census = Census::new(START, true);
-    census.listed(Ok(1_100));
-    let count = census.count(after(10), Some(924), 0.0);
+fn agreeing_sources_are_accepted_at_once() {
+    let mut counter = Counter::new(START, true);
+    counter.record_listing(Ok(1_100));
+    let count = counter.count(after(10), Some(924), 0.0);
     assert_eq!(count, Ok(Count { vms: 1_100, source: Source::Both }));
 }
 
 #[test]
-fn a_list_that_misses_workers_waits_and_then_the_larger_number_counts() {
-    let mut census = Census::new(START, true);
-    census.listed(Ok(40));
-    assert!(census.count(after(4_900), Some(48), 0.0).is_err());
-    let count = census.count(after(5_000), Some(48), 0.0);
+fn after_the_wait_the_larger_of_two_disagreeing_counts_is_used() {
+    let mut counter = Counter::new(START, true);
+    counter.record_listing(Ok(40));
+    assert!(counter.count(after(4_900), Some(48), 0.0).is_err());
+    let count = counter.count(after(5_000), Some(48), 0.0);
     assert_eq!(count, Ok(Count { vms: 48, source: Source::VmList }));
 }
 
 #[test]
-fn workers_count_alone_where_the_list_stays_away() {
-    let mut census = Census::new(START, true);
-    census.listed(Err(Error::NoAnswer));
-    assert!(census.count(after(4_900), Some(924), 0.0).is_err());
-    let count = census.count(after(5_000), Some(924), 0.0);
+fn workers_alone_are_counted_when_the_vm_list_is_unavailable() {
+    let mut counter = Counter::new(START, true);
+    counter.record_listing(Err(Error::NoAnswer));
+    assert!(counter.count(after(4_900), Some(924), 0.0).is_err());
+    let count = counter.count(after(5_000), Some(924), 0.0);
     assert_eq!(count, Ok(Count { vms: 924, source: Source::Workers }));
 }
 
 #[test]
-fn tries_come_further_and_further_apart() {
-    let mut census = Census::new(START, true);
+fn backoff_doubles_up_to_its_limit() {
+    let mut counter = Counter::new(START, true);
     let mut pauses = Vec::new();
     for _ in 0..5 {
-        census.listed(Err(Error::Refused));
-        let unknown = census.count(after(0), None, 1.0).expect_err("nothing is known");
-        pauses.push(unknown.again_in.as_millis());
+        counter.record_listing(Err(Error::Refused));
+        let unknown = counter.count(after(0), None, 1.0).expect_err("nothing is known");
+        pauses.push(unknown.retry_after.as_millis());
     }
     assert_eq!(pauses, [200, 400, 800, 800, 800]);
 }
 
 /// A deployment whose VMs are not managed served nobody for its first 5 s.
 #[test]
-fn where_there_is_no_list_of_vms_workers_count_at_once() {
-    let census = Census::new(START, false);
-    assert!(census.count(after(0), None, 0.0).is_err());
-    assert!(census.count(after(0), Some(0), 0.0).is_err());
-    let count = census.count(after(0), Some(24), 0.0);
+fn workers_are_counted_at_once_when_there_is_no_vm_list() {
+    let counter = Counter::new(START, false);
+    assert!(counter.count(after(0), None, 0.0).is_err());
+    assert!(counter.count(after(0), Some(0), 0.0).is_err());
+    let count = counter.count(after(0), Some(24), 0.0);
     assert_eq!(count, Ok(Count { vms: 24, source: Source::Workers }));
 }
--- a/crates/crosspath_node/tests/node/workers.rs
+++ b/crates/crosspath_node/tests/node/workers.rs
@@ -8,7 +8,7 @@
 use crosspath_border::worker::Entry;
 use crosspath_job::spec::Resources;
 use crosspath_node::directory::{Directory, Update};
-use crosspath_node::map::{Map, Unit};
+use crosspath_node::map::{Map, PoolSlice};
 use crosspath_node::workers::{Source, source};
 
 use crate::common::{Daemon, SETTLED, log_of_one_pool};
@@ -44,12 +44,12 @@
 /// A map of one slice a pool.
 fn map() -> Map {
     let mut map = Map::default();
-    map.take(&stored("slices", "1"));
+    map.apply(&stored("slices", "1"));
     map
 }
 
-fn units(pools: &[&str]) -> BTreeSet<Unit> {
-    pools.iter().map(|pool| Unit { pool: (*pool).into(), slice: 0 }).collect()
+fn units(pools: &[&str]) -> BTreeSet<PoolSlice> {
+    pools.iter().map(|pool| PoolSlice { pool: (*pool).into(), slice: 0 }).collect()
 }
 
 fn reader() -> Directory {
@@ -95,7 +95,7 @@
 fn what_was_told_makes_the_same_list() {
     let mut directory = reader();
     let mut own = Directory::default();
-    let unit = Unit { pool: "counter".into(), slice: 0 };
+    let unit = PoolSlice { pool: "counter".into(), slice: 0 };
     assert!(!own.covers(&unit));
     let first = tell(&directory, None);
     assert_eq!(own.update(first.clone(), &units(&["counter"])).len(), 2);
