--- a/crates/crosspath_fleet/src/demand.rs
+++ b/crates/crosspath_fleet/src/demand.rs
@@ -50,15 +50,15 @@
     /// Takes in a report.
     pub(crate) fn sample(&mut self, now: Duration, pool: &report::Pool) {
         let short_lived =
-            (pool.running_millis + pool.waiting_millis).saturating_sub(pool.lasting_millis);
+            (pool.running_millis + pool.waiting_millis).saturating_sub(pool.long_running_millis);
         let millis = short_lived as f64 + pool.blocked_millis as f64 * BLOCKED_SHARE;
-        self.long_running_millis = pool.lasting_millis as f64;
+        self.long_running_millis = pool.long_running_millis as f64;
         self.samples.push_back((now, millis));
-        self.spread = pool.spread;
+        self.spread = pool.min_vms;
         let usable = pool.vms.iter().filter(|vm| vm.usable).count();
         self.usable_vms = u32::try_from(usable).unwrap_or(u32::MAX);
         self.unplaced_millis = pool.unplaced_millis;
-        self.unplaced_long_running = pool.unplaced_lasting;
+        self.unplaced_long_running = pool.unplaced_long_running;
         self.priority = pool.priority;
         while self.samples.front().is_some_and(|(at, _)| *at + GROWTH_WINDOW < now) {
             self.samples.pop_front();
--- a/crates/crosspath_fleet/src/donor.rs
+++ b/crates/crosspath_fleet/src/donor.rs
@@ -45,7 +45,7 @@
                 continue;
             }
             let Some(reported) = index.reported(vm) else { continue };
-            if reported.usable && reported.lasting == 0 {
+            if reported.usable && reported.long_running == 0 {
                 let rank = rank(reported.used_millis);
                 let idle = reported.is_vacant() && is_long_idle(vm);
                 let pools = if idle { &mut donors.idle } else { &mut donors.serving };
--- a/crates/crosspath_fleet/src/planner.rs
+++ b/crates/crosspath_fleet/src/planner.rs
@@ -225,7 +225,7 @@
                 Stage::Vacating => {
                     // A lasting task came before the pool's owner knew; moving it costs more.
                     let would_disrupt = intent.target_pool().is_some()
-                        && index.reported(vm).is_some_and(|reported| reported.lasting > 0);
+                        && index.reported(vm).is_some_and(|reported| reported.long_running > 0);
                     let targets_serving_pool =
                         intent.target_pool().is_some_and(|pool| view.serves(pool));
                     let is_futile = targets_serving_pool && view.is_evacuated(vm);
--- a/crates/crosspath_fleet/src/wave.rs
+++ b/crates/crosspath_fleet/src/wave.rs
@@ -188,7 +188,7 @@
 
 /// How long it takes to move the lasting tasks of a VM elsewhere, one by one.
 fn time_to_vacate(vm: &Vm, index: &Index<'_>) -> Duration {
-    LONG_RUNNING_MOVE * index.reported(vm).map_or(0, |vm| vm.lasting)
+    LONG_RUNNING_MOVE * index.reported(vm).map_or(0, |vm| vm.long_running)
 }
 
 /// Whether a VM needs no emptying: its upkeep costs its pool 2 s of an idle VM.
@@ -206,5 +206,5 @@
     if index.is_spare(vm) {
         return (0, 0);
     }
-    index.reported(vm).map_or((u32::MAX, 0), |vm| (1 + vm.lasting, vm.used_millis))
+    index.reported(vm).map_or((u32::MAX, 0), |vm| (1 + vm.long_running, vm.used_millis))
 }
--- a/crates/crosspath_fleet/tests/fleet/common.rs
+++ b/crates/crosspath_fleet/tests/fleet/common.rs
@@ -110,16 +110,16 @@
                 cpu_millis: VM_MILLIS,
                 used_millis,
                 tasks,
-                lasting: self.long_running.get(&vm.name).copied().unwrap_or(0),
+                long_running: self.long_running.get(&vm.name).copied().unwrap_or(0),
                 usable: true,
-                known: true,
+                confirmed: true,
             }
         });
         let vms: Vec<_> = vms.collect();
         report::Pool {
             running_millis: vms.iter().map(|vm| vm.used_millis).sum(),
             waiting_millis: self.waiting.get(pool).copied().unwrap_or(0),
-            lasting_millis: self.long_running_millis.get(pool).copied().unwrap_or(0),
+            long_running_millis: self.long_running_millis.get(pool).copied().unwrap_or(0),
             vms,
             ..report::Pool::default()
         }
--- a/crates/crosspath_node/src/directory.rs
+++ b/crates/crosspath_node/src/directory.rs
@@ -76,7 +76,7 @@
 
 impl Change {
     fn gone(entry: Entry) -> Self {
-        Self { pool: entry.pool, vm: entry.vm, event: Event::WorkerGone(entry.id) }
+        Self { pool: entry.pool, vm: entry.vm, event: Event::WorkerUnlisted(entry.id) }
     }
 }
 
@@ -197,7 +197,7 @@
         }
         self.changes.changed(&entry.id);
         let (pool, vm) = (Arc::clone(&entry.pool), Arc::clone(&entry.vm));
-        Some(Change { pool, vm, event: Event::WorkerSeen(entry) })
+        Some(Change { pool, vm, event: Event::WorkerListed(entry) })
     }
 }
 
--- a/crates/crosspath_node/src/node.rs
+++ b/crates/crosspath_node/src/node.rs
@@ -14,7 +14,7 @@
 use crosspath_border::worker::Runner;
 use crosspath_http::server::Stage;
 use crosspath_quota::{Grant, Ledger, Request};
-use crosspath_schedule::takeover::Legacy;
+use crosspath_schedule::takeover::Handover;
 use tokio::sync::{Notify, watch};
 
 use crate::appender::Appenders;
@@ -88,7 +88,7 @@
     pub(crate) holders_doubted: Notify,
     owned: Mutex<BTreeMap<u32, Handle>>,
     /// What was known of leases in shards when they were left.
-    left: Mutex<HashMap<u32, Legacy>>,
+    left: Mutex<HashMap<u32, Handover>>,
     standing: Mutex<Standing>,
     /// Who holds how much of customers' maxima, while this daemon owns the fleet.
     ledger: Mutex<Option<Ledger>>,
@@ -249,19 +249,19 @@
     /// This daemon leaves a shard: nothing of it is ordered or kept after this.
     pub(crate) fn leave_shard(&self, shard: u32, handle: &Handle) {
         if let Some(ended) = handle.stop() {
-            self.note_left(shard, ended.leave(clock::now()));
+            self.note_left(shard, ended.handover(clock::now()));
         }
     }
 
     /// Keeps what was known of leases in a shard that is left.
-    pub(crate) fn note_left(&self, shard: u32, legacy: Legacy) {
-        lock(&self.left).insert(shard, legacy);
+    pub(crate) fn note_left(&self, shard: u32, handover: Handover) {
+        lock(&self.left).insert(shard, handover);
     }
 
     /// What was known of leases in a shard when this daemon left it, as its owner in `epoch`.
-    pub(crate) fn left(&self, shard: u32, epoch: u64) -> Option<Legacy> {
+    pub(crate) fn left(&self, shard: u32, epoch: u64) -> Option<Handover> {
         let left = lock(&self.left).get(&shard).cloned();
-        left.filter(|legacy| legacy.epoch == epoch)
+        left.filter(|handover| handover.epoch == epoch)
     }
 
     /// This daemon has claimed the fleet and deals out customers' maxima.
--- a/crates/crosspath_node/src/order.rs
+++ b/crates/crosspath_node/src/order.rs
@@ -61,7 +61,7 @@
         if is_late || !self.node.may_act(now) || !self.node.may_start(now) {
             return Err(Error::NotReached);
         }
-        start.deadline_ms = self.watch.deadline_ms(now, self.terms.start);
+        start.deadline_ms = self.watch.deadline_ms(now, self.terms.initial);
         let answer = self.node.runner.start(&self.watch.target, start).await?;
         if let Some(clock_ms) = answer.clock_ms {
             self.watch.heard(clock_ms);
@@ -83,9 +83,9 @@
         let hold = Poll { token: self.token, acknowledged, deadline_ms: None, wait };
         let worker = Arc::clone(&self.watch.target.id);
         match self.node.runner.poll(&self.watch.target, &hold).await {
-            Ok(held) => {
-                self.watch.heard(held.clock_ms);
-                self.events.send(Event::Held { worker, sent, extended: false, held }).ok();
+            Ok(reply) => {
+                self.watch.heard(reply.clock_ms);
+                self.events.send(Event::Polled { worker, sent, extended: false, reply }).ok();
             }
             // The worker's own looks tell whether it is silent.
             Err(error) => log::info!("event=look_failed worker={worker} error=\"{error}\""),
--- a/crates/crosspath_node/src/rpc.rs
+++ b/crates/crosspath_node/src/rpc.rs
@@ -247,10 +247,11 @@
 /// What this daemon knew of leases when it left a shard.
 fn left(node: &Node, shard: u32, epoch: u64) -> Answer {
     let now = clock::now();
-    let Some(legacy) = node.left(shard, epoch) else { return Answer::NotOwner };
+    let Some(handover) = node.left(shard, epoch) else { return Answer::NotOwner };
     let remaining_ms =
         |over: Duration| u64::try_from(over.saturating_sub(now).as_millis()).unwrap_or(u64::MAX);
-    let remaining = legacy.over.into_iter().map(|(worker, over)| (worker, remaining_ms(over)));
+    let remaining =
+        handover.expiries.into_iter().map(|(worker, over)| (worker, remaining_ms(over)));
     Answer::Left(remaining.collect())
 }
 
--- a/crates/crosspath_node/src/seen.rs
+++ b/crates/crosspath_node/src/seen.rs
@@ -49,8 +49,8 @@
         {
             self.version = Some(table.version);
             events.push(Event::Limits(table.limits()));
-            let part = 1.0 / f64::from(node.map().slices().unwrap_or(1).max(1));
-            events.push(Event::Weights { weights: table.weights(), part });
+            let shard_fraction = 1.0 / f64::from(node.map().slices().unwrap_or(1).max(1));
+            events.push(Event::Weights { weights: table.weights(), shard_fraction });
         }
         let evacuated = node.evacuated().data_centres;
         if !Arc::ptr_eq(&evacuated, &self.evacuated) {
--- a/crates/crosspath_node/src/shard.rs
+++ b/crates/crosspath_node/src/shard.rs
@@ -30,9 +30,9 @@
 use crate::shard_log::{append_owned, ask_owner_before, asked_for, decode, follow};
 use crate::watch::{self, Watch};
 
-/// What a look extends leases to; see [`Terms::hold`].
+/// What a look extends leases to; see [`Terms::extension`].
 const HOLD: Duration = Duration::from_millis(5_000);
-/// What a start asks for; see [`Terms::start`].
+/// What a start asks for; see [`Terms::initial`].
 const START: Duration = Duration::from_millis(2_000);
 /// A worker's clock may run 2 % slow; as much again for ours.
 const CLOCK_SLACK: f64 = 0.04;
@@ -113,7 +113,7 @@
     }
 
     pub(crate) fn waiting(&self, queue: &str) -> Option<u64> {
-        scheduler(&self.scheduler).as_ref().map(|scheduler| scheduler.waiting(queue))
+        scheduler(&self.scheduler).as_ref().map(|scheduler| scheduler.queued_jobs(queue))
     }
 
     /// Whether some task waits for a worker with room.
@@ -185,14 +185,14 @@
         self.node.workers_known(&self.unit).await;
         let (records, end) = self.newest().await;
         let terms = Terms {
-            hold: HOLD.min(self.node.settings.longest_hold),
-            start: START,
+            extension: HOLD.min(self.node.settings.longest_hold),
+            initial: START,
             clock_slack: CLOCK_SLACK,
         };
         let settings = Settings {
             shard: self.number,
             terms,
-            keep_ended: self.node.settings.keep_ended,
+            ended_job_retention: self.node.settings.keep_ended,
             membership_ttl: TTL,
         };
         let now = clock::now();
@@ -218,7 +218,7 @@
         let _follower = AbortOnDrop(follower);
         self.serve(duties, &mut receiver).await;
         if let Some(ended) = scheduler(&self.shared).take() {
-            self.node.note_left(self.number, ended.leave(clock::now()));
+            self.node.note_left(self.number, ended.handover(clock::now()));
         }
         log::info!("event=shard_left shard={} unit={}", self.number, self.unit);
     }
@@ -293,7 +293,7 @@
             return None;
         }
         let actions = scheduler.decide(now, wall_ms);
-        *gathers = scheduler.gathers();
+        *gathers = scheduler.decides_soon();
         Some(actions)
     }
 
@@ -315,15 +315,15 @@
                 let Some(watch) = duties.watches.get(&worker.id) else { return };
                 drop(tokio::spawn(self.order(watch, duties).stop(task, run)));
             }
-            Action::Look { worker } => {
+            Action::Poll { worker } => {
                 let Some(watch) = duties.watches.get(&worker.id) else { return };
                 drop(tokio::spawn(self.order(watch, duties).look()));
             }
-            Action::Pace { worker, task, run, percent } => {
+            Action::Throttle { worker, task, run, percent } => {
                 let Some(watch) = duties.watches.get(&worker.id) else { return };
                 drop(tokio::spawn(self.order(watch, duties).pace(task, run, percent)));
             }
-            Action::Advise { step, workers } => {
+            Action::RequestAdvice { step, workers } => {
                 let (node, events) = (Arc::clone(&self.node), self.events.clone());
                 drop(tokio::spawn(async move {
                     let answer = match &node.advisor {
@@ -347,16 +347,16 @@
                     events.send(if kept { Event::Committed } else { Event::Superseded }).ok();
                 })));
             }
-            Action::AskParts { ask } => {
+            Action::RequestQuota { request } => {
                 let (node, events) = (Arc::clone(&self.node), self.events.clone());
                 drop(tokio::spawn(async move {
-                    let number = ask.number;
-                    let question = Question::Parts(ask);
-                    let deal = match rpc::ask_holder(&node, node.fleet_shard(), question).await {
-                        Some(Answer::Parts(deal)) => Some(deal),
+                    let number = request.number;
+                    let question = Question::Parts(request);
+                    let grant = match rpc::ask_holder(&node, node.fleet_shard(), question).await {
+                        Some(Answer::Parts(grant)) => Some(grant),
                         _ => None,
                     };
-                    events.send(Event::Dealt { number, deal }).ok();
+                    events.send(Event::QuotaAnswered { number, grant }).ok();
                 }));
             }
             Action::Acknowledge { worker, number } => {
@@ -364,7 +364,7 @@
                     watch.acknowledge(number);
                 }
             }
-            Action::Watch { worker, clock_ms } => {
+            Action::StartPolling { worker, clock_ms } => {
                 let watch = Arc::new(Watch::new(worker.clone(), clock_ms));
                 let token = duties.claimed.token;
                 let run = watch::run(
@@ -377,7 +377,7 @@
                 drop(tokio::spawn(run));
                 duties.watches.insert(worker.id, watch);
             }
-            Action::Unwatch { worker } => {
+            Action::StopPolling { worker } => {
                 if let Some(watch) = duties.watches.remove(&worker.id) {
                     watch.end();
                 }
--- a/crates/crosspath_node/src/shard_log.rs
+++ b/crates/crosspath_node/src/shard_log.rs
@@ -120,7 +120,7 @@
             let now = clock::now();
             let over = |(worker, left_ms)| (worker, now + Duration::from_millis(left_ms));
             // An owner that has ended needs no events.
-            events.send(Event::HandedOver(leases.into_iter().map(over).collect())).ok();
+            events.send(Event::LeasesHandedOver(leases.into_iter().map(over).collect())).ok();
         }
         Ok(_) => log::info!("event=owner_before_left_nothing shard={shard} peer={before}"),
         Err(error) => {
--- a/crates/crosspath_node/src/watch.rs
+++ b/crates/crosspath_node/src/watch.rs
@@ -37,7 +37,7 @@
 
 impl Watch {
     pub(crate) fn new(target: Target, clock_ms: u64) -> Self {
-        let clock = Clock { shown_ms: clock_ms, heard: clock::now() };
+        let clock = Clock { reading_ms: clock_ms, received: clock::now() };
         Self {
             target,
             orders: Semaphore::new(ORDERS),
@@ -53,8 +53,8 @@
     }
 
     /// Takes in what the worker's clock showed.
-    pub(crate) fn heard(&self, shown_ms: u64) {
-        let clock = Clock { shown_ms, heard: clock::now() };
+    pub(crate) fn heard(&self, reading_ms: u64) {
+        let clock = Clock { reading_ms, received: clock::now() };
         *self.clock.lock().unwrap_or_else(PoisonError::into_inner) = clock;
     }
 
@@ -97,7 +97,7 @@
         // A worker that did not answer may still hear: its leases must be able to run out.
         let extended = !failing && node.may_act(sent);
         let wait = if first || failing || unkept > acknowledged { Duration::ZERO } else { WAIT };
-        let deadline_ms = extended.then(|| watch.deadline_ms(sent, terms.hold));
+        let deadline_ms = extended.then(|| watch.deadline_ms(sent, terms.extension));
         let hold = Poll { token, acknowledged, deadline_ms, wait };
         let answer = node.runner.poll(&watch.target, &hold).await;
         if watch.is_over() {
@@ -105,19 +105,19 @@
         }
         let worker = Arc::clone(&watch.target.id);
         match answer {
-            Ok(held) => {
+            Ok(reply) => {
                 failing = false;
                 first = false;
-                watch.heard(held.clock_ms);
-                unkept = held.ended.iter().map(|ended| ended.number).max().unwrap_or(0);
-                if events.send(Event::Held { worker, sent, extended, held }).is_err() {
+                watch.heard(reply.clock_ms);
+                unkept = reply.ended.iter().map(|ended| ended.number).max().unwrap_or(0);
+                if events.send(Event::Polled { worker, sent, extended, reply }).is_err() {
                     return;
                 }
                 await_kept(&watch, unkept).await;
             }
             Err(error) => {
                 failing = true;
-                if events.send(Event::HoldFailed { worker, sent, extended, error }).is_err() {
+                if events.send(Event::PollFailed { worker, sent, extended, error }).is_err() {
                     return;
                 }
                 let pause = if error == Error::Fenced { WAIT } else { RETRY_PAUSE };
--- a/crates/crosspath_node/tests/node/directory.rs
+++ b/crates/crosspath_node/tests/node/directory.rs
@@ -46,7 +46,7 @@
     let records = [stored("x", FOREIGN), stored("i-1", SOUND), stored("y", FOREIGN)];
     let changes = take(&mut directory, &records, true);
     assert_eq!(changes.len(), 1);
-    assert!(matches!(&changes[0].event, Event::WorkerSeen(entry) if &*entry.id == "i-1"));
+    assert!(matches!(&changes[0].event, Event::WorkerListed(entry) if &*entry.id == "i-1"));
 }
 
 #[test]
@@ -55,9 +55,9 @@
     take(&mut directory, &[stored("i-1", SOUND)], true);
     let changes = take(&mut directory, &[stored("i-1", FOREIGN)], false);
     assert_eq!(changes.len(), 1);
-    assert!(matches!(&changes[0].event, Event::WorkerGone(id) if &**id == "i-1"));
+    assert!(matches!(&changes[0].event, Event::WorkerUnlisted(id) if &**id == "i-1"));
     let changes = take(&mut directory, &[stored("i-1", SOUND)], false);
-    assert!(matches!(&changes[0].event, Event::WorkerSeen(_)));
+    assert!(matches!(&changes[0].event, Event::WorkerListed(_)));
 }
 
 #[test]
--- a/crates/crosspath_schedule/src/action.rs
+++ b/crates/crosspath_schedule/src/action.rs
@@ -36,12 +36,12 @@
         run: u64,
     },
     /// Look at a worker at once, beside the looks that wait there for an end.
-    Look {
+    Poll {
         /// Where.
         worker: Target,
     },
     /// Let a run work at a share of its speed.
-    Pace {
+    Throttle {
         /// Where.
         worker: Target,
         /// The task.
@@ -52,7 +52,7 @@
         percent: u32,
     },
     /// Ask which workers may run a step.
-    Advise {
+    RequestAdvice {
         /// The step.
         step: StepId,
         /// The workers.
@@ -63,10 +63,10 @@
         /// The records.
         records: Vec<Record>,
     },
-    /// Ask the ledger of all shards for parts of customers' maxima; answered by `Event::Dealt`.
-    AskParts {
+    /// Ask the ledger of all shards for parts of customers' maxima; answered by `Event::QuotaAnswered`.
+    RequestQuota {
         /// The question.
-        ask: Request,
+        request: Request,
     },
     /// Tell the worker that ends up to a number are kept.
     Acknowledge {
@@ -76,14 +76,14 @@
         number: u64,
     },
     /// Begin to look at a worker, again and again.
-    Watch {
+    StartPolling {
         /// The worker.
         worker: Target,
         /// Its clock in ms, as its entry gave it.
         clock_ms: u64,
     },
     /// Look at a worker no more.
-    Unwatch {
+    StopPolling {
         /// The worker.
         worker: Target,
     },
--- a/crates/crosspath_schedule/src/answers.rs
+++ b/crates/crosspath_schedule/src/answers.rs
@@ -11,13 +11,13 @@
 use crate::scheduler::Scheduler;
 
 /// No new work after an order without an answer, or a refusal; the next look tells more.
-const REST_AFTER_SILENCE: Duration = Duration::from_millis(300);
+const COOLDOWN_AFTER_NO_ANSWER: Duration = Duration::from_millis(300);
 /// No new work after a refusal for want of room: some looks' time.
-const REST_AFTER_NO_ROOM: Duration = Duration::from_millis(60);
+const COOLDOWN_AFTER_NO_ROOM: Duration = Duration::from_millis(60);
 /// A malformed start is not repeated at once.
-const PAUSE_AFTER_MALFORMED: Duration = Duration::from_secs(1);
+const MALFORMED_RETRY_DELAY: Duration = Duration::from_secs(1);
 /// Blame for refusing a start.
-const BLAME_REFUSED: f64 = 0.5;
+const SUSPICION_REFUSED: f64 = 0.5;
 
 impl Scheduler {
     pub(crate) fn start_answered(
@@ -50,37 +50,37 @@
             }
             Ok(Started::Fenced) | Err(Error::Fenced) => self.superseded = true,
             Ok(Started::NoRoom) => {
-                self.rest(id, now + REST_AFTER_NO_ROOM);
-                self.drop_and_queue(now, id, task, number, "no_room");
+                self.cool_down(id, now + COOLDOWN_AFTER_NO_ROOM);
+                self.drop_and_requeue(now, id, task, number, "no_room");
             }
             Ok(Started::Old | Started::Late) => {
-                self.rest(id, now + REST_AFTER_NO_ROOM);
-                self.drop_and_queue(now, id, task, number, "refused");
+                self.cool_down(id, now + COOLDOWN_AFTER_NO_ROOM);
+                self.drop_and_requeue(now, id, task, number, "refused");
             }
             Ok(Started::Ticket) => {
                 self.tickets.invalidate(task);
-                self.drop_and_queue(now, id, task, number, "ticket");
+                self.drop_and_requeue(now, id, task, number, "ticket");
             }
             Ok(Started::Unhealthy) | Err(Error::Refused { .. }) => {
-                self.blame(now, id, BLAME_REFUSED);
-                self.rest(id, now + REST_AFTER_SILENCE);
-                self.drop_and_queue(now, id, task, number, "unhealthy");
+                self.adjust_suspicion(now, id, SUSPICION_REFUSED);
+                self.cool_down(id, now + COOLDOWN_AFTER_NO_ANSWER);
+                self.drop_and_requeue(now, id, task, number, "unhealthy");
             }
             Ok(Started::Malformed) => {
                 log::warn!("event=start_malformed task={task} worker={id}");
                 if let Some(task) = self.task_mut(task) {
-                    task.not_before = now + PAUSE_AFTER_MALFORMED;
+                    task.not_before = now + MALFORMED_RETRY_DELAY;
                 }
-                self.drop_and_queue(now, id, task, number, "malformed");
+                self.drop_and_requeue(now, id, task, number, "malformed");
             }
             Err(Error::NotReached) => {
-                self.rest(id, now + REST_AFTER_SILENCE);
-                self.drop_and_queue(now, id, task, number, "not_reached");
+                self.cool_down(id, now + COOLDOWN_AFTER_NO_ANSWER);
+                self.drop_and_requeue(now, id, task, number, "not_reached");
             }
             Err(Error::OtherLife) => {
                 let sent = self.run(task, number).map(|run| run.start_sent);
-                self.drop_and_queue(now, id, task, number, "other_life");
-                self.met_other_life(now, id, sent);
+                self.drop_and_requeue(now, id, task, number, "other_life");
+                self.other_incarnation_answered(now, id, sent);
             }
             Err(Error::NoAnswer) => self.start_unanswered(now, id, task, number),
         }
@@ -93,7 +93,7 @@
         task: TaskId,
         number: u64,
     ) {
-        self.rest(id, now + REST_AFTER_SILENCE);
+        self.cool_down(id, now + COOLDOWN_AFTER_NO_ANSWER);
         let Some(run) = self.run_mut(task, number) else { return };
         if run.phase == Phase::Starting {
             run.phase = Phase::Doubtful;
@@ -104,9 +104,9 @@
         self.stop_run(now, task, number);
     }
 
-    pub(crate) fn rest(&mut self, id: &str, until: Duration) {
+    pub(crate) fn cool_down(&mut self, id: &str, until: Duration) {
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.rest_until = worker.rest_until.max(until);
+            worker.cooldown_until = worker.cooldown_until.max(until);
         }
     }
 
@@ -130,13 +130,13 @@
                 // A run that was there is listed as ended soon; one that never was shows in no end,
                 // and the look under way may wait for another's for long.
                 if doubtful && let Some(worker) = self.workers.get(id) {
-                    self.actions.push(Action::Look { worker: worker.target() });
+                    self.actions.push(Action::Poll { worker: worker.target() });
                 }
             }
             Err(Error::Fenced) => self.superseded = true,
             Err(Error::OtherLife) => {
                 let sent = self.run(task, number).map(|run| run.stop_sent);
-                self.met_other_life(now, id, sent);
+                self.other_incarnation_answered(now, id, sent);
             }
             Err(error) => {
                 log::info!(
--- a/crates/crosspath_schedule/src/ends.rs
+++ b/crates/crosspath_schedule/src/ended_runs.rs
@@ -11,38 +11,38 @@
 use crate::scheduler::Scheduler;
 
 /// Blame for a run that failed; for a lasting one, which may fail at any time by itself, half.
-const BLAME_FAILED: f64 = 1.0;
+const SUSPICION_FAILED: f64 = 1.0;
 /// What a run that ended well takes off.
-const PRAISE_DONE: f64 = -0.5;
+const SUSPICION_DONE: f64 = -0.5;
 
 impl Scheduler {
     /// An end that the worker lists.
-    pub(crate) fn ended(&mut self, now: Duration, id: &Arc<str>, ended: &Ended) {
+    pub(crate) fn run_ended(&mut self, now: Duration, id: &Arc<str>, ended: &Ended) {
         let Some(worker) = self.workers.get_mut(id) else { return };
         if ended.number <= worker.ends_seen {
             return;
         }
         let expected = worker.ends_seen + 1;
-        let heard_all = worker.ends_seen > 0 || worker.reborn.is_some();
-        if heard_all && ended.number > expected {
+        let numbering_known = worker.ends_seen > 0 || worker.incarnation_changed.is_some();
+        if numbering_known && ended.number > expected {
             log::warn!("event=ends_not_heard worker={id} from={expected} to={}", ended.number - 1);
         }
         worker.ends_seen = ended.number;
-        let Ended { number, task, run, outcome: how, .. } = *ended;
+        let Ended { number, task, run, outcome, .. } = *ended;
         let dropped = self.drop_run(id, task, run);
-        let took = dropped.as_ref().map(|run| now.saturating_sub(run.answered));
+        let duration = dropped.as_ref().map(|run| now.saturating_sub(run.answered));
         log::info!(
-            "event=run_ended task={task} run={run} worker={id} end={number} how={how:?} took_ms={}",
-            took.unwrap_or_default().as_millis()
+            "event=run_ended task={task} run={run} worker={id} end={number} how={outcome:?} took_ms={}",
+            duration.unwrap_or_default().as_millis()
         );
         let Some(step) = self.step_of(task) else { return };
-        let lasting = step.long_running;
+        let long_running = step.long_running;
         self.save_checkpoint(now, ended);
-        match how {
-            Outcome::Done if !lasting => self.task_done(now, id, task),
-            Outcome::Failed if !lasting => self.task_failed(now, id, task, run),
+        match outcome {
+            Outcome::Done if !long_running => self.task_done(now, id, task),
+            Outcome::Failed if !long_running => self.task_failed(now, id, task, run),
             Outcome::Failed => {
-                self.blame(now, id, BLAME_FAILED * 0.5);
+                self.adjust_suspicion(now, id, SUSPICION_FAILED * 0.5);
                 self.queue_task(now, task);
             }
             _ => self.queue_task(now, task),
@@ -59,17 +59,17 @@
             return;
         }
         task.checkpoint.clone_from(&ended.checkpoint);
-        self.commits.touch(now, ended.task.job);
+        self.commits.mark_dirty(now, ended.task.job);
     }
 
-    pub(crate) fn blame(&mut self, now: Duration, id: &str, amount: f64) {
+    pub(crate) fn adjust_suspicion(&mut self, now: Duration, id: &str, amount: f64) {
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.add_blame(now, amount);
+            worker.add_suspicion(now, amount);
         }
     }
 
     pub(crate) fn task_done(&mut self, now: Duration, worker: &Arc<str>, id: TaskId) {
-        self.blame(now, worker, PRAISE_DONE);
+        self.adjust_suspicion(now, worker, SUSPICION_DONE);
         let Some(job) = self.jobs.get_mut(&id.job) else { return };
         if job.state.is_terminal() {
             return;
@@ -102,7 +102,7 @@
         for (task, run) in others {
             self.stop_run(now, task, run);
         }
-        self.commits.touch(now, id.job);
+        self.commits.mark_dirty(now, id.job);
         if job_over {
             self.finish(now, id.job, State::Completed);
         } else if step_over {
@@ -132,8 +132,8 @@
         task.failed_on.push(Arc::clone(worker));
         let failures = u32::try_from(task.failed_runs.len()).unwrap_or(u32::MAX);
         let others: Vec<_> = task.runs.iter().map(|run| run.number).collect();
-        self.blame(now, worker, BLAME_FAILED);
-        self.commits.touch(now, id.job);
+        self.adjust_suspicion(now, worker, SUSPICION_FAILED);
+        self.commits.mark_dirty(now, id.job);
         if failures < attempts {
             return self.queue_task(now, id);
         }
--- a/crates/crosspath_schedule/src/event.rs
+++ b/crates/crosspath_schedule/src/event.rs
@@ -18,11 +18,11 @@
     /// A job's cancelling was asked for.
     Cancelled(JobId, Requester),
     /// The worker list has a new or changed entry.
-    WorkerSeen(Entry),
+    WorkerListed(Entry),
     /// The worker list lost an entry.
-    WorkerGone(Arc<str>),
+    WorkerUnlisted(Arc<str>),
     /// A look at a worker was answered.
-    Held {
+    Polled {
         /// The worker.
         worker: Arc<str>,
         /// When the look was sent.
@@ -30,10 +30,10 @@
         /// Whether it extended leases.
         extended: bool,
         /// The answer.
-        held: PollReply,
+        reply: PollReply,
     },
     /// A look at a worker failed.
-    HoldFailed {
+    PollFailed {
         /// The worker.
         worker: Arc<str>,
         /// When it was sent.
@@ -83,7 +83,7 @@
     /// Whether orders may be given now.
     MayAct(bool),
     /// The owner before says when what may run on workers has surely lapsed.
-    HandedOver(BTreeMap<Arc<str>, Duration>),
+    LeasesHandedOver(BTreeMap<Arc<str>, Duration>),
     /// Customers' maxima, by the newest configuration.
     Limits(Limits),
     /// Jobs a second that customers are owed by the newest configuration, and the part of them that comes here.
@@ -91,14 +91,14 @@
         /// By customer, over all shards.
         weights: Weights,
         /// Part of a customer's jobs that this shard gets.
-        part: f64,
+        shard_fraction: f64,
     },
     /// The ledger of all shards has answered the question with a number, or not.
-    Dealt {
+    QuotaAnswered {
         /// Number of the question.
         number: u64,
         /// The answer.
-        deal: Option<Grant>,
+        grant: Option<Grant>,
     },
     /// A later owner has claimed the shard.
     Superseded,
--- a/crates/crosspath_schedule/src/lives.rs
+++ b/crates/crosspath_schedule/src/incarnations.rs
@@ -14,81 +14,89 @@
 use crate::scheduler::Scheduler;
 
 /// Between a worker's identifier and when its life began, in the name of a life.
-const BORN: char = '@';
+const STARTED_SEPARATOR: char = '@';
 
 /// Name of a life: the worker's identifier, and when it began where that is told.
-pub(crate) fn name(id: &Arc<str>, born_ms: u64) -> Arc<str> {
-    if born_ms == 0 { Arc::clone(id) } else { format!("{id}{BORN}{born_ms}").into() }
+pub(crate) fn name(id: &Arc<str>, started_ms: u64) -> Arc<str> {
+    if started_ms == 0 {
+        Arc::clone(id)
+    } else {
+        format!("{id}{STARTED_SEPARATOR}{started_ms}").into()
+    }
 }
 
 /// The worker that a life is of, and when it began; 0 where its name does not tell.
 pub(crate) fn parse(name: &str) -> (&str, u64) {
-    let parts = name.rsplit_once(BORN);
-    let parts = parts.and_then(|(id, born_ms)| Some((id, born_ms.parse().ok()?)));
+    let parts = name.rsplit_once(STARTED_SEPARATOR);
+    let parts = parts.and_then(|(id, started_ms)| Some((id, started_ms.parse().ok()?)));
     parts.unwrap_or((name, 0))
 }
 
 impl Scheduler {
     /// Whether a life is the one that is known of its worker.
-    pub(crate) fn is_known_life(&self, name: &str) -> bool {
-        let (id, born_ms) = parse(name);
-        self.workers.get(id).is_some_and(|worker| worker.entry.started_ms == born_ms)
+    pub(crate) fn is_current_incarnation(&self, name: &str) -> bool {
+        let (id, started_ms) = parse(name);
+        self.workers.get(id).is_some_and(|worker| worker.entry.started_ms == started_ms)
     }
 
     /// Takes in an entry of a known worker; whether it is of the newest life that is known.
-    pub(crate) fn is_listed_newest(&mut self, now: Duration, entry: &Entry) -> bool {
+    pub(crate) fn accept_listed_incarnation(&mut self, now: Duration, entry: &Entry) -> bool {
         let Some(worker) = self.workers.get(&entry.id) else { return false };
         let known_ms = worker.entry.started_ms;
         if entry.started_ms > known_ms {
-            self.begin_anew(now, &entry.id, entry.clone());
+            self.replace_incarnation(now, &entry.id, entry.clone());
         }
         entry.started_ms == 0 || entry.started_ms >= known_ms
     }
 
     /// Takes in which life has answered a look that was sent at `sent`; whether it is the newest one that is known.
     /// Of two the one that answers the later look is the later, also where its wall clock was set back.
-    pub(crate) fn is_answered_by_newest(
+    pub(crate) fn accept_answering_incarnation(
         &mut self,
         now: Duration,
         id: &Arc<str>,
         sent: Duration,
-        held: &PollReply,
+        reply: &PollReply,
     ) -> bool {
         let Some(worker) = self.workers.get(id) else { return false };
-        let (known, answered) = (&worker.entry, worker.answered_sent);
-        if held.started_ms == 0 || held.started_ms == known.started_ms {
+        let (known, answered) = (&worker.entry, worker.last_answered_poll);
+        if reply.started_ms == 0 || reply.started_ms == known.started_ms {
             return true;
         }
-        let looked_later = sent > answered && !self.is_of_life_before(id, sent);
-        if held.started_ms < known.started_ms && !looked_later {
+        let polled_later = sent > answered && !self.was_sent_to_earlier_incarnation(id, sent);
+        if reply.started_ms < known.started_ms && !polled_later {
             return false;
         }
-        let (born_ms, clock_ms) = (held.started_ms, held.clock_ms);
+        let (started_ms, clock_ms) = (reply.started_ms, reply.clock_ms);
         let entry = known.clone();
-        let entry =
-            Entry { started_ms: born_ms, clock_ms, draining: false, remaining_ms: 0, ..entry };
-        self.begin_anew(now, id, entry);
+        let entry = Entry { started_ms, clock_ms, draining: false, remaining_ms: 0, ..entry };
+        self.replace_incarnation(now, id, entry);
         true
     }
 
     /// Whether something that was sent to a worker at `sent` was meant for a life before the one that is known.
-    pub(crate) fn is_of_life_before(&self, id: &str, sent: Duration) -> bool {
+    pub(crate) fn was_sent_to_earlier_incarnation(&self, id: &str, sent: Duration) -> bool {
         let worker = self.workers.get(id);
-        worker.and_then(|worker| worker.reborn).is_some_and(|reborn| sent <= reborn)
+        worker.and_then(|worker| worker.incarnation_changed).is_some_and(|changed| sent <= changed)
     }
 
     /// An order met another worker, so the life that it was meant for is over. `sent` is when it was sent, if that is
     /// known still; else looks tell.
-    pub(crate) fn met_other_life(&mut self, now: Duration, id: &Arc<str>, sent: Option<Duration>) {
-        if sent.is_some_and(|sent| !self.is_of_life_before(id, sent)) {
-            self.end_life(now, id, "other_life");
+    pub(crate) fn other_incarnation_answered(
+        &mut self,
+        now: Duration,
+        id: &Arc<str>,
+        sent: Option<Duration>,
+    ) {
+        if sent.is_some_and(|sent| !self.was_sent_to_earlier_incarnation(id, sent)) {
+            self.end_incarnation(now, id, "other_life");
         }
     }
 
     /// Another life is there in the place of the one that was known.
-    fn begin_anew(&mut self, now: Duration, id: &Arc<str>, entry: Entry) {
+    fn replace_incarnation(&mut self, now: Duration, id: &Arc<str>, entry: Entry) {
         let Some(worker) = self.workers.get(id) else { return };
-        let (before, target) = (worker.life(), worker.target());
+        let (previous, target) = (worker.incarnation(), worker.target());
         log::info!(
             "event=worker_reborn worker={id} born_ms={} before_ms={} runs={} acknowledged={}",
             entry.started_ms,
@@ -96,28 +104,28 @@
             worker.runs.len(),
             worker.ends_acknowledged
         );
-        self.release_all(now, id, "earlier_life");
-        self.commits.forget_ends(id);
-        self.actions.push(Action::Unwatch { worker: target });
+        self.release_runs(now, id, "earlier_life");
+        self.commits.discard_ends(id);
+        self.actions.push(Action::StopPolling { worker: target });
         let Some(worker) = self.workers.get_mut(id) else { return };
         worker.entry = entry;
-        worker.reborn = Some(now);
+        worker.incarnation_changed = Some(now);
         worker.ends_seen = 0;
         worker.ends_acknowledged = 0;
         worker.synced = false;
         let (worker, clock_ms) = (worker.target(), worker.entry.clock_ms);
-        self.actions.push(Action::Watch { worker, clock_ms });
-        self.enforce_loss_limits_on(now, &before);
-        self.end_lives_under(now, id);
+        self.actions.push(Action::StartPolling { worker, clock_ms });
+        self.enforce_loss_limits_on(now, &previous);
+        self.end_earlier_incarnations(now, id);
     }
 
     /// Lives under a worker's identifier that owners before knew are over if they began before the one that is known.
-    pub(crate) fn end_lives_under(&mut self, now: Duration, id: &str) {
+    pub(crate) fn end_earlier_incarnations(&mut self, now: Duration, id: &str) {
         let Some(worker) = self.workers.get(id) else { return };
-        let born_ms = worker.entry.started_ms;
-        for life in self.settlement.lives_before(id, born_ms) {
-            self.accounted(now, &life, Liveness::Ended);
-            self.enforce_loss_limits_on(now, &life);
+        let started_ms = worker.entry.started_ms;
+        for incarnation in self.recovery.earlier_incarnations(id, started_ms) {
+            self.account_for(now, &incarnation, Liveness::Ended);
+            self.enforce_loss_limits_on(now, &incarnation);
         }
     }
 }
--- a/crates/crosspath_schedule/src/jobs.rs
+++ b/crates/crosspath_schedule/src/jobs.rs
@@ -26,13 +26,13 @@
                     "event=job_of_another_customer job={id} kept_for={:?}",
                     existing.accepted.customer
                 );
-                self.commits.restore(id);
+                self.commits.rewrite_acceptance(id);
             }
             return;
         }
         self.insert(now, wall_ms, id, accepted);
         self.charge_share(id);
-        if let Some(by) = self.cancelled_early.remove(&id) {
+        if let Some(by) = self.early_cancellations.remove(&id) {
             self.cancel(now, id, by);
         }
         self.unblock_steps(now, wall_ms, id);
@@ -57,7 +57,7 @@
 
     pub(crate) fn cancel(&mut self, now: Duration, id: JobId, by: Requester) {
         let Some(job) = self.jobs.get(&id) else {
-            self.cancelled_early.insert(id, by);
+            self.early_cancellations.insert(id, by);
             return;
         };
         if !job.accepted.belongs_to(&by) {
@@ -126,7 +126,7 @@
                 }
             }
         }
-        self.place_again |= !found.is_empty();
+        self.placement_due |= !found.is_empty();
         self.waiting.extend(found);
     }
 
@@ -147,7 +147,7 @@
         task.waiting_since = now;
         let key = Key::new(job, id);
         self.waiting.replace(key);
-        self.place_again = true;
+        self.placement_due = true;
     }
 
     pub(crate) fn finish(&mut self, now: Duration, id: JobId, state: State) {
@@ -167,7 +167,7 @@
         for (task, run, _) in running {
             self.stop_run(now, task, run);
         }
-        self.commits.touch(now, id);
+        self.commits.mark_dirty(now, id);
     }
 
     /// Some task of the job has begun.
--- a/crates/crosspath_schedule/src/lease.rs
+++ b/crates/crosspath_schedule/src/lease.rs
@@ -7,10 +7,10 @@
 pub struct Terms {
     /// What a look extends everything on a worker to. Longer than a takeover takes (about 2 s), so
     /// that none lapses meanwhile; short enough that tasks on a lost worker start elsewhere soon.
-    pub hold: Duration,
+    pub extension: Duration,
     /// What a start asks for by itself; looks extend it. A start that is carried out later than
     /// this is refused by the worker, so a start without an answer is ruled out this soon.
-    pub start: Duration,
+    pub initial: Duration,
     /// Share by which a worker's clock may run slow.
     pub clock_slack: f64,
 }
@@ -18,7 +18,7 @@
 impl Terms {
     /// When a lease of length `length` that was ordered at `sent` has surely ended.
     #[must_use]
-    pub fn over(&self, sent: Duration, length: Duration) -> Duration {
+    pub fn latest_expiry(&self, sent: Duration, length: Duration) -> Duration {
         sent + length.mul_f64(1.0 + self.clock_slack)
     }
 }
@@ -27,17 +27,17 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     /// What it showed, in ms.
-    pub shown_ms: u64,
+    pub reading_ms: u64,
     /// When that was heard.
-    pub heard: Duration,
+    pub received: Duration,
 }
 
 impl Clock {
     /// Deadline on the worker's clock that gives about `length` from `now`.
     #[must_use]
     pub fn deadline_ms(&self, now: Duration, length: Duration) -> u64 {
-        let since = now.saturating_sub(self.heard);
+        let since = now.saturating_sub(self.received);
         let ahead = u64::try_from((since + length).as_millis()).unwrap_or(u64::MAX);
-        self.shown_ms.saturating_add(ahead)
+        self.reading_ms.saturating_add(ahead)
     }
 }
--- a/crates/crosspath_schedule/src/limits.rs
+++ b/crates/crosspath_schedule/src/limits.rs
@@ -59,37 +59,37 @@
 impl Scheduler {
     /// Customers have other maxima from now on.
     pub(crate) fn set_limits(&mut self, limits: Limits) {
-        self.parts.limits = Some(limits);
+        self.quotas.limits = Some(limits);
         // A customer that had no maximum before was not counted.
-        self.parts.recounted = Duration::ZERO;
-        self.place_again = true;
+        self.quotas.recounted = Duration::ZERO;
+        self.placement_due = true;
     }
 
     /// The customer of a job, if it has a maximum.
     fn limited_customer(&self, job: JobId) -> Option<&Arc<str>> {
         let customer = self.jobs.get(&job)?.accepted.customer.as_ref()?;
-        self.parts.limit(customer).map(|_| customer)
+        self.quotas.limit(customer).map(|_| customer)
     }
 
     /// Counts what customers with a maximum use, before a round of placing.
     pub(crate) fn recount_usage(&mut self, now: Duration) {
-        self.parts.quota_blocked_millis = 0;
-        if now < self.parts.recounted + RECOUNT_INTERVAL {
+        self.quotas.quota_blocked_millis = 0;
+        if now < self.quotas.recounted + RECOUNT_INTERVAL {
             // What has ended since counts on, what was started since counts too.
-            for usage in self.parts.usage.values_mut() {
+            for usage in self.quotas.usage.values_mut() {
                 *usage = Usage { used: usage.used, ..Usage::default() };
             }
             return;
         }
-        self.parts.recounted = now;
-        self.parts.usage.clear();
-        if self.parts.limits.as_ref().is_none_or(Limits::is_empty) {
+        self.quotas.recounted = now;
+        self.quotas.usage.clear();
+        if self.quotas.limits.as_ref().is_none_or(Limits::is_empty) {
             return;
         }
         let mut usage: BTreeMap<Arc<str>, Usage> = BTreeMap::new();
         let runs = self.workers.values().flat_map(|worker| worker.runs.keys());
         let runs = runs.map(|(task, _)| *task);
-        let is_settling = !self.settlement.is_over();
+        let is_settling = !self.recovery.is_complete();
         let inherited = self.jobs.values().filter(|job| is_settling && job.inherited);
         let unreported = inherited.flat_map(unreported_tasks);
         for task in runs.chain(unreported) {
@@ -97,21 +97,21 @@
             let resources = self.step_of(task).map(|step| step.resources).unwrap_or_default();
             usage.entry(Arc::clone(customer)).or_default().used.add(&resources);
         }
-        self.parts.usage = usage;
+        self.quotas.usage = usage;
     }
 
     /// Whether a task of the job's customer was held back in this round. Nothing overtakes it: else small tasks
     /// would keep a large one waiting.
     pub(crate) fn is_quota_blocked(&self, job: JobId) -> bool {
         let customer = self.limited_customer(job);
-        let usage = customer.and_then(|customer| self.parts.usage.get(customer));
+        let usage = customer.and_then(|customer| self.quotas.usage.get(customer));
         usage.is_some_and(|usage| usage.pending != Resources::default())
     }
 
     /// Whether the customer of a job may have `more` running here.
     pub(crate) fn is_within_quota(&self, job: JobId, more: &Resources) -> bool {
         let Some(customer) = self.limited_customer(job) else { return true };
-        let quotas = &self.parts;
+        let quotas = &self.quotas;
         let limit = quotas.limit(customer).unwrap_or(Resources::UNLIMITED);
         let used = quotas.usage.get(customer).map(|usage| usage.used).unwrap_or_default();
         quotas.allowance.allows(customer, &limit, &used, more)
@@ -121,17 +121,17 @@
     pub(crate) fn block_on_quota(&mut self, now: Duration, job: JobId, more: &Resources) {
         let Some(customer) = self.limited_customer(job).cloned() else { return };
         self.log_quota_blocked(now, job, &customer);
-        let usage = self.parts.usage.entry(customer).or_default();
+        let usage = self.quotas.usage.entry(customer).or_default();
         if usage.pending == Resources::default() {
             usage.first_pending = *more;
         }
         usage.pending.add(more);
-        self.parts.quota_blocked_millis += more.cpu_millis;
+        self.quotas.quota_blocked_millis += more.cpu_millis;
     }
 
     /// One line on a customer, now and then.
     fn log_quota_blocked(&mut self, now: Duration, job: JobId, customer: &Arc<str>) {
-        let quotas = &mut self.parts;
+        let quotas = &mut self.quotas;
         if quotas.logged.get(customer).is_some_and(|logged| now < *logged + LOG_INTERVAL) {
             return;
         }
@@ -154,25 +154,25 @@
     pub(crate) fn charge_quota(&mut self, task: TaskId) {
         let Some(customer) = self.limited_customer(task.job).cloned() else { return };
         let resources = self.step_of(task).map(|step| step.resources).unwrap_or_default();
-        self.parts.usage.entry(customer).or_default().used.add(&resources);
+        self.quotas.usage.entry(customer).or_default().used.add(&resources);
     }
 
     /// Asks the ledger, when that is due.
     pub(crate) fn request_quota(&mut self, now: Duration) {
-        let quotas = &mut self.parts;
+        let quotas = &mut self.quotas;
         let Some(limits) = quotas.limits.as_ref().filter(|limits| !limits.is_empty()) else {
             return;
         };
         if let Some(request) = quotas.allowance.request(now, limits, &quotas.usage) {
-            self.actions.push(Action::AskParts { ask: request });
+            self.actions.push(Action::RequestQuota { request });
         }
     }
 
     /// The ledger has answered, or not.
     pub(crate) fn quota_answered(&mut self, number: u64, grant: Option<Grant>) {
         match grant {
-            Some(grant) => self.place_again |= self.parts.allowance.apply_grant(grant),
-            None => self.parts.allowance.request_failed(number),
+            Some(grant) => self.placement_due |= self.quotas.allowance.apply_grant(grant),
+            None => self.quotas.allowance.request_failed(number),
         }
     }
 }
--- a/crates/crosspath_schedule/src/losses.rs
+++ b/crates/crosspath_schedule/src/losses.rs
@@ -29,8 +29,8 @@
 use crosspath_job::TaskId;
 use crosspath_job::progress::{Loss, State};
 
+use crate::incarnations;
 use crate::job::{Job, Phase};
-use crate::lives;
 use crate::place::Key;
 use crate::scheduler::Scheduler;
 use crate::worker::Worker;
@@ -106,13 +106,13 @@
         }
         let long_running = self.is_long_running(id);
         if let Some(worker) = self.workers.get_mut(worker) {
-            self.place_again |= worker.suspects.remove(&(id, number)).is_some();
+            self.placement_due |= worker.suspect_runs.remove(&(id, number)).is_some();
         }
         let Some(task) = self.task_mut(id) else { return };
         if long_running && !task.lost.is_empty() {
             log::info!("event=task_cleared task={id} run={number} losses={}", task.lost.len());
             task.lost.clear();
-            self.commits.touch(now, id.job);
+            self.commits.mark_dirty(now, id.job);
         }
     }
 
@@ -143,9 +143,9 @@
 
     /// Runs of owners before that no answer has shown, and that the end of a worker's life took along.
     pub(crate) fn record_unreported_losses(&mut self, now: Duration, incarnation: &Arc<str>) {
-        let (worker, _) = lives::parse(incarnation);
+        let (worker, _) = incarnations::parse(incarnation);
         let draining = self.workers.get(worker).is_some_and(|worker| worker.entry.draining);
-        if draining && self.is_known_life(incarnation) {
+        if draining && self.is_current_incarnation(incarnation) {
             return;
         }
         let mut lost = Vec::new();
@@ -172,7 +172,7 @@
         }
         task.last_run = task.last_run.max(loss.run);
         task.lost.push(loss);
-        self.commits.touch(now, id.job);
+        self.commits.mark_dirty(now, id.job);
         self.requeue(id);
     }
 
@@ -182,7 +182,7 @@
         let before = task.lost.len();
         task.lost.retain(|loss| loss.run != number);
         if task.lost.len() < before {
-            self.commits.touch(now, id.job);
+            self.commits.mark_dirty(now, id.job);
             self.requeue(id);
         }
     }
@@ -192,7 +192,7 @@
         for id in self.tasks_lost_on(incarnation) {
             let Some(task) = self.task_mut(id) else { continue };
             task.lost.retain(|loss| *loss.worker != *incarnation);
-            self.commits.touch(now, id.job);
+            self.commits.mark_dirty(now, id.job);
             self.requeue(id);
         }
     }
@@ -227,7 +227,8 @@
         };
         let Some(task) = job.task(id).filter(|task| !task.done) else { return };
         // A worker that is still listed may be back.
-        let final_losses = task.lost.iter().filter(|loss| !self.is_known_life(&loss.worker));
+        let final_losses =
+            task.lost.iter().filter(|loss| !self.is_current_incarnation(&loss.worker));
         let final_losses: Vec<_> = final_losses.collect();
         let losses = final_losses.len();
         let alone = final_losses.last().is_some_and(|loss| loss.alone);
@@ -239,10 +240,10 @@
 
     /// Notes which workers take nothing but tasks that run alone: as many as such tasks wait for.
     pub(crate) fn reserve_for_isolation(&mut self, now: Duration) {
-        self.kept_free.clear();
+        self.reserved_for_isolation.clear();
         let isolated = self.waiting.iter().filter(|key| key.isolated).map(|key| key.task);
         let isolated: Vec<_> = isolated.collect();
-        self.waits_alone = !isolated.is_empty();
+        self.isolation_pending = !isolated.is_empty();
         if isolated.is_empty() {
             return;
         }
@@ -254,7 +255,7 @@
                 return;
             }
             let Some(worker) = self.best_worker_to_isolate(now, id) else { continue };
-            self.kept_free.insert(worker);
+            self.reserved_for_isolation.insert(worker);
             left -= 1.0;
         }
     }
--- a/crates/crosspath_schedule/src/place.rs
+++ b/crates/crosspath_schedule/src/place.rs
@@ -11,7 +11,7 @@
 use crate::job::{Job, Phase, Run, Task};
 use crate::losses;
 use crate::scheduler::Scheduler;
-use crate::worker::{BLAME_LIMIT, Worker};
+use crate::worker::{QUARANTINE_THRESHOLD, Worker};
 
 /// Share of a pool's workers at most that get no new work for what they did to earlier tasks.
 const MAX_QUARANTINED_SHARE: f64 = 0.34;
@@ -128,7 +128,7 @@
         let mut attempted_gang = None;
         let mut unplaced = 0;
         self.unplaced_millis = 0;
-        self.unplaced_lasting = 0;
+        self.unplaced_long_running = 0;
         for key in timely.into_iter().chain(late).chain(over_share) {
             if key.gang {
                 let gang = (key.task.job, key.task.occurrence, key.task.step);
@@ -154,7 +154,7 @@
                 unplaceable.add(key.resources);
             }
             self.unplaced_millis += key.resources.cpu_millis;
-            self.unplaced_lasting += u32::from(!key.finite);
+            self.unplaced_long_running += u32::from(!key.finite);
             unplaced += 1;
             if unplaced >= MAX_CONSECUTIVE_UNPLACED {
                 return;
@@ -172,10 +172,10 @@
             return Attempt::Settled;
         }
         if now < task.not_before {
-            self.place_again = true;
+            self.placement_due = true;
             return Attempt::Settled;
         }
-        if self.may_be_unseen(id) || !self.ensure_advice(now, id) {
+        if self.may_have_unreported_run(id) || !self.ensure_advice(now, id) {
             return Attempt::Settled;
         }
         if !key.isolated && unplaceable.covers(&key.resources) {
@@ -196,7 +196,7 @@
         let Some(task) = self.jobs.get(&id.job).and_then(|job| job.task(id)) else {
             return Attempt::Settled;
         };
-        let run = Self::next_run(self.epoch, task);
+        let run = Self::next_run_number(self.epoch, task);
         let checkpoint = task.checkpoint.clone();
         self.waiting.remove(&key);
         self.plan_run(now, id, run, &worker, checkpoint);
@@ -222,7 +222,7 @@
         task.runs.push(Run {
             number: run,
             worker: Arc::clone(worker),
-            incarnation: known.life(),
+            incarnation: known.incarnation(),
             phase: Phase::Planned,
             start_sent: now,
             answered: now,
@@ -240,9 +240,9 @@
             known.free().cpu_millis
         );
         known.reserve(id, run, resources);
-        known.suspect(id, run, losses);
+        known.mark_suspect(id, run, losses);
         self.charge_quota(id);
-        self.commits.plan(now, id, run);
+        self.commits.plan_run(now, id, run);
     }
 
     /// Sends the start of a planned run, its place being kept.
@@ -259,7 +259,7 @@
         run.start_sent = now;
         let checkpoint = run.checkpoint.clone();
         let Some(worker) = self.workers.get_mut(&run.worker) else { return };
-        worker.leased_until(terms.over(now, terms.start));
+        worker.extend_lease(terms.latest_expiry(now, terms.initial));
         let worker = worker.target();
         let ticket = self.tickets.ticket(id, &worker.id);
         self.actions.push(Action::Start {
@@ -287,7 +287,7 @@
                 if isolated {
                     self.can_isolate(worker)
                 } else {
-                    !self.kept_free.contains(&worker.entry.id)
+                    !self.reserved_for_isolation.contains(&worker.entry.id)
                 }
             });
         let scored = candidates.map(|worker| (self.cost(now, worker, task, step), worker));
@@ -317,15 +317,16 @@
     }
 
     fn is_quarantined(&self, now: Duration, worker: &Worker) -> bool {
-        self.blame_counts && worker.blame_at(now) >= BLAME_LIMIT
+        self.quarantine_enabled && worker.suspicion_at(now) >= QUARANTINE_THRESHOLD
     }
 
     /// Notes whether blame keeps work from workers: not where most are blamed. Looked over once a round of
     /// placing: once for each worker, the looks would grow with the square of the pool.
     pub(crate) fn update_quarantine(&mut self, now: Duration) {
-        let quarantined = self.workers.values().filter(|other| other.blame_at(now) >= BLAME_LIMIT);
+        let quarantined =
+            self.workers.values().filter(|other| other.suspicion_at(now) >= QUARANTINE_THRESHOLD);
         let allowed = (self.workers.len() as f64 * MAX_QUARANTINED_SHARE).ceil();
-        self.blame_counts = quarantined.count() as f64 <= allowed;
+        self.quarantine_enabled = quarantined.count() as f64 <= allowed;
     }
 
     /// Lower is better. Fuller workers first, so that others stay empty and can leave the pool; but tasks that were
@@ -341,9 +342,9 @@
         weight(off_rack, 100.0)
             + weight(failed, 50.0)
             + weight(mixed, 10.0)
-            + worker.blame_at(now) * 2.0
+            + worker.suspicion_at(now) * 2.0
             + if separate { 1.0 - free } else { free }
-            + SUSPECT_WEIGHT * worker.suspects.len() as f64
+            + SUSPECT_WEIGHT * worker.suspect_runs.len() as f64
     }
 
     /// Whether fill work and tasks with a tail target would come together.
@@ -368,12 +369,13 @@
         if tasks.iter().any(|task| !task.runs.is_empty() || task.done || now < task.not_before) {
             return;
         }
-        if self.may_be_unseen(id) || !self.ensure_advice(now, id) {
+        if self.may_have_unreported_run(id) || !self.ensure_advice(now, id) {
             return;
         }
         let Some(job) = self.jobs.get(&id.job) else { return };
         let tasks = &job.occurrences[id.occurrence as usize].steps[id.step as usize].tasks;
-        let run = tasks.iter().map(|task| Self::next_run(self.epoch, task)).max().unwrap_or(1);
+        let run =
+            tasks.iter().map(|task| Self::next_run_number(self.epoch, task)).max().unwrap_or(1);
         let checkpoint = tasks.iter().find_map(|task| task.checkpoint.clone());
         let Some(chosen) = self.gang_workers(now, id, step) else { return };
         let total = (0..step.tasks).fold(Resources::default(), |sum, _| sum.plus(&step.resources));
--- a/crates/crosspath_schedule/src/looks.rs
+++ b/crates/crosspath_schedule/src/polls.rs
@@ -8,34 +8,34 @@
 use crosspath_job::spec::Step;
 
 use crate::action::Action;
+use crate::incarnations;
 use crate::job::{Phase, Run};
-use crate::lives;
 use crate::losses::Liveness;
-use crate::runs::STOPPED_WITHIN;
+use crate::runs::STOP_COMPLETION;
 use crate::scheduler::Scheduler;
 use crate::worker::Worker;
 
 /// For which a late entry of a life that has ended is known as such. Writes are late by some seconds.
-const ENDED_LIFE_MEMORY: Duration = Duration::from_secs(60);
+const ENDED_INCARNATION_RETENTION: Duration = Duration::from_secs(60);
 
 /// A life that is surely over.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct EndedLife {
+pub(crate) struct EndedIncarnation {
     /// When it began, in ms since 1970.
-    born_ms: u64,
+    started_ms: u64,
     /// When it was known to be over.
-    known: Duration,
+    ended_at: Duration,
 }
 
 impl Scheduler {
-    pub(crate) fn worker_seen(&mut self, now: Duration, entry: Entry) {
-        let ended = self.ended_lives.get(&entry.id);
-        if ended.is_some_and(|ended| entry.started_ms <= ended.born_ms) {
-            self.lost_unseen(now, &lives::name(&entry.id, entry.started_ms));
+    pub(crate) fn worker_listed(&mut self, now: Duration, entry: Entry) {
+        let ended = self.ended_incarnations.get(&entry.id);
+        if ended.is_some_and(|ended| entry.started_ms <= ended.started_ms) {
+            self.end_unaccounted(now, &incarnations::name(&entry.id, entry.started_ms));
             return;
         }
-        self.place_again = true;
-        if self.workers.contains_key(&entry.id) && !self.is_listed_newest(now, &entry) {
+        self.placement_due = true;
+        if self.workers.contains_key(&entry.id) && !self.accept_listed_incarnation(now, &entry) {
             return;
         }
         if let Some(worker) = self.workers.get_mut(&entry.id) {
@@ -47,8 +47,8 @@
                 );
             }
             worker.listed = true;
-            let born_ms = entry.started_ms.max(worker.entry.started_ms);
-            worker.entry = Entry { started_ms: born_ms, ..entry };
+            let started_ms = entry.started_ms.max(worker.entry.started_ms);
+            worker.entry = Entry { started_ms, ..entry };
             return;
         }
         log::info!(
@@ -61,76 +61,77 @@
         let known = Arc::clone(&id);
         let mut worker = Worker::new(entry);
         // An owner before may have given leases there.
-        worker.inherited_until(self.settlement.open_until());
-        self.actions.push(Action::Watch { worker: worker.target(), clock_ms });
+        worker.inherit_lease(self.recovery.pending_until());
+        self.actions.push(Action::StartPolling { worker: worker.target(), clock_ms });
         self.workers.insert(id, worker);
-        self.end_lives_under(now, &known);
+        self.end_earlier_incarnations(now, &known);
     }
 
-    pub(crate) fn worker_gone(&mut self, now: Duration, id: &Arc<str>) {
+    pub(crate) fn worker_unlisted(&mut self, now: Duration, id: &Arc<str>) {
         let Some(worker) = self.workers.get_mut(id) else { return };
         worker.listed = false;
         if worker.entry.draining && worker.failures > 0 {
-            self.worker_dead(now, id, "left");
+            self.remove_worker(now, id, "left");
         }
     }
 
     /// A life has answered: those of the same VM that were last known to answer before are over. The
     /// list cannot tell that, since an entry may be written late.
-    fn end_lives_before(&mut self, now: Duration, id: &Arc<str>, sent: Duration) {
+    fn end_replaced_incarnations(&mut self, now: Duration, id: &Arc<str>, sent: Duration) {
         let Some(worker) = self.workers.get(id) else { return };
         let vm = &worker.entry.vm;
         if vm.is_empty() {
             return;
         }
         let others = self.workers.values().filter(|other| {
-            other.entry.vm == *vm && other.entry.id != *id && other.answered_sent <= sent
+            other.entry.vm == *vm && other.entry.id != *id && other.last_answered_poll <= sent
         });
         let before: Vec<_> = others.map(|other| Arc::clone(&other.entry.id)).collect();
         for other in before {
-            self.end_life(now, &other, "replaced");
+            self.end_incarnation(now, &other, "replaced");
         }
     }
 
     /// The worker's life is surely over, whatever the list may show of it yet.
-    pub(crate) fn end_life(&mut self, now: Duration, id: &Arc<str>, why: &str) {
+    pub(crate) fn end_incarnation(&mut self, now: Duration, id: &Arc<str>, reason: &str) {
         if let Some(worker) = self.workers.get(id) {
-            let ended = EndedLife { born_ms: worker.entry.started_ms, known: now };
-            self.ended_lives.insert(Arc::clone(id), ended);
+            let ended = EndedIncarnation { started_ms: worker.entry.started_ms, ended_at: now };
+            self.ended_incarnations.insert(Arc::clone(id), ended);
         }
-        self.worker_dead(now, id, why);
+        self.remove_worker(now, id, reason);
     }
 
     /// Forgets ended lives of which no entry can come any more.
-    pub(crate) fn forget_ended_lives(&mut self, now: Duration) {
-        self.ended_lives.retain(|_, ended| now < ended.known + ENDED_LIFE_MEMORY);
+    pub(crate) fn prune_ended_incarnations(&mut self, now: Duration) {
+        self.ended_incarnations
+            .retain(|_, ended| now < ended.ended_at + ENDED_INCARNATION_RETENTION);
     }
 
     /// The worker's life is over, and with it all that ran there.
-    pub(crate) fn worker_dead(&mut self, now: Duration, id: &Arc<str>, why: &str) {
+    pub(crate) fn remove_worker(&mut self, now: Duration, id: &Arc<str>, reason: &str) {
         let Some(worker) = self.workers.get(id) else { return };
-        log::info!("event=worker_over worker={id} why={why} runs={}", worker.runs.len());
-        let life = worker.life();
-        self.actions.push(Action::Unwatch { worker: worker.target() });
-        self.release_all(now, id, why);
-        self.accounted(now, &life, Liveness::Ended);
+        log::info!("event=worker_over worker={id} why={reason} runs={}", worker.runs.len());
+        let incarnation = worker.incarnation();
+        self.actions.push(Action::StopPolling { worker: worker.target() });
+        self.release_runs(now, id, reason);
+        self.account_for(now, &incarnation, Liveness::Ended);
         self.workers.remove(id);
-        self.enforce_loss_limits_on(now, &life);
+        self.enforce_loss_limits_on(now, &incarnation);
     }
 
-    pub(crate) fn release_all(&mut self, now: Duration, id: &Arc<str>, why: &str) {
+    pub(crate) fn release_runs(&mut self, now: Duration, id: &Arc<str>, reason: &str) {
         let Some(worker) = self.workers.get(id) else { return };
         let runs: Vec<_> = worker.runs.keys().copied().collect();
         let colocation = self.colocation(worker);
         for (task, run) in runs {
             self.record_loss(now, id, task, run, colocation);
-            self.drop_and_queue(now, id, task, run, why);
+            self.drop_and_requeue(now, id, task, run, reason);
         }
     }
 
     /// Frees what ran on silent workers once their leases have surely ended.
-    pub(crate) fn release_lapsed(&mut self, now: Duration) {
-        let lapsed = |worker: &&Worker| worker.failures > 0 && now > worker.lease_over;
+    pub(crate) fn release_expired(&mut self, now: Duration) {
+        let lapsed = |worker: &&Worker| worker.failures > 0 && now > worker.lease_expiry;
         let silent: Vec<_> = self
             .workers
             .values()
@@ -139,15 +140,15 @@
             .collect();
         for (id, listed) in silent {
             if listed {
-                self.release_all(now, &id, "lapsed");
+                self.release_runs(now, &id, "lapsed");
             } else {
-                self.worker_dead(now, &id, "gone");
+                self.remove_worker(now, &id, "gone");
             }
         }
-        self.settle(now);
+        self.release_expired_unaccounted(now);
     }
 
-    pub(crate) fn hold_failed(
+    pub(crate) fn poll_failed(
         &mut self,
         now: Duration,
         id: &Arc<str>,
@@ -155,11 +156,11 @@
         extended: bool,
         error: Error,
     ) {
-        if self.is_of_life_before(id, sent) {
+        if self.was_sent_to_earlier_incarnation(id, sent) {
             return;
         }
         match error {
-            Error::OtherLife => return self.end_life(now, id, "other_life"),
+            Error::OtherLife => return self.end_incarnation(now, id, "other_life"),
             Error::Fenced => self.superseded = true,
             Error::NotReached | Error::NoAnswer | Error::Refused { .. } => {}
         }
@@ -170,75 +171,75 @@
         }
         worker.failures += 1;
         if extended && error == Error::NoAnswer {
-            worker.leased_until(terms.over(sent, terms.hold));
+            worker.extend_lease(terms.latest_expiry(sent, terms.extension));
         }
-        let left = worker.entry.draining || (worker.synced && worker.runs.is_empty());
-        if left && !worker.listed {
-            self.worker_dead(now, id, "left");
+        let has_left = worker.entry.draining || (worker.synced && worker.runs.is_empty());
+        if has_left && !worker.listed {
+            self.remove_worker(now, id, "left");
         }
     }
 
-    pub(crate) fn held(
+    pub(crate) fn poll_answered(
         &mut self,
         now: Duration,
         id: &Arc<str>,
         sent: Duration,
         extended: bool,
-        held: PollReply,
+        reply: PollReply,
     ) {
-        if !self.is_answered_by_newest(now, id, sent, &held) {
+        if !self.accept_answering_incarnation(now, id, sent, &reply) {
             return;
         }
         let terms = self.settings.terms;
         let Some(worker) = self.workers.get_mut(id) else { return };
         if worker.failures > 0 {
             log::info!("event=worker_back worker={id} failures={}", worker.failures);
-            self.place_again = true;
+            self.placement_due = true;
         }
-        self.place_again |= !worker.synced;
-        let was_lost = worker.failures > 0 || !worker.synced;
+        self.placement_due |= !worker.synced;
+        let was_unavailable = worker.failures > 0 || !worker.synced;
         worker.failures = 0;
         worker.synced = true;
-        worker.answered_sent = worker.answered_sent.max(sent);
+        worker.last_answered_poll = worker.last_answered_poll.max(sent);
         if extended {
-            worker.leased_until(terms.over(sent, terms.hold));
+            worker.extend_lease(terms.latest_expiry(sent, terms.extension));
         }
-        let life = worker.life();
-        if was_lost {
-            self.clear_losses_on(now, &life);
+        let incarnation = worker.incarnation();
+        if was_unavailable {
+            self.clear_losses_on(now, &incarnation);
         }
-        for ended in &held.ended {
-            self.ended(now, id, ended);
+        for ended in &reply.ended {
+            self.run_ended(now, id, ended);
         }
-        for running in &held.running {
+        for running in &reply.running {
             self.clear_loss(now, running.task, running.run);
-            self.is_running(now, id, running);
+            self.update_running(now, id, running);
         }
-        self.reconcile(now, id, sent, &held.running);
-        self.accounted(now, &life, Liveness::Answering);
+        self.reconcile(now, id, sent, &reply.running);
+        self.account_for(now, &incarnation, Liveness::Answering);
         // A record may not tell which life it means.
-        self.accounted(now, id, Liveness::Answering);
-        self.end_lives_before(now, id, sent);
+        self.account_for(now, id, Liveness::Answering);
+        self.end_replaced_incarnations(now, id, sent);
     }
 
     /// A run that the worker lists.
-    pub(crate) fn is_running(&mut self, now: Duration, worker: &Arc<str>, row: &Running) {
-        let Running { task: id, run: number, .. } = *row;
+    pub(crate) fn update_running(&mut self, now: Duration, worker: &Arc<str>, listed: &Running) {
+        let Running { task: id, run: number, .. } = *listed;
         if let Some(run) = self.run_mut(id, number) {
-            if run.percent != row.percent {
-                run.percent = row.percent;
+            if run.percent != listed.percent {
+                run.percent = listed.percent;
                 run.progressed = now;
             }
             run.last_seen = now;
-            run.gauge = row.gauge;
-            if row.checkpoint.is_some() {
-                run.checkpoint.clone_from(&row.checkpoint);
+            run.gauge = listed.gauge;
+            if listed.checkpoint.is_some() {
+                run.checkpoint.clone_from(&listed.checkpoint);
             }
             if run.phase == Phase::Starting {
                 run.phase = Phase::Running;
                 run.answered = now;
                 self.mark_running(now, id.job);
-            } else if run.phase == Phase::Stopped && now >= run.answered + STOPPED_WITHIN {
+            } else if run.phase == Phase::Stopped && now >= run.answered + STOP_COMPLETION {
                 log::info!("event=run_shown_after_stop task={id} run={number} worker={worker}");
                 run.phase = Phase::Running;
                 self.stop_run(now, id, number);
@@ -246,26 +247,27 @@
             self.end_probation(now, worker, id, number);
             return;
         }
-        self.found(now, worker, row);
+        self.adopt_or_stop(now, worker, listed);
     }
 
     /// A run that this owner did not start: adopted if its task may run there, else stopped.
-    pub(crate) fn found(&mut self, now: Duration, worker: &Arc<str>, row: &Running) {
-        let Running { task: id, run: number, .. } = *row;
+    pub(crate) fn adopt_or_stop(&mut self, now: Duration, worker: &Arc<str>, listed: &Running) {
+        let Running { task: id, run: number, .. } = *listed;
         let wanted = self.jobs.get(&id.job).is_some_and(|job| {
-            let copies = job.accepted.spec.steps.get(id.step as usize);
-            let copies = copies.is_some_and(|step| step.speculative);
-            let free =
-                job.task(id).is_some_and(|task| !task.done && (task.runs.is_empty() || copies));
-            free && !job.state.is_terminal()
+            let speculative = job.accepted.spec.steps.get(id.step as usize);
+            let speculative = speculative.is_some_and(|step| step.speculative);
+            let unclaimed = job
+                .task(id)
+                .is_some_and(|task| !task.done && (task.runs.is_empty() || speculative));
+            unclaimed && !job.state.is_terminal()
         });
-        let room = self.step_of(id).map(Step::reserved).unwrap_or_default();
+        let reserved = self.step_of(id).map(Step::reserved).unwrap_or_default();
         let task = self.jobs.get(&id.job).and_then(|job| job.task(id));
         let losses = task.map_or(0, |task| task.lost.len());
         let Some(known) = self.workers.get_mut(worker) else { return };
-        known.reserve(id, number, room);
-        known.suspect(id, number, losses);
-        let incarnation = known.life();
+        known.reserve(id, number, reserved);
+        known.mark_suspect(id, number, losses);
+        let incarnation = known.incarnation();
         if !wanted {
             log::info!("event=run_unwanted task={id} run={number} worker={worker}");
             let worker = known.target();
@@ -283,15 +285,15 @@
                 start_sent: now,
                 answered: now,
                 stop_sent: Duration::ZERO,
-                percent: row.percent,
+                percent: listed.percent,
                 last_seen: now,
                 progressed: now,
-                checkpoint: row.checkpoint.clone(),
-                gauge: row.gauge,
+                checkpoint: listed.checkpoint.clone(),
+                gauge: listed.gauge,
                 speed_percent: 100,
             });
         }
-        self.commits.touch(now, id.job);
+        self.commits.mark_dirty(now, id.job);
         self.mark_running(now, id.job);
     }
 
@@ -303,11 +305,11 @@
         sent: Duration,
         running: &[Running],
     ) {
-        let there: BTreeSet<_> = running.iter().map(|row| (row.task, row.run)).collect();
+        let listed: BTreeSet<_> = running.iter().map(|row| (row.task, row.run)).collect();
         let Some(worker) = self.workers.get(id) else { return };
         let missing: Vec<_> =
-            worker.runs.keys().filter(|key| !there.contains(key)).copied().collect();
-        let start = self.settings.terms.start;
+            worker.runs.keys().filter(|key| !listed.contains(key)).copied().collect();
+        let initial = self.settings.terms.initial;
         for (task, number) in missing {
             let Some(run) = self.run(task, number) else {
                 self.drop_run(id, task, number);
@@ -316,12 +318,14 @@
             let ruled_out = match run.phase {
                 Phase::Planned | Phase::Starting | Phase::Stopping => false,
                 Phase::Running | Phase::Stopped => run.answered < sent,
-                Phase::Doubtful => self.settings.terms.over(run.start_sent, start) < sent,
+                Phase::Doubtful => {
+                    self.settings.terms.latest_expiry(run.start_sent, initial) < sent
+                }
             };
             if ruled_out {
                 let ended = matches!(run.phase, Phase::Running);
-                let why = if ended { "end_not_heard" } else { "not_there" };
-                self.drop_and_queue(now, id, task, number, why);
+                let reason = if ended { "end_not_heard" } else { "not_there" };
+                self.drop_and_requeue(now, id, task, number, reason);
             }
         }
     }
--- a/crates/crosspath_schedule/src/report.rs
+++ b/crates/crosspath_schedule/src/report.rs
@@ -20,12 +20,14 @@
     /// Tasks that run or may run there.
     pub tasks: u32,
     /// Lasting tasks among them.
-    pub lasting: u32,
+    #[serde(rename = "lasting")]
+    pub long_running: u32,
     /// Whether it takes work: listed, answering, not draining, its data centre not evacuated.
     pub usable: bool,
     /// Whether its worker has told this owner what runs there, and all ends that it told of are
     /// kept; `tasks` says nothing otherwise.
-    pub known: bool,
+    #[serde(rename = "known")]
+    pub confirmed: bool,
 }
 
 /// A pool as its owner sees it.
@@ -36,12 +38,13 @@
     /// Wanted by tasks whose turn has come and that have no place.
     pub waiting_millis: u64,
     /// Part of `running_millis` and `waiting_millis` that is of lasting tasks.
-    #[serde(default)]
-    pub lasting_millis: u64,
+    #[serde(default, rename = "lasting_millis")]
+    pub long_running_millis: u64,
     /// Wanted by tasks for which no worker was found, in thousandths of a core.
     pub unplaced_millis: u64,
     /// Lasting tasks among those.
-    pub unplaced_lasting: u32,
+    #[serde(rename = "unplaced_lasting")]
+    pub unplaced_long_running: u32,
     /// Wanted by tasks that wait for others of their job.
     pub blocked_millis: u64,
     /// Largest single task that waits.
@@ -49,7 +52,8 @@
     /// Priority of the most urgent brief work there is; 0 goes first.
     pub priority: u32,
     /// VMs over which some step must be spread.
-    pub spread: u32,
+    #[serde(rename = "spread")]
+    pub min_vms: u32,
     /// Its VMs.
     pub vms: Vec<Vm>,
 }
@@ -58,7 +62,7 @@
     /// Whether surely nothing runs there.
     #[must_use]
     pub fn is_vacant(&self) -> bool {
-        self.known && self.tasks == 0
+        self.confirmed && self.tasks == 0
     }
 }
 
@@ -67,45 +71,48 @@
     #[must_use]
     pub fn report(&self, now: Duration) -> Pool {
         let mut pool = Pool::default();
-        for worker in self.workers.values().filter(|worker| !self.is_doubtful_life(worker)) {
-            let lasts = |task| self.step_of(task).is_some_and(|step| step.long_running);
-            let lasting = worker.runs.iter().filter(|((task, _), _)| lasts(*task));
-            let lasting: Vec<u64> = lasting.map(|(_, room)| room.cpu_millis).collect();
-            pool.lasting_millis += lasting.iter().sum::<u64>();
-            pool.running_millis += worker.used.cpu_millis;
+        for worker in self.workers.values().filter(|worker| !self.is_superseded_incarnation(worker))
+        {
+            let is_long_running = |task| self.step_of(task).is_some_and(|step| step.long_running);
+            let long_running = worker.runs.iter().filter(|((task, _), _)| is_long_running(*task));
+            let long_running: Vec<u64> =
+                long_running.map(|(_, reserved)| reserved.cpu_millis).collect();
+            pool.long_running_millis += long_running.iter().sum::<u64>();
+            pool.running_millis += worker.reserved.cpu_millis;
             pool.vms.push(Vm {
                 name: worker.entry.vm.clone(),
                 cpu_millis: worker.entry.capacity.cpu_millis,
-                used_millis: worker.used.cpu_millis,
+                used_millis: worker.reserved.cpu_millis,
                 tasks: u32::try_from(worker.runs.len()).unwrap_or(u32::MAX),
-                lasting: u32::try_from(lasting.len()).unwrap_or(u32::MAX),
+                long_running: u32::try_from(long_running.len()).unwrap_or(u32::MAX),
                 usable: worker.is_usable(now) && !self.is_evacuated(worker),
                 // An end that is not kept yet would be lost with the worker.
-                known: worker.answers() && worker.ends_seen == worker.ends_acknowledged,
+                confirmed: worker.is_answering() && worker.ends_seen == worker.ends_acknowledged,
             });
         }
         for key in &self.waiting {
             let cpu = key.resources.cpu_millis;
             pool.waiting_millis += cpu;
-            pool.lasting_millis += if key.is_long_running() { cpu } else { 0 };
+            pool.long_running_millis += if key.is_long_running() { cpu } else { 0 };
             pool.largest_millis = pool.largest_millis.max(cpu);
         }
         // What only a customer's maximum holds back needs no VM.
-        pool.waiting_millis = pool.waiting_millis.saturating_sub(self.parts.quota_blocked_millis);
+        pool.waiting_millis = pool.waiting_millis.saturating_sub(self.quotas.quota_blocked_millis);
         pool.blocked_millis = self.blocked_millis();
         pool.unplaced_millis = if self.waiting.is_empty() { 0 } else { self.unplaced_millis };
-        pool.unplaced_lasting = if self.waiting.is_empty() { 0 } else { self.unplaced_lasting };
-        pool.spread = self.spread();
+        pool.unplaced_long_running =
+            if self.waiting.is_empty() { 0 } else { self.unplaced_long_running };
+        pool.min_vms = self.min_vms();
         pool.priority = self.priority();
         pool
     }
 
     /// Whether a worker does not answer while another life of its VM does.
-    fn is_doubtful_life(&self, worker: &Worker) -> bool {
+    fn is_superseded_incarnation(&self, worker: &Worker) -> bool {
         let same_vm = |other: &&Worker| {
             other.entry.vm == worker.entry.vm && other.entry.id != worker.entry.id
         };
-        !worker.answers() && self.workers.values().filter(same_vm).any(Worker::answers)
+        !worker.is_answering() && self.workers.values().filter(same_vm).any(Worker::is_answering)
     }
 
     /// Priority of the most urgent brief work.
@@ -117,7 +124,7 @@
     }
 
     /// Workers over which some step must be spread.
-    fn spread(&self) -> u32 {
+    fn min_vms(&self) -> u32 {
         let running = self.jobs.values().filter(|job| !job.state.is_terminal());
         let steps = running.flat_map(|job| &job.accepted.spec.steps);
         let spread = steps.filter(|step| step.max_per_worker > 0);
@@ -130,8 +137,8 @@
             for occurrence in job.occurrences.iter().filter(|occurrence| occurrence.due) {
                 for (number, step) in occurrence.steps.iter().enumerate() {
                     if !step.unblocked {
-                        let room = job.accepted.spec.steps[number].reserved();
-                        total += room.cpu_millis * u64::from(step.remaining);
+                        let reserved = job.accepted.spec.steps[number].reserved();
+                        total += reserved.cpu_millis * u64::from(step.remaining);
                     }
                 }
             }
--- a/crates/crosspath_schedule/src/runs.rs
+++ b/crates/crosspath_schedule/src/runs.rs
@@ -13,22 +13,22 @@
 /// rise above those of owners before, whatever those have started unseen.
 const RUNS_PER_EPOCH: u64 = 10_000;
 /// Between two stops for a run whose stop got no answer.
-const STOP_AGAIN: Duration = Duration::from_millis(400);
+const STOP_RETRY_INTERVAL: Duration = Duration::from_millis(400);
 
 /// A stop that a worker has taken has ended its run by then: stops take up to 0.9 s. A run that is shown after
 /// that was not stopped, or was started after its stop.
-pub(crate) const STOPPED_WITHIN: Duration = Duration::from_millis(1_500);
+pub(crate) const STOP_COMPLETION: Duration = Duration::from_millis(1_500);
 
 impl Scheduler {
     /// Whether a run may be ending by a stop of an owner before: it is shown as running until the stop is
     /// through. A worker that has answered this owner takes no further stop of one before.
-    pub(crate) fn may_be_stopped_by_another(&self, now: Duration, run: &Run) -> bool {
+    pub(crate) fn may_be_stopping_for_previous_owner(&self, now: Duration, run: &Run) -> bool {
         let adopted = run.number < self.epoch * RUNS_PER_EPOCH;
-        adopted && now < run.answered + STOPPED_WITHIN
+        adopted && now < run.answered + STOP_COMPLETION
     }
 
     /// Next number for a run of a task.
-    pub(crate) fn next_run(epoch: u64, task: &Task) -> u64 {
+    pub(crate) fn next_run_number(epoch: u64, task: &Task) -> u64 {
         (task.last_run + 1).max(epoch * RUNS_PER_EPOCH + 1)
     }
 
@@ -55,18 +55,18 @@
         let Some(run) = self.run(id, number) else { return };
         if run.phase == Phase::Planned {
             let worker = Arc::clone(&run.worker);
-            self.drop_and_queue(now, &worker, id, number, "not_sent");
+            self.drop_and_requeue(now, &worker, id, number, "not_sent");
         }
     }
 
-    pub(crate) fn stop_again(&mut self, now: Duration) {
+    pub(crate) fn retry_stops(&mut self, now: Duration) {
         let mut again = Vec::new();
         for worker in self.workers.values().filter(|worker| worker.failures == 0) {
             again.extend(worker.unanswered.iter().copied());
         }
         for (task, run) in again {
             let found = self.run(task, run);
-            let due = found.is_some_and(|found| now >= found.stop_sent + STOP_AGAIN);
+            let due = found.is_some_and(|found| now >= found.stop_sent + STOP_RETRY_INTERVAL);
             if due {
                 self.stop_run(now, task, run);
             }
@@ -87,23 +87,23 @@
     pub(crate) fn drop_run(&mut self, worker: &str, id: TaskId, number: u64) -> Option<Run> {
         if let Some(worker) = self.workers.get_mut(worker) {
             worker.release(id, number);
-            self.place_again = true;
+            self.placement_due = true;
         }
         let task = self.task_mut(id)?;
         let at = task.runs.iter().position(|run| run.number == number)?;
         Some(task.runs.remove(at))
     }
 
-    pub(crate) fn drop_and_queue(
+    pub(crate) fn drop_and_requeue(
         &mut self,
         now: Duration,
         worker: &str,
         id: TaskId,
         number: u64,
-        why: &str,
+        reason: &str,
     ) {
         if self.drop_run(worker, id, number).is_some() {
-            log::info!("event=run_over task={id} run={number} worker={worker} why={why}");
+            log::info!("event=run_over task={id} run={number} worker={worker} why={reason}");
         }
         self.queue_task(now, id);
     }
--- a/crates/crosspath_schedule/src/scheduler.rs
+++ b/crates/crosspath_schedule/src/scheduler.rs
@@ -15,17 +15,17 @@
 use crate::job::{Job, Task};
 use crate::lease::Terms;
 use crate::limits::Quotas;
-use crate::looks::EndedLife;
 use crate::place::Key;
+use crate::polls::EndedIncarnation;
 use crate::shares::Shares;
-use crate::takeover::Settlement;
+use crate::takeover::Recovery;
 use crate::tickets::Tickets;
 use crate::worker::Worker;
 
 /// Waiting tasks that make a backlog.
-const BACKLOG: usize = 64;
+const BACKLOG_TASKS: usize = 64;
 /// Between two rounds of placing with a backlog, where each end that is heard would set one off.
-const PLACE_INTERVAL: Duration = Duration::from_millis(4);
+const BACKLOG_PLACEMENT_INTERVAL: Duration = Duration::from_millis(4);
 
 /// What the scheduler is told once.
 #[derive(Debug, Clone, Copy)]
@@ -35,7 +35,7 @@
     /// Lengths of leases.
     pub terms: Terms,
     /// How long an ended job can be asked for.
-    pub keep_ended: Duration,
+    pub ended_job_retention: Duration,
     /// Silence of membership after which an owner stops acting.
     pub membership_ttl: Duration,
 }
@@ -48,37 +48,37 @@
     pub(crate) jobs: BTreeMap<JobId, Job>,
     pub(crate) workers: BTreeMap<Arc<str>, Worker>,
     /// Lives of VMs that are over, by their identifiers.
-    pub(crate) ended_lives: BTreeMap<Arc<str>, EndedLife>,
+    pub(crate) ended_incarnations: BTreeMap<Arc<str>, EndedIncarnation>,
     pub(crate) waiting: BTreeSet<Key>,
     pub(crate) actions: Vec<Action>,
     pub(crate) commits: Commits,
-    pub(crate) settlement: Settlement,
+    pub(crate) recovery: Recovery,
     pub(crate) tickets: Tickets,
-    pub(crate) parts: Quotas,
+    pub(crate) quotas: Quotas,
     pub(crate) shares: Shares,
-    pub(crate) vacate: BTreeSet<Arc<str>>,
+    pub(crate) vms_to_vacate: BTreeSet<Arc<str>>,
     /// Data centres that get no new work.
     pub(crate) evacuated: Arc<BTreeSet<Arc<str>>>,
     /// Whether that is known recently enough to start anything.
     pub(crate) may_start: bool,
     /// Workers that take nothing but tasks that run alone.
-    pub(crate) kept_free: BTreeSet<Arc<str>>,
+    pub(crate) reserved_for_isolation: BTreeSet<Arc<str>>,
     /// Whether a task that runs alone waited in the last round of placing.
-    pub(crate) waits_alone: bool,
+    pub(crate) isolation_pending: bool,
     pub(crate) may_act: bool,
-    pub(crate) place_again: bool,
+    pub(crate) placement_due: bool,
     /// What tasks want that the last round of placing found no worker for, in thousandths of a core.
     pub(crate) unplaced_millis: u64,
     /// Lasting tasks among those.
-    pub(crate) unplaced_lasting: u32,
+    pub(crate) unplaced_long_running: u32,
     /// Whether blame keeps work from workers in this round.
-    pub(crate) blame_counts: bool,
+    pub(crate) quarantine_enabled: bool,
     /// When tasks were last placed.
-    placed: Duration,
+    last_placement: Duration,
     /// Whether all workers are to be looked over.
-    look_over: bool,
+    review_due: bool,
     /// Jobs that were cancelled before their record was read, and by whom.
-    pub(crate) cancelled_early: BTreeMap<JobId, Requester>,
+    pub(crate) early_cancellations: BTreeMap<JobId, Requester>,
     pub(crate) superseded: bool,
 }
 
@@ -91,27 +91,27 @@
             epoch,
             jobs: BTreeMap::new(),
             workers: BTreeMap::new(),
-            ended_lives: BTreeMap::new(),
+            ended_incarnations: BTreeMap::new(),
             waiting: BTreeSet::new(),
             actions: Vec::new(),
             commits: Commits::default(),
-            settlement: Settlement::new(&settings, now),
+            recovery: Recovery::new(&settings, now),
             tickets: Tickets::default(),
-            parts: Quotas::new(settings.shard, epoch),
+            quotas: Quotas::new(settings.shard, epoch),
             shares: Shares::default(),
-            vacate: BTreeSet::new(),
+            vms_to_vacate: BTreeSet::new(),
             evacuated: Arc::default(),
             may_start: true,
-            kept_free: BTreeSet::new(),
-            waits_alone: false,
+            reserved_for_isolation: BTreeSet::new(),
+            isolation_pending: false,
             may_act: true,
-            place_again: false,
+            placement_due: false,
             unplaced_millis: 0,
-            unplaced_lasting: 0,
-            blame_counts: false,
-            placed: Duration::ZERO,
-            look_over: false,
-            cancelled_early: BTreeMap::new(),
+            unplaced_long_running: 0,
+            quarantine_enabled: false,
+            last_placement: Duration::ZERO,
+            review_due: false,
+            early_cancellations: BTreeMap::new(),
             superseded: false,
         }
     }
@@ -124,8 +124,8 @@
 
     /// Whether it is to decide again soon, without an event.
     #[must_use]
-    pub fn gathers(&self) -> bool {
-        self.commits.gathers() || (self.place_again && !self.waiting.is_empty())
+    pub fn decides_soon(&self) -> bool {
+        self.commits.is_batching() || (self.placement_due && !self.waiting.is_empty())
     }
 
     /// Whether some task waits for a worker with room.
@@ -138,10 +138,10 @@
     #[must_use]
     pub fn state(&self, job: JobId) -> Option<State> {
         let job = self.jobs.get(&job)?;
-        let unkept = job.state.is_terminal()
+        let not_durable = job.state.is_terminal()
             && job.state != State::Cancelled
             && job.durable_state != job.state;
-        Some(if unkept { State::Running } else { job.state })
+        Some(if not_durable { State::Running } else { job.state })
     }
 
     /// What was accepted as a job; none when it is not known.
@@ -158,7 +158,7 @@
 
     /// Number of a queue's jobs of which no task has begun.
     #[must_use]
-    pub fn waiting(&self, queue: &str) -> u64 {
+    pub fn queued_jobs(&self, queue: &str) -> u64 {
         let queued = |job: &&Job| job.state == State::Queued && *job.accepted.queue == *queue;
         self.jobs.values().filter(queued).count() as u64
     }
@@ -168,13 +168,13 @@
         match event {
             Event::Accepted(id, accepted) => self.accept(now, wall_ms, id, accepted),
             Event::Cancelled(id, by) => self.cancel(now, id, by),
-            Event::WorkerSeen(entry) => self.worker_seen(now, entry),
-            Event::WorkerGone(id) => self.worker_gone(now, &id),
-            Event::Held { worker, sent, extended, held } => {
-                self.held(now, &worker, sent, extended, held);
+            Event::WorkerListed(entry) => self.worker_listed(now, entry),
+            Event::WorkerUnlisted(id) => self.worker_unlisted(now, &id),
+            Event::Polled { worker, sent, extended, reply } => {
+                self.poll_answered(now, &worker, sent, extended, reply);
             }
-            Event::HoldFailed { worker, sent, extended, error } => {
-                self.hold_failed(now, &worker, sent, extended, error);
+            Event::PollFailed { worker, sent, extended, error } => {
+                self.poll_failed(now, &worker, sent, extended, error);
             }
             Event::StartAnswered { worker, task, run, answer } => {
                 self.start_answered(now, &worker, task, run, answer);
@@ -184,40 +184,40 @@
             }
             Event::Advised { step, answer } => {
                 self.tickets.record_answer(now, step, answer);
-                self.place_again = true;
+                self.placement_due = true;
             }
             Event::Committed => self.committed(now),
             Event::Vacate(vms) => {
-                self.place_again |= vms != self.vacate;
-                self.look_over |= vms != self.vacate;
-                self.vacate = vms;
+                self.placement_due |= vms != self.vms_to_vacate;
+                self.review_due |= vms != self.vms_to_vacate;
+                self.vms_to_vacate = vms;
             }
             Event::Evacuated(evacuated) => {
-                self.place_again = true;
-                self.look_over = true;
+                self.placement_due = true;
+                self.review_due = true;
                 self.evacuated = evacuated;
             }
             Event::MayStart(may_start) => {
-                self.place_again |= may_start;
+                self.placement_due |= may_start;
                 self.may_start = may_start;
             }
             Event::MayAct(may_act) => {
-                self.place_again |= may_act;
+                self.placement_due |= may_act;
                 self.may_act = may_act;
             }
-            Event::HandedOver(leases) => self.hand_over(leases),
+            Event::LeasesHandedOver(leases) => self.apply_handover(leases),
             Event::Limits(limits) => self.set_limits(limits),
-            Event::Weights { weights, part } => self.set_weights(weights, part),
-            Event::Dealt { number, deal } => self.quota_answered(number, deal),
+            Event::Weights { weights, shard_fraction } => self.set_weights(weights, shard_fraction),
+            Event::QuotaAnswered { number, grant } => self.quota_answered(number, grant),
             Event::Superseded => self.superseded = true,
             Event::Tick => {
-                self.look_over = true;
+                self.review_due = true;
                 // Time alone proves the runs beside which it may start.
-                self.place_again |= self.waits_alone;
+                self.placement_due |= self.isolation_pending;
                 self.unblock_due_steps(now, wall_ms);
-                self.release_lapsed(now);
-                self.forget_ended(now);
-                self.forget_ended_lives(now);
+                self.release_expired(now);
+                self.remove_ended_jobs(now);
+                self.prune_ended_incarnations(now);
             }
         }
     }
@@ -225,16 +225,20 @@
     /// Decides what to do now. Called after some events, and now and then without any.
     pub fn decide(&mut self, now: Duration, wall_ms: u64) -> Vec<Action> {
         if self.may_act {
-            if std::mem::take(&mut self.look_over) {
-                self.stop_again(now);
+            if std::mem::take(&mut self.review_due) {
+                self.retry_stops(now);
                 self.stop_tasks_to_vacate(now);
                 self.stop_stalled(now);
                 self.throttle_best_effort();
             }
-            let pause = if self.waiting.len() > BACKLOG { PLACE_INTERVAL } else { Duration::ZERO };
-            if self.place_again && self.may_start && now >= self.placed + pause {
-                self.place_again = false;
-                self.placed = now;
+            let pause = if self.waiting.len() > BACKLOG_TASKS {
+                BACKLOG_PLACEMENT_INTERVAL
+            } else {
+                Duration::ZERO
+            };
+            if self.placement_due && self.may_start && now >= self.last_placement + pause {
+                self.placement_due = false;
+                self.last_placement = now;
                 self.place(now);
             }
             self.request_quota(now);
--- a/crates/crosspath_schedule/src/shares.rs
+++ b/crates/crosspath_schedule/src/shares.rs
@@ -73,7 +73,7 @@
         let keys = self.waiting.iter();
         let keys = keys.filter_map(|key| Some(Key::new(jobs.get(&key.task.job)?, key.task)));
         self.waiting = keys.collect();
-        self.place_again = true;
+        self.placement_due = true;
     }
 
     /// Notes whether a job's customer is owed it.
--- a/crates/crosspath_schedule/src/stall.rs
+++ b/crates/crosspath_schedule/src/stall.rs
@@ -27,7 +27,7 @@
             let Some(worker) = self.run(task, run).map(|run| run.worker.clone()) else { continue };
             log::info!("event=run_stalled task={task} run={run} worker={worker}");
             if let Some(worker) = self.workers.get_mut(&worker) {
-                worker.add_blame(now, STALL_PENALTY);
+                worker.add_suspicion(now, STALL_PENALTY);
             }
             self.stop_run(now, task, run);
         }
--- a/crates/crosspath_schedule/src/takeover.rs
+++ b/crates/crosspath_schedule/src/takeover.rs
@@ -20,62 +20,66 @@
 use crosspath_job::{JobId, TaskId};
 
 use crate::event::Event;
-use crate::lives;
+use crate::incarnations;
 use crate::losses::Liveness;
 use crate::scheduler::{Scheduler, Settings};
 
 /// For orders of the owner before that were on their way.
-const IN_FLIGHT: Duration = Duration::from_millis(500);
+const IN_FLIGHT_MARGIN: Duration = Duration::from_millis(500);
 
 /// What an owner knows of leases when it leaves a shard.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Legacy {
+pub struct Handover {
     /// Its epoch: the next owner may rely on the rest only if no other was between them.
     pub epoch: u64,
     /// When what may run on each life of a worker has surely lapsed.
-    pub over: BTreeMap<Arc<str>, Duration>,
+    pub expiries: BTreeMap<Arc<str>, Duration>,
 }
 
 /// Which inherited tasks may have runs that this owner has not seen.
 #[derive(Debug)]
-pub(crate) struct Settlement {
+pub(crate) struct Recovery {
     /// Lives of workers that have not answered yet and are not over, and when what owners before ordered
     /// there has surely lapsed.
     unaccounted: BTreeMap<Arc<str>, Duration>,
     /// When everything unseen has lapsed.
-    until: Duration,
-    over: bool,
+    deadline: Duration,
+    complete: bool,
 }
 
-impl Settlement {
+impl Recovery {
     pub(crate) fn new(settings: &Settings, now: Duration) -> Self {
-        let acting = now + settings.membership_ttl + IN_FLIGHT;
-        let until = settings.terms.over(acting, settings.terms.hold);
-        Self { unaccounted: BTreeMap::new(), until, over: false }
+        let acting_until = now + settings.membership_ttl + IN_FLIGHT_MARGIN;
+        let deadline = settings.terms.latest_expiry(acting_until, settings.terms.extension);
+        Self { unaccounted: BTreeMap::new(), deadline, complete: false }
     }
 
     /// When everything that an owner before ordered has surely lapsed; 0 once that is so.
-    pub(crate) fn open_until(&self) -> Duration {
-        if self.over { Duration::ZERO } else { self.until }
+    pub(crate) fn pending_until(&self) -> Duration {
+        if self.complete { Duration::ZERO } else { self.deadline }
     }
 
     /// Whether nothing unseen can be left.
-    pub(crate) fn is_over(&self) -> bool {
-        self.over
+    pub(crate) fn is_complete(&self) -> bool {
+        self.complete
     }
 
-    /// Lives under a worker's identifier that have not answered and began before `born_ms`.
-    pub(crate) fn lives_before(&self, id: &str, born_ms: u64) -> Vec<Arc<str>> {
-        let named = self.unaccounted.keys().map(|life| (life, lives::parse(life)));
-        let before = named.filter(|(_, (of, began))| *of == id && (1..born_ms).contains(began));
-        before.map(|(life, _)| Arc::clone(life)).collect()
+    /// Lives under a worker's identifier that have not answered and began before `started_ms`.
+    pub(crate) fn earlier_incarnations(&self, id: &str, started_ms: u64) -> Vec<Arc<str>> {
+        let named = self
+            .unaccounted
+            .keys()
+            .map(|incarnation| (incarnation, incarnations::parse(incarnation)));
+        let before =
+            named.filter(|(_, (of, started))| *of == id && (1..started_ms).contains(started));
+        before.map(|(incarnation, _)| Arc::clone(incarnation)).collect()
     }
 
     /// Whether time settles everything now.
-    fn ends(&mut self, now: Duration) -> bool {
-        let ends = !self.over && now >= self.until;
-        self.over |= ends;
-        ends
+    fn complete_at_deadline(&mut self, now: Duration) -> bool {
+        let completes = !self.complete && now >= self.deadline;
+        self.complete |= completes;
+        completes
     }
 }
 
@@ -93,31 +97,31 @@
         for record in records {
             match record {
                 Record::Accepted(id, accepted) => self.insert(now, wall_ms, id, accepted),
-                Record::Progress(id, kept) => progress.push((id, kept)),
+                Record::Progress(id, stored) => progress.push((id, stored)),
                 Record::Cancelled(id, by) => cancelled.push((id, by)),
                 Record::Claim(_) | Record::Tombstone(_) => {}
             }
         }
-        let tasks = progress.iter().flat_map(|(_, kept)| kept.tasks.values());
-        let until = self.settlement.until;
+        let tasks = progress.iter().flat_map(|(_, stored)| stored.tasks.values());
+        let deadline = self.recovery.deadline;
         let progress_workers = tasks
             .flat_map(|task| &task.runs)
-            .map(|(_, worker)| (Arc::clone(worker), until))
+            .map(|(_, worker)| (Arc::clone(worker), deadline))
             .collect();
-        for (id, kept) in progress {
+        for (id, stored) in progress {
             if let Some(job) = self.jobs.get_mut(&id) {
-                job.restore(&kept, now);
+                job.restore(&stored, now);
             }
         }
         for job in self.jobs.values_mut() {
             job.inherited = true;
         }
-        self.settlement.unaccounted = progress_workers;
+        self.recovery.unaccounted = progress_workers;
         // An owner before could only start what is in the log.
-        self.settlement.over = self.jobs.values().all(|job| job.state.is_terminal());
-        let (jobs, open) = (self.jobs.len(), self.settlement.unaccounted.len());
+        self.recovery.complete = self.jobs.values().all(|job| job.state.is_terminal());
+        let (jobs, expected) = (self.jobs.len(), self.recovery.unaccounted.len());
         log::info!(
-            "event=taken_over jobs={jobs} workers={} expected_on={open} epoch={}",
+            "event=taken_over jobs={jobs} workers={} expected_on={expected} epoch={}",
             workers.len(),
             self.epoch
         );
@@ -129,79 +133,89 @@
             self.unblock_steps(now, wall_ms, id);
         }
         for entry in workers {
-            self.handle(now, wall_ms, Event::WorkerSeen(entry));
+            self.handle(now, wall_ms, Event::WorkerListed(entry));
         }
     }
 
     /// A life of a worker has answered, or is over: what it does not show is not there.
-    pub(crate) fn accounted(&mut self, now: Duration, life: &Arc<str>, fate: Liveness) {
-        if self.settlement.unaccounted.remove(life).is_none() {
+    pub(crate) fn account_for(
+        &mut self,
+        now: Duration,
+        incarnation: &Arc<str>,
+        liveness: Liveness,
+    ) {
+        if self.recovery.unaccounted.remove(incarnation).is_none() {
             return;
         }
-        if fate == Liveness::Ended {
-            self.record_unreported_losses(now, life);
+        if liveness == Liveness::Ended {
+            self.record_unreported_losses(now, incarnation);
         }
-        self.place_again = true;
+        self.placement_due = true;
         for job in self.jobs.values_mut().filter(|job| job.inherited) {
-            job.drop_unreported(|other| other == life);
+            job.drop_unreported(|other| other == incarnation);
         }
     }
 
     /// What was unseen on a life is over: it counts as lost, and its tasks are judged by that.
-    pub(crate) fn lost_unseen(&mut self, now: Duration, life: &Arc<str>) {
-        self.accounted(now, life, Liveness::Ended);
-        self.enforce_loss_limits_on(now, life);
+    pub(crate) fn end_unaccounted(&mut self, now: Duration, incarnation: &Arc<str>) {
+        self.account_for(now, incarnation, Liveness::Ended);
+        self.enforce_loss_limits_on(now, incarnation);
     }
 
     /// What this owner knows of leases, for the next one. A worker that it looked at may have heard a
     /// look that extended them until just now, also where its last answer is older.
     #[must_use]
-    pub fn leave(&self, now: Duration) -> Legacy {
-        let unaccounted = self.settlement.unaccounted.iter();
+    pub fn handover(&self, now: Duration) -> Handover {
+        let unaccounted = self.recovery.unaccounted.iter();
         // Nothing was ordered there by this owner.
-        let unseen = unaccounted.filter(|(life, _)| !self.is_known_life(life));
-        let unseen = unseen.map(|(life, until)| (Arc::clone(life), *until));
+        let unaccounted =
+            unaccounted.filter(|(incarnation, _)| !self.is_current_incarnation(incarnation));
+        let unaccounted = unaccounted.map(|(incarnation, until)| (Arc::clone(incarnation), *until));
         let terms = self.settings.terms;
-        let extended = terms.over(now + IN_FLIGHT, terms.hold);
-        let looked_at = self.workers.values();
-        let looked_at = looked_at.map(|worker| (worker.life(), worker.lease_over.max(extended)));
-        Legacy { epoch: self.epoch, over: unseen.chain(looked_at).collect() }
+        let extended = terms.latest_expiry(now + IN_FLIGHT_MARGIN, terms.extension);
+        let polled = self.workers.values();
+        let polled = polled.map(|worker| (worker.incarnation(), worker.lease_expiry.max(extended)));
+        Handover { epoch: self.epoch, expiries: unaccounted.chain(polled).collect() }
     }
 
     /// Takes in what the owner before said of leases on workers that have not answered yet.
-    pub(crate) fn hand_over(&mut self, leases: BTreeMap<Arc<str>, Duration>) {
-        for (life, over) in leases {
-            let known = self.is_known_life(&life);
-            let Some(until) = self.settlement.unaccounted.get_mut(&life) else { continue };
-            *until = over.min(*until);
-            log::info!("event=lease_handed_over worker={life} over_ms={}", until.as_millis());
-            let (worker, _) = lives::parse(&life);
+    pub(crate) fn apply_handover(&mut self, leases: BTreeMap<Arc<str>, Duration>) {
+        for (incarnation, expiry) in leases {
+            let known = self.is_current_incarnation(&incarnation);
+            let Some(until) = self.recovery.unaccounted.get_mut(&incarnation) else { continue };
+            *until = expiry.min(*until);
+            log::info!(
+                "event=lease_handed_over worker={incarnation} over_ms={}",
+                until.as_millis()
+            );
+            let (worker, _) = incarnations::parse(&incarnation);
             if let Some(worker) = self.workers.get_mut(worker).filter(|_| known) {
-                worker.lease_over = worker.ordered_over.max(*until);
+                worker.lease_expiry = worker.ordered_lease_expiry.max(*until);
             }
         }
     }
 
     /// Frees what is unseen on each worker once it has surely lapsed there.
-    pub(crate) fn settle(&mut self, now: Duration) {
+    pub(crate) fn release_expired_unaccounted(&mut self, now: Duration) {
         // While a first look at a worker is on its way, it may extend what runs there.
-        let lapsed = |life: &Arc<str>| {
-            let (worker, _) = lives::parse(life);
+        let lapsed = |incarnation: &Arc<str>| {
+            let (worker, _) = incarnations::parse(incarnation);
             let worker = self.workers.get(worker);
-            worker.is_none_or(|worker| worker.failures > 0 && now > worker.lease_over)
+            worker.is_none_or(|worker| worker.failures > 0 && now > worker.lease_expiry)
         };
-        let unaccounted = self.settlement.unaccounted.iter();
-        let over = unaccounted.filter(|(life, until)| now >= **until && lapsed(life));
-        let over: Vec<_> = over.map(|(life, _)| Arc::clone(life)).collect();
-        for life in over {
-            self.lost_unseen(now, &life);
+        let unaccounted = self.recovery.unaccounted.iter();
+        let expired =
+            unaccounted.filter(|(incarnation, until)| now >= **until && lapsed(incarnation));
+        let expired: Vec<_> = expired.map(|(incarnation, _)| Arc::clone(incarnation)).collect();
+        for incarnation in expired {
+            self.end_unaccounted(now, &incarnation);
         }
-        if !self.settlement.ends(now) {
+        if !self.recovery.complete_at_deadline(now) {
             return;
         }
-        self.place_again = true;
-        for life in self.settlement.unaccounted.keys().cloned().collect::<Vec<_>>() {
-            self.lost_unseen(now, &life);
+        self.placement_due = true;
+        for incarnation in self.recovery.unaccounted.keys().cloned().collect::<Vec<_>>() {
+            self.end_unaccounted(now, &incarnation);
         }
         for job in self.jobs.values_mut().filter(|job| job.inherited) {
             job.drop_unreported(|_| true);
@@ -209,10 +223,10 @@
     }
 
     /// Whether a task may be unseen on some worker.
-    pub(crate) fn may_be_unseen(&self, id: TaskId) -> bool {
+    pub(crate) fn may_have_unreported_run(&self, id: TaskId) -> bool {
         let Some(job) = self.jobs.get(&id.job) else { return false };
         job.inherited
-            && !self.settlement.over
+            && !self.recovery.complete
             && job.task(id).is_some_and(|task| !task.unreported_runs.is_empty())
     }
 }
--- a/crates/crosspath_schedule/src/throttle.rs
+++ b/crates/crosspath_schedule/src/throttle.rs
@@ -48,7 +48,7 @@
             let percent = adjusted_percent(run.speed_percent, pressure);
             if percent != run.speed_percent {
                 run.speed_percent = percent;
-                self.actions.push(Action::Pace { worker, task: id, run: number, percent });
+                self.actions.push(Action::Throttle { worker, task: id, run: number, percent });
             }
         }
     }
--- a/crates/crosspath_schedule/src/tickets.rs
+++ b/crates/crosspath_schedule/src/tickets.rs
@@ -35,10 +35,10 @@
                 .take(MAX_ADVICE_WORKERS)
                 .collect();
             if !workers.is_empty() {
-                self.actions.push(Action::Advise { step, workers });
+                self.actions.push(Action::RequestAdvice { step, workers });
             }
         }
-        self.place_again = true;
+        self.placement_due = true;
         false
     }
 }
--- a/crates/crosspath_schedule/src/vacate.rs
+++ b/crates/crosspath_schedule/src/vacate.rs
@@ -40,7 +40,7 @@
 
     /// Whether a worker is to become vacant: its VM is wanted elsewhere, or its data centre is evacuated.
     pub(crate) fn must_be_vacated(&self, worker: &Worker) -> bool {
-        self.vacate.contains(&worker.entry.vm) || self.is_evacuated(worker)
+        self.vms_to_vacate.contains(&worker.entry.vm) || self.is_evacuated(worker)
     }
 
     fn should_stop(&self, now: Duration, id: TaskId, number: u64) -> bool {
@@ -64,9 +64,9 @@
         let step = &job.occurrences[id.occurrence as usize].steps[id.step as usize];
         let available = |run: &Run| {
             let worker = self.workers.get(&run.worker);
-            let answers = worker.is_some_and(Worker::answers);
+            let answers = worker.is_some_and(Worker::is_answering);
             let running = run.phase == Phase::Running && run.is_available();
-            answers && running && !self.may_be_stopped_by_another(now, run)
+            answers && running && !self.may_be_stopping_for_previous_owner(now, run)
         };
         let others = (0..).zip(&step.tasks).filter(|(index, _)| *index != id.index);
         let unavailable = others.filter(|(_, task)| !task.runs.iter().any(available));
--- a/crates/crosspath_schedule/tests/schedule/common.rs
+++ b/crates/crosspath_schedule/tests/schedule/common.rs
@@ -18,8 +18,8 @@
 }
 
 pub(crate) fn settings() -> Settings {
-    let terms = Terms { hold: ms(5_000), start: ms(2_000), clock_slack: 0.04 };
-    Settings { shard: 0, terms, keep_ended: ms(120_000), membership_ttl: ms(1_200) }
+    let terms = Terms { extension: ms(5_000), initial: ms(2_000), clock_slack: 0.04 };
+    Settings { shard: 0, terms, ended_job_retention: ms(120_000), membership_ttl: ms(1_200) }
 }
 
 pub(crate) fn step(tasks: u32, cores: u64) -> Step {
@@ -149,8 +149,8 @@
     pub(crate) fn held(&mut self, worker: &str, running: Vec<Running>, ended: Vec<Ended>) {
         let sent = self.now;
         self.now += ms(1);
-        let held = PollReply { clock_ms: 0, started_ms: 0, running, ended };
-        self.send(Event::Held { worker: worker.into(), sent, extended: true, held });
+        let reply = PollReply { clock_ms: 0, started_ms: 0, running, ended };
+        self.send(Event::Polled { worker: worker.into(), sent, extended: true, reply });
     }
 
     pub(crate) fn started(&mut self, order: &Ordered) {
--- a/crates/crosspath_schedule/tests/schedule/doubt.rs
+++ b/crates/crosspath_schedule/tests/schedule/doubt.rs
@@ -19,7 +19,7 @@
 }
 
 fn looks(bed: &Bed) -> usize {
-    bed.actions.iter().filter(|action| matches!(action, Action::Look { .. })).count()
+    bed.actions.iter().filter(|action| matches!(action, Action::Poll { .. })).count()
 }
 
 #[test]
--- a/crates/crosspath_schedule/tests/schedule/evacuation.rs
+++ b/crates/crosspath_schedule/tests/schedule/evacuation.rs
@@ -16,7 +16,7 @@
 /// Two workers of one data centre and one of another.
 fn bed() -> Bed {
     let mut bed = Bed::with_workers(&["a1", "a2"]);
-    bed.send(Event::WorkerSeen(Entry { data_centre: "b".into(), ..entry("b1") }));
+    bed.send(Event::WorkerListed(Entry { data_centre: "b".into(), ..entry("b1") }));
     bed.held("b1", Vec::new(), Vec::new());
     bed
 }
@@ -87,7 +87,7 @@
     bed.pass(ms(1_000));
     assert!(bed.stops().is_empty(), "there is nowhere to go");
     for id in ["b1", "b2"] {
-        bed.send(Event::WorkerSeen(Entry { data_centre: "b".into(), ..entry(id) }));
+        bed.send(Event::WorkerListed(Entry { data_centre: "b".into(), ..entry(id) }));
         bed.held(id, Vec::new(), Vec::new());
     }
     bed.pass(ms(100));
--- a/crates/crosspath_schedule/tests/schedule/failing.rs
+++ b/crates/crosspath_schedule/tests/schedule/failing.rs
@@ -35,7 +35,7 @@
     let first = start_on(&mut bed, "a");
     // Worker a falls silent for longer than its lease; the task goes on elsewhere.
     let sent = bed.now;
-    bed.send(Event::HoldFailed {
+    bed.send(Event::PollFailed {
         worker: "a".into(),
         sent,
         extended: true,
--- a/crates/crosspath_schedule/tests/schedule/form.rs
+++ b/crates/crosspath_schedule/tests/schedule/form.rs
@@ -21,7 +21,7 @@
 
 fn with_labels(bed: &mut Bed, worker: &str, labels: &[&str]) {
     let labels = labels.iter().map(|label| (*label).into()).collect();
-    bed.send(Event::WorkerSeen(Entry { labels, ..entry(worker) }));
+    bed.send(Event::WorkerListed(Entry { labels, ..entry(worker) }));
 }
 
 #[test]
@@ -98,7 +98,7 @@
     bed.submit(vec![Step { gang: true, ..step(4, 10) }]);
     bed.pass(ms(100));
     assert_eq!(bed.starts(), Vec::new());
-    bed.send(Event::WorkerSeen(entry("b")));
+    bed.send(Event::WorkerListed(entry("b")));
     bed.held("b", Vec::new(), Vec::new());
     let starts = bed.starts();
     assert_eq!(starts.len(), 4);
@@ -178,7 +178,7 @@
     };
     bed.send(Event::Accepted(JOB, Arc::new(job)));
     assert_eq!(bed.starts(), Vec::new());
-    let asked = bed.actions.iter().any(|action| matches!(action, Action::Advise { .. }));
+    let asked = bed.actions.iter().any(|action| matches!(action, Action::RequestAdvice { .. }));
     assert!(asked);
     let answer = Answer { approved: vec![("b".into(), "ticket".into())], valid_ms: 3_000 };
     let id = StepId { job: JOB, occurrence: 0, step: 0 };
@@ -210,7 +210,7 @@
         answer: Ok(Started::Ticket),
     });
     bed.pass(ms(1_000));
-    assert!(bed.actions.iter().any(|action| matches!(action, Action::Advise { .. })));
+    assert!(bed.actions.iter().any(|action| matches!(action, Action::RequestAdvice { .. })));
     assert_eq!(bed.starts(), Vec::new());
 }
 
@@ -259,7 +259,7 @@
     };
     let paces = |bed: &Bed| -> Vec<u32> {
         let paces = bed.actions.iter().filter_map(|action| match action {
-            Action::Pace { percent, .. } => Some(*percent),
+            Action::Throttle { percent, .. } => Some(*percent),
             _ => None,
         });
         paces.collect()
@@ -300,7 +300,7 @@
 #[test]
 fn a_draining_worker_gets_nothing_new() {
     let mut bed = Bed::with_workers(&["a"]);
-    bed.send(Event::WorkerSeen(Entry { draining: true, ..entry("a") }));
+    bed.send(Event::WorkerListed(Entry { draining: true, ..entry("a") }));
     bed.submit(vec![step(1, 2)]);
     bed.pass(ms(100));
     assert_eq!(bed.starts(), Vec::new());
--- a/crates/crosspath_schedule/tests/schedule/lasting.rs
+++ b/crates/crosspath_schedule/tests/schedule/lasting.rs
@@ -54,7 +54,7 @@
 fn none_is_moved_while_another_is_on_a_silent_worker() {
     let (mut bed, starts) = bed();
     let (worker, sent) = (starts[1].worker.clone(), bed.now);
-    bed.send(Event::HoldFailed { worker, sent, extended: true, error: Error::NoAnswer });
+    bed.send(Event::PollFailed { worker, sent, extended: true, error: Error::NoAnswer });
     vacate(&mut bed, &[&starts[0]]);
     bed.pass(ms(100));
     assert_eq!(bed.stops(), Vec::new());
@@ -85,7 +85,7 @@
     let taken: BTreeSet<_> = starts.iter().map(|order| order.worker.to_string()).collect();
     let free = WORKERS.into_iter().find(|worker| !taken.contains(*worker)).expect("a free worker");
     let sent = bed.now;
-    bed.send(Event::HoldFailed {
+    bed.send(Event::PollFailed {
         worker: free.into(),
         sent,
         extended: true,
--- a/crates/crosspath_schedule/tests/schedule/limits.rs
+++ b/crates/crosspath_schedule/tests/schedule/limits.rs
@@ -27,8 +27,8 @@
 fn asked(bed: &mut Bed) -> Option<Request> {
     let mut found = None;
     bed.actions.retain(|action| match action {
-        Action::AskParts { ask } => {
-            found = Some(ask.clone());
+        Action::RequestQuota { request } => {
+            found = Some(request.clone());
             false
         }
         _ => true,
@@ -41,8 +41,8 @@
     let shards = BTreeSet::from([0]);
     for _ in 0..4 {
         if let Some(ask) = asked(bed) {
-            let deal = ledger.grant(&ask, limits, &shards);
-            bed.send(Event::Dealt { number: ask.number, deal });
+            let grant = ledger.grant(&ask, limits, &shards);
+            bed.send(Event::QuotaAnswered { number: ask.number, grant });
         }
         bed.pass(ms(120));
     }
--- a/crates/crosspath_schedule/tests/schedule/lives.rs
+++ b/crates/crosspath_schedule/tests/schedule/lives.rs
@@ -22,15 +22,15 @@
 fn held(bed: &mut Bed, id: &str, born_ms: u64, running: Vec<Running>, ended: Vec<Ended>) {
     let sent = bed.now;
     bed.now += ms(1);
-    let held = PollReply { clock_ms: 0, started_ms: born_ms, running, ended };
-    bed.send(Event::Held { worker: id.into(), sent, extended: true, held });
+    let reply = PollReply { clock_ms: 0, started_ms: born_ms, running, ended };
+    bed.send(Event::Polled { worker: id.into(), sent, extended: true, reply });
 }
 
 /// A worker's first life, with a task of a job running there.
 fn bed(tasks: u32) -> Bed {
     let mut bed = Bed::new(1);
     bed.take_over(Vec::new(), &[]);
-    bed.send(Event::WorkerSeen(born("a", FIRST_MS)));
+    bed.send(Event::WorkerListed(born("a", FIRST_MS)));
     held(&mut bed, "a", FIRST_MS, Vec::new(), Vec::new());
     bed.submit(vec![step(tasks, 8)]);
     for order in bed.starts() {
@@ -51,7 +51,7 @@
 #[test]
 fn a_task_of_the_life_before_starts_again() {
     let mut bed = bed(1);
-    bed.send(Event::WorkerSeen(born("a", SECOND_MS)));
+    bed.send(Event::WorkerListed(born("a", SECOND_MS)));
     assert!(bed.starts().is_empty(), "the new life has not answered yet");
     held(&mut bed, "a", SECOND_MS, Vec::new(), Vec::new());
     bed.pass(ms(100));
@@ -71,7 +71,7 @@
     assert_eq!(acknowledged(&bed), [2]);
     // The look finds out first; the list is late.
     held(&mut bed, "a", SECOND_MS, Vec::new(), Vec::new());
-    let watches = bed.actions.iter().filter(|action| matches!(action, Action::Watch { .. }));
+    let watches = bed.actions.iter().filter(|action| matches!(action, Action::StartPolling { .. }));
     assert_eq!(watches.count(), 2, "a new look knows of no end");
     bed.pass(ms(100));
     let order = bed.starts().remove(0);
@@ -124,8 +124,8 @@
         running: vec![running(task(0, 0), 10_001)],
         ..PollReply::default()
     };
-    bed.send(Event::Held { worker: "a".into(), sent, extended: true, held: there });
-    bed.send(Event::WorkerSeen(Entry { draining: true, ..born("a", FIRST_MS) }));
+    bed.send(Event::Polled { worker: "a".into(), sent, extended: true, reply: there });
+    bed.send(Event::WorkerListed(Entry { draining: true, ..born("a", FIRST_MS) }));
     held(&mut bed, "a", SECOND_MS, vec![running(order.task, order.run)], Vec::new());
     bed.pass(ms(100));
     assert!(bed.stops().is_empty() && bed.starts().is_empty());
@@ -151,7 +151,9 @@
 /// Where looks go, and the clock that they begin with.
 fn watched(bed: &Bed) -> Option<(SocketAddr, u64, u64)> {
     let watch = |action: &Action| match action {
-        Action::Watch { worker, clock_ms } => Some((worker.address, worker.started_ms, *clock_ms)),
+        Action::StartPolling { worker, clock_ms } => {
+            Some((worker.address, worker.started_ms, *clock_ms))
+        }
         _ => None,
     };
     bed.actions.iter().rev().find_map(watch)
@@ -161,7 +163,7 @@
 fn a_worker_that_begins_again_elsewhere_is_looked_at_there_by_its_own_clock() {
     let mut bed = bed(1);
     let address = "127.0.0.1:10".parse().expect("an address");
-    bed.send(Event::WorkerSeen(Entry { address, clock_ms: 70, ..born("a", SECOND_MS) }));
+    bed.send(Event::WorkerListed(Entry { address, clock_ms: 70, ..born("a", SECOND_MS) }));
     assert_eq!(watched(&bed), Some((address, SECOND_MS, 70)));
 }
 
@@ -170,18 +172,18 @@
     let mut bed = bed(1);
     let sent = bed.now;
     let error = Error::OtherLife;
-    bed.send(Event::HoldFailed { worker: "a".into(), sent, extended: true, error });
+    bed.send(Event::PollFailed { worker: "a".into(), sent, extended: true, error });
     bed.actions.clear();
-    bed.send(Event::WorkerSeen(born("a", FIRST_MS)));
+    bed.send(Event::WorkerListed(born("a", FIRST_MS)));
     assert_eq!(watched(&bed), None, "a late entry of the life that is over");
-    bed.send(Event::WorkerSeen(born("a", SECOND_MS)));
+    bed.send(Event::WorkerListed(born("a", SECOND_MS)));
     assert!(watched(&bed).is_some(), "the life that is there");
 }
 
 #[test]
 fn a_worker_that_was_to_leave_takes_work_once_it_has_begun_again() {
     let mut bed = bed(1);
-    bed.send(Event::WorkerSeen(Entry { draining: true, ..born("a", FIRST_MS) }));
+    bed.send(Event::WorkerListed(Entry { draining: true, ..born("a", FIRST_MS) }));
     held(&mut bed, "a", SECOND_MS, Vec::new(), Vec::new());
     bed.pass(ms(100));
     assert_eq!(bed.starts().len(), 1);
@@ -190,7 +192,7 @@
 #[test]
 fn nothing_starts_on_a_life_that_has_not_answered() {
     let mut bed = bed(1);
-    bed.send(Event::WorkerSeen(born("a", SECOND_MS)));
+    bed.send(Event::WorkerListed(born("a", SECOND_MS)));
     let other = JobId(JOB.0 + 1);
     bed.send(Event::Accepted(other, accepted(vec![step(1, 8)])));
     bed.pass(ms(100));
@@ -205,7 +207,7 @@
 fn orders_that_meet_a_stranger_end_no_later_life() {
     let mut bed = bed(2);
     let (kept, sent) = (task(0, 0), bed.now);
-    bed.send(Event::WorkerSeen(Entry { draining: true, ..born("a", FIRST_MS) }));
+    bed.send(Event::WorkerListed(Entry { draining: true, ..born("a", FIRST_MS) }));
     held(&mut bed, "a", SECOND_MS, Vec::new(), Vec::new());
     bed.pass(ms(100));
     assert_eq!(bed.starts().len(), 2);
@@ -214,8 +216,8 @@
     bed.send(Event::StartAnswered { worker: worker.clone(), task: kept, run: 10_001, answer });
     let answer = Err(Error::OtherLife);
     bed.send(Event::StopAnswered { worker: worker.clone(), task: kept, run: 10_001, answer });
-    bed.send(Event::HoldFailed { worker, sent, extended: true, error: Error::OtherLife });
-    bed.send(Event::WorkerSeen(born("b", FIRST_MS)));
+    bed.send(Event::PollFailed { worker, sent, extended: true, error: Error::OtherLife });
+    bed.send(Event::WorkerListed(born("b", FIRST_MS)));
     held(&mut bed, "b", FIRST_MS, Vec::new(), Vec::new());
     bed.pass(ms(100));
     assert!(bed.starts().is_empty(), "the later life runs them");
@@ -225,7 +227,7 @@
 fn what_lapsed_on_the_life_before_stays_lost_when_a_later_one_answers() {
     let mut bed = bed(1);
     let (sent, error) = (bed.now, Error::NoAnswer);
-    bed.send(Event::HoldFailed { worker: "a".into(), sent, extended: true, error });
+    bed.send(Event::PollFailed { worker: "a".into(), sent, extended: true, error });
     bed.pass(ms(6_000));
     held(&mut bed, "a", SECOND_MS, Vec::new(), Vec::new());
     let kept = bed.scheduler.progress(JOB, 0).expect("a job");
@@ -240,7 +242,7 @@
         let mut owner = Bed::at(epoch, ms(10_000 * epoch));
         owner.take_over(records.clone(), &[]);
         let born_ms = FIRST_MS + 10_000 * epoch;
-        owner.send(Event::WorkerSeen(born("a", born_ms)));
+        owner.send(Event::WorkerListed(born("a", born_ms)));
         held(&mut owner, "a", born_ms, Vec::new(), Vec::new());
         owner.pass(ms(100));
         starts += owner.starts().len();
--- a/crates/crosspath_schedule/tests/schedule/losses.rs
+++ b/crates/crosspath_schedule/tests/schedule/losses.rs
@@ -29,11 +29,11 @@
 fn crash(bed: &mut Bed, worker: &str) -> String {
     let sent = bed.now;
     let error = Error::OtherLife;
-    bed.send(Event::HoldFailed { worker: worker.into(), sent, extended: true, error });
-    bed.send(Event::WorkerGone(worker.into()));
+    bed.send(Event::PollFailed { worker: worker.into(), sent, extended: true, error });
+    bed.send(Event::WorkerUnlisted(worker.into()));
     bed.pass(ms(AWAY_MS));
     let next = format!("{worker}'");
-    bed.send(Event::WorkerSeen(Entry { vm: entry(worker).vm, ..entry(&next) }));
+    bed.send(Event::WorkerListed(Entry { vm: entry(worker).vm, ..entry(&next) }));
     bed.held(&next, Vec::new(), Vec::new());
     bed.pass(ms(100));
     next
@@ -363,7 +363,7 @@
         let sent = bed.now;
         let error = Error::NoAnswer;
         let worker = Arc::clone(&order.worker);
-        bed.send(Event::HoldFailed { worker, sent, extended: true, error });
+        bed.send(Event::PollFailed { worker, sent, extended: true, error });
         bed.pass(ms(6_000));
         bed.held(&order.worker, Vec::new(), Vec::new());
     }
@@ -391,7 +391,7 @@
     bed.submit(vec![step(1, 2)]);
     let order = bed.starts().remove(0);
     bed.started(&order);
-    bed.send(Event::WorkerSeen(Entry { draining: true, ..entry(&order.worker) }));
+    bed.send(Event::WorkerListed(Entry { draining: true, ..entry(&order.worker) }));
     crash(&mut bed, &order.worker);
     let kept = bed.scheduler.progress(JOB, 0).expect("a job");
     assert!(kept.tasks["0.0.0"].lost.is_empty(), "{kept:?}");
--- a/crates/crosspath_schedule/tests/schedule/room.rs
+++ b/crates/crosspath_schedule/tests/schedule/room.rs
@@ -16,7 +16,7 @@
     bed.submit(vec![step(2, 20)]);
     assert_eq!(bed.starts().len(), 1, "32 cores hold one of them");
     assert!(bed.scheduler.lacks_workers());
-    bed.send(Event::WorkerSeen(entry("b")));
+    bed.send(Event::WorkerListed(entry("b")));
     bed.held("b", Vec::new(), Vec::new());
     bed.pass(ms(100));
     assert_eq!(bed.starts().len(), 1, "the other");
@@ -29,7 +29,7 @@
     bed.submit(vec![step(2, 8), step(2, 8)]);
     assert_eq!(bed.starts().len(), 4, "32 cores hold all of them");
     let small = Resources { cpu_millis: 16_000, ..entry("a").capacity };
-    bed.send(Event::WorkerSeen(Entry { capacity: small, ..entry("a") }));
+    bed.send(Event::WorkerListed(Entry { capacity: small, ..entry("a") }));
     // Half of what runs is more than it has by now; nothing else is started until that has ended.
     let other = JobId(2);
     bed.send(Event::Accepted(other, accepted(vec![step(1, 8)])));
@@ -45,7 +45,7 @@
         assert_eq!(starts.len(), usize::from(from == 3), "{from} of four have ended");
     }
     // It grows again, and is used again.
-    bed.send(Event::WorkerSeen(entry("a")));
+    bed.send(Event::WorkerListed(entry("a")));
     bed.send(Event::Accepted(JobId(3), accepted(vec![step(2, 8)])));
     bed.pass(ms(100));
     assert_eq!(bed.starts().len(), 2);
--- a/crates/crosspath_schedule/tests/schedule/shares.rs
+++ b/crates/crosspath_schedule/tests/schedule/shares.rs
@@ -49,7 +49,7 @@
     fn new(weights: Weights) -> Self {
         let mut bed = Bed::with_workers(&["a"]);
         bed.send(Event::Limits(Limits::new()));
-        bed.send(Event::Weights { weights, part: 1.0 });
+        bed.send(Event::Weights { weights, shard_fraction: 1.0 });
         let began = bed.now;
         Self {
             bed,
@@ -149,11 +149,11 @@
     let mut bed = Bed::new(1);
     bed.take_over(records, &[]);
     bed.send(Event::Limits(Limits::new()));
-    bed.send(Event::Weights { weights: customers, part: 1.0 });
+    bed.send(Event::Weights { weights: customers, shard_fraction: 1.0 });
     // Two may be saved up. The first in the list was accepted last, so it is the one beyond.
     let mut small = crate::common::entry("a");
     small.capacity.cpu_millis = 4_000;
-    bed.send(Event::WorkerSeen(small));
+    bed.send(Event::WorkerListed(small));
     bed.held("a", Vec::new(), Vec::new());
     bed.pass(ms(100));
     let jobs: Vec<_> = bed.starts().iter().map(|order| order.task.job).collect();
--- a/crates/crosspath_schedule/tests/schedule/takeover.rs
+++ b/crates/crosspath_schedule/tests/schedule/takeover.rs
@@ -27,7 +27,7 @@
 
 fn silent(bed: &mut Bed, worker: &str) {
     let (worker, sent, error) = (worker.into(), bed.now, Error::NoAnswer);
-    bed.send(Event::HoldFailed { worker, sent, extended: false, error });
+    bed.send(Event::PollFailed { worker, sent, extended: false, error });
 }
 
 #[test]
@@ -117,7 +117,7 @@
     bed.take_over(records, &["a", "b"]);
     let began = bed.now;
     silent(&mut bed, &order.worker);
-    bed.send(Event::WorkerGone(order.worker.clone()));
+    bed.send(Event::WorkerUnlisted(order.worker.clone()));
     while bed.now < began + ms(6_000) {
         bed.pass(ms(100));
         bed.held(other, Vec::new(), Vec::new());
@@ -216,9 +216,9 @@
     bed.submit(vec![step(1, 2)]);
     let order = bed.starts().remove(0);
     bed.started(&order);
-    bed.send(Event::WorkerSeen(entry("other")));
+    bed.send(Event::WorkerListed(entry("other")));
     bed.held("other", Vec::new(), Vec::new());
-    bed.send(Event::WorkerSeen(late));
+    bed.send(Event::WorkerListed(late));
     bed.pass(ms(100));
     assert_eq!(bed.starts(), Vec::new(), "the task runs where it was");
     // The earlier life does not answer, and the later one does.
@@ -255,7 +255,7 @@
     bed.submit(vec![step(1, 2)]);
     let order = bed.starts().remove(0);
     bed.started(&order);
-    bed.send(Event::WorkerSeen(new));
+    bed.send(Event::WorkerListed(new));
     bed.held("new", Vec::new(), Vec::new());
     bed.pass(ms(50));
     assert_eq!(bed.starts().len(), 1, "what ran in the life before is gone with it");
@@ -272,12 +272,12 @@
     silent(&mut owner, &order.worker);
     for (epoch, pause) in (3..).zip(between) {
         owner.pass(ms(*pause));
-        let legacy = owner.scheduler.leave(owner.now);
-        assert_eq!(legacy.epoch + 1, epoch);
+        let handover = owner.scheduler.handover(owner.now);
+        assert_eq!(handover.epoch + 1, epoch);
         let mut next = Bed::at(epoch, owner.now);
         next.take_over(records.clone(), &[other]);
         if hears {
-            next.send(Event::HandedOver(legacy.over));
+            next.send(Event::LeasesHandedOver(handover.expiries));
         }
         next.held(other, Vec::new(), Vec::new());
         owner = next;
@@ -312,7 +312,7 @@
 fn a_worker_that_its_owner_has_looked_at_may_have_heard_that_until_the_owner_left() {
     let mut first = Bed::with_workers(&["a"]);
     first.pass(ms(3_000));
-    let over = first.scheduler.leave(first.now).over;
+    let over = first.scheduler.handover(first.now).expiries;
     assert!(over["a"] >= first.now + ms(5_000), "{over:?}");
 }
 
@@ -323,14 +323,14 @@
     let mut bed = Bed::new(2);
     bed.take_over(records, &["a", "b"]);
     let over = [(order.worker.clone(), bed.now)].into();
-    bed.send(Event::HandedOver(over));
+    bed.send(Event::LeasesHandedOver(over));
     bed.held(other, Vec::new(), Vec::new());
     bed.pass(ms(500));
     assert_eq!(bed.starts(), Vec::new(), "its first look may extend what runs there");
     // That look fails, and may have been heard.
     let (worker, sent) = (order.worker.clone(), bed.now);
     let error = Error::NoAnswer;
-    bed.send(Event::HoldFailed { worker, sent, extended: true, error });
+    bed.send(Event::PollFailed { worker, sent, extended: true, error });
     bed.pass(ms(3_000));
     assert_eq!(bed.starts(), Vec::new(), "it may have been heard");
 }
--- a/crates/crosspath_schedule/tests/schedule/world.rs
+++ b/crates/crosspath_schedule/tests/schedule/world.rs
@@ -193,9 +193,9 @@
         // Some owners end in order, and say what they know of silent workers.
         if let Some(before) = self.owners.last_mut().filter(|_| self.epoch.is_multiple_of(2)) {
             before.acts_until = Duration::ZERO;
-            let legacy = before.scheduler.leave(self.now);
-            if legacy.epoch + 1 == self.epoch {
-                scheduler.handle(self.now, WALL_MS, Event::HandedOver(legacy.over));
+            let handover = before.scheduler.handover(self.now);
+            if handover.epoch + 1 == self.epoch {
+                scheduler.handle(self.now, WALL_MS, Event::LeasesHandedOver(handover.expiries));
             }
         }
         // The owner before acts on until it counts itself out.
@@ -283,8 +283,8 @@
         self.add_worker(&gone.entry.vm);
         let born = self.entries().into_iter().find(|entry| entry.vm == gone.entry.vm);
         for owner in 0..self.owners.len() {
-            self.tell(owner, Event::WorkerGone(Arc::clone(id)));
-            self.tell(owner, Event::WorkerSeen(born.clone().expect("a worker")));
+            self.tell(owner, Event::WorkerUnlisted(Arc::clone(id)));
+            self.tell(owner, Event::WorkerListed(born.clone().expect("a worker")));
         }
         self.ended.push(gone.entry);
     }
@@ -317,7 +317,7 @@
     fn list(&mut self, id: &Arc<str>) {
         let entry = self.entry(&self.workers[id]);
         for owner in 0..self.owners.len() {
-            self.tell(owner, Event::WorkerSeen(entry.clone()));
+            self.tell(owner, Event::WorkerListed(entry.clone()));
         }
     }
 
@@ -325,7 +325,7 @@
     fn late_entry(&mut self) {
         let Some(entry) = self.ended.pop() else { return };
         for owner in 0..self.owners.len() {
-            self.tell(owner, Event::WorkerSeen(entry.clone()));
+            self.tell(owner, Event::WorkerListed(entry.clone()));
         }
     }
 
@@ -411,26 +411,28 @@
                     watched.acknowledged = watched.acknowledged.max(number);
                 }
             }
-            Action::Watch { worker, clock_ms } => {
+            Action::StartPolling { worker, clock_ms } => {
                 let watched = Watched {
                     target: worker,
-                    clock: Clock { shown_ms: clock_ms, heard: self.now },
+                    clock: Clock { reading_ms: clock_ms, received: self.now },
                     acknowledged: 0,
                     next: self.now,
                     failing: false,
                 };
                 self.owners[owner].watched.insert(Arc::clone(&watched.target.id), watched);
             }
-            Action::Unwatch { worker } => {
+            Action::StopPolling { worker } => {
                 self.owners[owner].watched.remove(&worker.id);
             }
-            Action::Look { worker } => {
+            Action::Poll { worker } => {
                 let Some(watched) = self.owners[owner].watched.get(&worker.id) else { return };
                 let acknowledged = watched.acknowledged;
                 let look = Order::Look { acknowledged, deadline_ms: None, beside: true };
                 self.send(owner, &worker.id, look);
             }
-            Action::Pace { .. } | Action::Advise { .. } | Action::AskParts { .. } => {}
+            Action::Throttle { .. }
+            | Action::RequestAdvice { .. }
+            | Action::RequestQuota { .. } => {}
         }
     }
 
--- a/crates/crosspath_schedule/tests/schedule/world/orders.rs
+++ b/crates/crosspath_schedule/tests/schedule/world/orders.rs
@@ -194,9 +194,9 @@
                 self.tell(owner, Event::StopAnswered { worker, task, run, answer });
             }
             Order::Look { beside: true, .. } => {
-                if let Ok(Reply::Looked(held)) = outcome {
+                if let Ok(Reply::Looked(reply)) = outcome {
                     let (sent, extended) = (message.sent, false);
-                    self.tell(owner, Event::Held { worker, sent, extended, held });
+                    self.tell(owner, Event::Polled { worker, sent, extended, reply });
                 }
             }
             Order::Look { deadline_ms, .. } => {
@@ -209,12 +209,12 @@
                 watched.next = self.now + LOOK_EVERY;
                 watched.failing = outcome.is_err();
                 let event = match outcome {
-                    Ok(Reply::Looked(held)) => {
-                        watched.clock = Clock { shown_ms: held.clock_ms, heard: self.now };
-                        Event::Held { worker, sent, extended, held }
+                    Ok(Reply::Looked(reply)) => {
+                        watched.clock = Clock { reading_ms: reply.clock_ms, received: self.now };
+                        Event::Polled { worker, sent, extended, reply }
                     }
                     Ok(_) => return,
-                    Err(error) => Event::HoldFailed { worker, sent, extended, error },
+                    Err(error) => Event::PollFailed { worker, sent, extended, error },
                 };
                 self.tell(owner, event);
             }
