--- a/crates/crosspath_schedule/src/job.rs
+++ b/crates/crosspath_schedule/src/job.rs
@@ -1,4 +1,4 @@
-//! A job and its tasks as the shard's owner knows them.
+//! The state of jobs, tasks and runs, as the owner of the shard knows it.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,96 +8,105 @@
 use crosspath_job::record::Accepted;
 use crosspath_job::{JobId, TaskId};
 
-/// Percent at which a lasting task is at work.
+/// Progress from which a long-running task counts as available, in percent.
 const AVAILABLE_PERCENT: u32 = 100;
 
-/// How far a run is.
+/// Phase of a run. The names of the variants appear in log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// It is being written to the log; nothing was sent.
+    /// The placement record is being written to the log; nothing was sent to the worker.
     Planned,
-    /// The start was sent.
+    /// The start was sent and not answered yet.
     Starting,
-    /// The worker runs it.
+    /// The worker has confirmed that it runs.
     Running,
-    /// The start got no answer; a stop is to make it void.
+    /// The start got no answer, so the run may or may not exist. It is being stopped in case the
+    /// start took effect.
     Doubtful,
-    /// A stop was sent.
+    /// A stop was sent and not answered yet.
     Stopping,
-    /// The stop was answered; the next look shows its end, or that it never was.
+    /// The stop was answered. The next poll lists the end of the run or shows that it never
+    /// started.
     Stopped,
 }
 
-/// One run of a task, that is or may be on a worker.
+/// A run of a task that exists, or may exist, on a worker.
 #[derive(Debug, Clone)]
 pub struct Run {
-    /// Number of the run.
+    /// Number of the run, unique within its task. Later runs have higher numbers.
     pub number: u64,
-    /// The worker.
+    /// Identifier of the worker.
     pub worker: Arc<str>,
-    /// Name of that worker's life.
+    /// Incarnation of the worker that the run was planned or found on, as named by
+    /// `incarnations::name`.
     pub incarnation: Arc<str>,
-    /// How far it is.
+    /// Phase, as last confirmed or ordered.
     pub phase: Phase,
-    /// When the start was sent, or the run was found.
+    /// When the start was sent, or when this owner adopted a run that it found.
     pub start_sent: Duration,
-    /// When the last order for it was answered.
+    /// When a reply last confirmed an order for the run. Initially the time at which the run was
+    /// planned or adopted.
     pub answered: Duration,
-    /// When a stop was last sent.
+    /// When a stop was last sent; zero if none was.
     pub stop_sent: Duration,
-    /// Percent as last heard.
+    /// Progress in percent, as the worker last reported it.
     pub percent: u32,
-    /// When a look that was answered last showed it.
+    /// When a poll reply last listed the run. Initially the time at which the run was planned or
+    /// adopted.
     pub last_seen: Duration,
-    /// When the percent last changed.
+    /// When the reported progress last changed, or when the start was confirmed if that is later.
     pub progressed: Duration,
-    /// Newest checkpoint.
+    /// Newest reported checkpoint; until one is reported, the checkpoint that the run resumes from.
     pub checkpoint: Option<Arc<str>>,
-    /// Gauge as last heard.
+    /// Measurement that the worker last reported: tail latency in ms for a task with a tail latency
+    /// target, processor use in thousandths of a core for all others.
     pub gauge: u64,
-    /// Share of its speed that it was told to work at.
+    /// Percentage of its full speed that the run was last ordered to work at; 100 if not throttled.
     pub speed_percent: u32,
 }
 
 impl Run {
-    /// Whether it was last shown at work, if it is a lasting one.
+    /// Whether the run, if it is a long-running one, was last reported as fully available.
     pub(crate) fn is_available(&self) -> bool {
         self.percent >= AVAILABLE_PERCENT
     }
 
-    /// For how long it is known to have run: from its start to the last look that showed it.
+    /// How long the run is known to have lasted: from its start to the last poll that listed it.
     pub(crate) fn observed(&self) -> Duration {
         self.last_seen.saturating_sub(self.start_sent)
     }
 }
 
-/// One task.
+/// A task of a job.
 #[derive(Debug, Clone, Default)]
 pub struct Task {
-    /// It ended successfully.
+    /// Whether the task has ended successfully.
     pub done: bool,
-    /// Numbers of the runs that failed.
+    /// Numbers of the runs that failed, each listed once however often its end is reported.
     pub failed_runs: Vec<u64>,
-    /// Highest number of a run that was ever seen.
+    /// Highest run number known so far; the next run gets a higher one.
     pub last_run: u64,
-    /// Newest checkpoint.
+    /// Newest checkpoint that an ended run left; the next run resumes from it.
     pub checkpoint: Option<Arc<str>>,
-    /// Runs that are or may be; more than one only where the step allows copies.
+    /// Runs that exist or may exist; more than one only if the step allows speculative copies.
     pub runs: Vec<Run>,
-    /// Number and worker's life of runs that an owner before may have started and no answer has ruled out.
+    /// Number and worker incarnation of each run that a previous owner may have started and that is
+    /// not ruled out yet.
     pub unreported_runs: Vec<(u64, Arc<str>)>,
-    /// Runs that were lost with their workers; cleared by a run that proves itself.
+    /// Runs that were lost with their workers. Cleared once a long-running run passes its
+    /// probation, see the module `losses`.
     pub lost: Vec<Loss>,
-    /// Workers where it failed.
+    /// Identifiers of workers on which it failed; placement prefers others.
     pub failed_on: Vec<Arc<str>>,
-    /// Not placed before.
+    /// Earliest time of the next placement; zero for no delay.
     pub not_before: Duration,
-    /// When it last had no run any more.
+    /// When it last began to wait for a worker: when its step was unblocked or its last run ended.
+    /// Zero if the step was never unblocked.
     pub waiting_since: Duration,
 }
 
 impl Task {
-    /// Number and worker's life of each run that is or may be.
+    /// Number and worker incarnation of each run that exists or may exist.
     fn placements(&self) -> Vec<(u64, Arc<str>)> {
         let runs = self.runs.iter().map(|run| (run.number, Arc::clone(&run.incarnation)));
         let active: Vec<_> = runs.collect();
@@ -106,53 +115,56 @@
     }
 }
 
-/// The tasks of a step at one of the job's times.
+/// The state of a step in one occurrence of its job.
 #[derive(Debug, Clone)]
 pub struct StepState {
-    /// The tasks.
+    /// Tasks of the step, by index.
     pub tasks: Vec<Task>,
-    /// Tasks that have not ended successfully.
+    /// Number of tasks that have not ended successfully yet.
     pub remaining: u32,
-    /// Whether its turn has come.
+    /// Whether its tasks may start: the occurrence is due and the steps it depends on are complete.
     pub unblocked: bool,
 }
 
-/// One of the job's times.
+/// One occurrence of a job.
 #[derive(Debug, Clone)]
 pub struct Occurrence {
-    /// Its steps.
+    /// State of the job's steps, in the order of the spec.
     pub steps: Vec<StepState>,
-    /// Whether its time has come.
+    /// Whether its scheduled time has come.
     pub due: bool,
 }
 
-/// A job.
+/// A job of the shard.
 #[derive(Debug)]
 pub struct Job {
-    /// Its identifier.
+    /// Identifier of the job.
     pub id: JobId,
-    /// What was accepted.
+    /// The acceptance record: spec, policy, queue and customer.
     pub accepted: Arc<Accepted>,
-    /// When this owner first heard of it, less the age that its record shows.
+    /// When it was accepted, on the clock of this process: the time at which this owner learned of
+    /// it minus the age that its record shows.
     pub accepted_at: Duration,
-    /// Its times.
+    /// Its occurrences, in order.
     pub occurrences: Vec<Occurrence>,
-    /// Its state.
+    /// Current state, which may not be in the log yet.
     pub state: State,
-    /// The state that is kept in the log.
+    /// State in the newest progress record that is in the log.
     pub durable_state: State,
-    /// When it ended; while final.
+    /// When it ended, or was restored at takeover; only meaningful while `state` is terminal.
     pub ended: Duration,
-    /// Whether its customer is owed it, or sent it beyond its share.
+    /// Whether the job is within its customer's share. Jobs over the share are placed after all
+    /// others, see the module `shares`.
     pub within_share: bool,
-    /// Whether it was there when the shard was taken over.
+    /// Whether the job was in the log when this owner took over the shard.
     pub inherited: bool,
-    /// Longest chain of estimates from each step to the end, in ms.
+    /// For each step, the length in ms of the critical path from its start to the end of the job,
+    /// by the estimates of the spec.
     pub critical_paths_ms: Vec<u64>,
 }
 
 impl Job {
-    /// A job of which no task has begun.
+    /// Creates a queued job of which no task has started.
     #[must_use]
     pub fn new(id: JobId, accepted: Arc<Accepted>, accepted_at: Duration) -> Self {
         let spec = &accepted.spec;
@@ -180,7 +192,8 @@
         }
     }
 
-    /// Takes over what the log kept.
+    /// Restores the state that the newest progress record holds. Runs in the record may still exist
+    /// and become unreported runs.
     pub fn restore(&mut self, progress: &Progress, now: Duration) {
         self.state = progress.state;
         self.durable_state = progress.state;
@@ -211,16 +224,21 @@
         }
     }
 
-    /// When it should have ended, by its estimates.
+    /// When the job should have ended: its acceptance, plus the critical path stretched by the
+    /// policy's factor, plus the policy's fixed target time.
     pub(crate) fn deadline(&self) -> Duration {
         let policy = &self.accepted.policy;
         let critical_path = self.critical_paths_ms.iter().max().copied().unwrap_or_default();
-        #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "some minutes")]
+        #[expect(
+            clippy::cast_possible_truncation,
+            clippy::cast_sign_loss,
+            reason = "the time allowed for a job is some minutes"
+        )]
         let allowed_ms = (policy.stretch * critical_path as f64) as u64 + policy.target_ms;
         self.accepted_at + Duration::from_millis(allowed_ms)
     }
 
-    /// Forgets unseen runs on lives that `is_over` rules out.
+    /// Drops unreported runs on worker incarnations for which `is_over` holds.
     pub(crate) fn drop_unreported(&mut self, is_over: impl Fn(&Arc<str>) -> bool) {
         let steps = self.occurrences.iter_mut().flat_map(|occurrence| &mut occurrence.steps);
         for task in steps.flat_map(|step| &mut step.tasks) {
@@ -228,7 +246,8 @@
         }
     }
 
-    /// What the log is to keep. `wall_ms` is the time of day in ms since 1970.
+    /// Builds the progress record to store in the log. `wall_ms` is the Unix time in ms; a terminal
+    /// job is recorded as ended then.
     #[must_use]
     pub fn progress(&self, wall_ms: u64) -> Progress {
         let mut tasks = BTreeMap::new();
@@ -250,20 +269,20 @@
         Progress { state: self.state, tasks, ended_ms }
     }
 
-    /// A task.
+    /// The task `id`; `None` if the job has no such task.
     #[must_use]
     pub fn task(&self, id: TaskId) -> Option<&Task> {
         let occurrence = self.occurrences.get(id.occurrence as usize)?;
         occurrence.steps.get(id.step as usize)?.tasks.get(id.index as usize)
     }
 
-    /// A task, to change.
+    /// Mutable access to the task `id`; `None` if the job has no such task.
     pub fn task_mut(&mut self, id: TaskId) -> Option<&mut Task> {
         let occurrence = self.occurrences.get_mut(id.occurrence as usize)?;
         occurrence.steps.get_mut(id.step as usize)?.tasks.get_mut(id.index as usize)
     }
 
-    /// All tasks.
+    /// All tasks, ordered by occurrence, step and index.
     pub fn tasks(&self) -> impl Iterator<Item = (TaskId, &Task)> {
         (0..).zip(&self.occurrences).flat_map(move |(nth, occurrence)| {
             (0..).zip(&occurrence.steps).flat_map(move |(step, tasks)| {
@@ -281,7 +300,7 @@
             .all(|occurrence| occurrence.steps.iter().all(|step| step.remaining == 0))
     }
 
-    /// Identifiers of all tasks that have a run.
+    /// Task, number and worker of each run that exists or may exist.
     #[must_use]
     pub fn active_runs(&self) -> Vec<(TaskId, u64, Arc<str>)> {
         let runs = self.tasks().flat_map(|(id, task)| task.runs.iter().map(move |run| (id, run)));
@@ -289,7 +308,7 @@
     }
 }
 
-/// Time, step and index of a task, from its key in a job's progress.
+/// Parses the key of a task in a progress record, `OCCURRENCE.STEP.INDEX`.
 fn parse_key(key: &str) -> Option<(u32, u32, u32)> {
     let mut parts = key.split('.').map(str::parse);
     let mut next = || parts.next()?.ok();
--- a/crates/crosspath_schedule/src/jobs.rs
+++ b/crates/crosspath_schedule/src/jobs.rs
@@ -1,4 +1,4 @@
-//! The course of jobs: accepted, opened step by step, ended.
+//! The life cycle of jobs: acceptance, unblocking of steps, cancellation and end.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,7 +20,8 @@
         accepted: Arc<Accepted>,
     ) {
         if let Some(existing) = self.jobs.get(&id) {
-            // The log would give the job to another customer at the next takeover.
+            // The newest acceptance in the log now names another customer, which the next owner
+            // would take over. Appending the original record again corrects that.
             if !existing.accepted.belongs_to(&accepted.requester()) {
                 log::warn!(
                     "event=job_of_another_customer job={id} kept_for={:?}",
@@ -79,7 +80,8 @@
         }
     }
 
-    /// Opens the steps of due times whose turn has come.
+    /// Unblocks the steps of due occurrences whose dependencies are complete, and queues their
+    /// tasks.
     pub(crate) fn unblock_steps(&mut self, now: Duration, wall_ms: u64, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if job.state.is_terminal() {
@@ -110,7 +112,7 @@
         self.queue_job(id);
     }
 
-    /// Puts all tasks that need a run among the waiting ones.
+    /// Queues all tasks of the job that need a run.
     pub(crate) fn queue_job(&mut self, id: JobId) {
         let Some(job) = self.jobs.get(&id) else { return };
         let mut found = Vec::new();
@@ -130,7 +132,7 @@
         self.waiting.extend(found);
     }
 
-    /// Puts a task among the waiting ones, if it needs a run.
+    /// Queues a task for placement if it needs a run.
     pub(crate) fn queue_task(&mut self, now: Duration, id: TaskId) {
         let Some(job) = self.jobs.get_mut(&id.job) else { return };
         if job.state.is_terminal() {
@@ -170,7 +172,7 @@
         self.commits.mark_dirty(now, id);
     }
 
-    /// Some task of the job has begun.
+    /// Marks a queued job as running, because one of its tasks has started.
     pub(crate) fn mark_running(&mut self, now: Duration, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if job.state == State::Queued {
--- a/crates/crosspath_schedule/src/lib.rs
+++ b/crates/crosspath_schedule/src/lib.rs
@@ -1,12 +1,13 @@
-//! The scheduler of one shard: events in, actions out.
+//! The scheduler of one shard: a state machine that takes events and returns actions.
 //!
-//! A shard is a pool's jobs and workers. Its one owner feeds the [`Scheduler`] what it hears (records
-//! of the log, answers of workers, changes of the worker list) and carries out the [`Action`]s that
-//! come back. Nothing here does I/O or reads a clock; `now` is the time since the process started.
+//! A shard holds the jobs and workers of a pool. Its single owner passes [`Event`]s to the
+//! [`Scheduler`] (records of the log, replies of workers, changes of the worker list) and carries
+//! out the [`Action`]s that it returns. Nothing here does I/O or reads a clock: `now` is always the
+//! time since the process started.
 //!
-//! What keeps a task from running twice stands in [`job::Task`] and `worker::Worker`: a task has a
-//! second run only where its step allows copies, and a run that may exist somewhere counts as one
-//! until an answer of the worker, or the end of its lease, rules it out.
+//! [`job::Task`] and `worker::Worker` keep the state that prevents a task from running twice. A
+//! task gets a second run only if its step allows speculative copies. A run that may exist on a
+//! worker counts as existing until a reply of that worker, or the end of its lease, rules it out.
 
 pub mod action;
 mod answers;
--- a/crates/crosspath_schedule/src/limits.rs
+++ b/crates/crosspath_schedule/src/limits.rs
@@ -1,8 +1,9 @@
-//! What customers may have running: the shard's parts of their maxima.
+//! Customers' maxima: keeps the shard's use of resources within its allotments.
 //!
-//! A task of a customer with a maximum starts only within what the shard holds of that. What runs, and what
-//! may run by an owner before, counts until it is surely over. Tasks held back make the shard ask the ledger of
-//! all shards for more; they are no reason to bring VMs into the pool.
+//! A task of a customer with a maximum starts only if the shard's allotment of that maximum covers
+//! it. Runs of this owner, and runs that a previous owner may have started, count as used until
+//! they are certain to be over. Tasks that are blocked on quota make the shard request more from
+//! the ledger of all shards. They are no reason to add VMs to the pool.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,24 +17,27 @@
 use crate::job::{Job, Phase};
 use crate::scheduler::Scheduler;
 
-/// Between two counts of all runs of the shard: a round of placing comes some hundred times a second in a turn, and
-/// counting 1,000 runs takes some 0.3 ms of an entry VM's half core.
+/// Minimum interval between two counts of all runs of the shard. Under load a round of placement
+/// happens some hundred times a second, and counting 1,000 runs takes some 0.3 ms on the half core
+/// of an entry VM.
 const RECOUNT_INTERVAL: Duration = Duration::from_millis(50);
-/// Between two lines on a customer whose tasks are held back.
+/// Minimum interval between two log lines about a customer whose tasks are blocked on quota.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The shard's parts, and what its tasks use and want of them.
+/// The shard's allotments of customers' maxima, and its usage and demand.
 #[derive(Debug)]
 pub(crate) struct Quotas {
-    /// None before a configuration was read: until then no customer's job starts.
+    /// Customers' maxima; `None` until a configuration was read. Until then no job of a customer
+    /// starts.
     limits: Option<Limits>,
     allowance: Allowance,
     usage: BTreeMap<Arc<str>, Usage>,
-    /// Processor time that tasks want which were held back in the last round, in thousandths of a core.
+    /// Processor time required by the tasks that were blocked on quota in the last round of
+    /// placement, in thousandths of a core.
     pub(crate) quota_blocked_millis: u64,
-    /// When what is used was last counted.
+    /// When the usage was last counted from the runs.
     recounted: Duration,
-    /// When a line on each customer was last written.
+    /// When a blocked task of each customer was last logged.
     logged: BTreeMap<Arc<str>, Duration>,
 }
 
@@ -49,7 +53,8 @@
         }
     }
 
-    /// Maximum of a customer; none where it has none, nothing while that is not known.
+    /// Maximum of a customer. `None` if the customer has no maximum; zero resources while no
+    /// configuration was read.
     fn limit(&self, customer: &str) -> Option<Resources> {
         let Some(limits) = &self.limits else { return Some(Resources::default()) };
         limits.get(customer).copied()
@@ -57,25 +62,26 @@
 }
 
 impl Scheduler {
-    /// Customers have other maxima from now on.
+    /// Applies the maxima of a new configuration.
     pub(crate) fn set_limits(&mut self, limits: Limits) {
         self.quotas.limits = Some(limits);
-        // A customer that had no maximum before was not counted.
+        // The usage of customers that had no maximum before was not counted.
         self.quotas.recounted = Duration::ZERO;
         self.placement_due = true;
     }
 
-    /// The customer of a job, if it has a maximum.
+    /// The customer of a job, if that customer has a maximum.
     fn limited_customer(&self, job: JobId) -> Option<&Arc<str>> {
         let customer = self.jobs.get(&job)?.accepted.customer.as_ref()?;
         self.quotas.limit(customer).map(|_| customer)
     }
 
-    /// Counts what customers with a maximum use, before a round of placing.
+    /// Counts the usage of customers with a maximum, before a round of placement.
     pub(crate) fn recount_usage(&mut self, now: Duration) {
         self.quotas.quota_blocked_millis = 0;
         if now < self.quotas.recounted + RECOUNT_INTERVAL {
-            // What has ended since counts on, what was started since counts too.
+            // Usage may be overestimated until the next count: runs that have ended since the last
+            // one still count, and runs started since then were added as they started.
             for usage in self.quotas.usage.values_mut() {
                 *usage = Usage { used: usage.used, ..Usage::default() };
             }
@@ -100,15 +106,15 @@
         self.quotas.usage = usage;
     }
 
-    /// Whether a task of the job's customer was held back in this round. Nothing overtakes it: else small tasks
-    /// would keep a large one waiting.
+    /// Whether a task of the job's customer was blocked on quota in this round of placement. No
+    /// other task of that customer may overtake it, or else small tasks could starve a large one.
     pub(crate) fn is_quota_blocked(&self, job: JobId) -> bool {
         let customer = self.limited_customer(job);
         let usage = customer.and_then(|customer| self.quotas.usage.get(customer));
         usage.is_some_and(|usage| usage.pending != Resources::default())
     }
 
-    /// Whether the customer of a job may have `more` running here.
+    /// Whether the shard's allotment for the customer of a job covers `more` on top of its usage.
     pub(crate) fn is_within_quota(&self, job: JobId, more: &Resources) -> bool {
         let Some(customer) = self.limited_customer(job) else { return true };
         let quotas = &self.quotas;
@@ -117,7 +123,7 @@
         quotas.allowance.allows(customer, &limit, &used, more)
     }
 
-    /// A task, or a gang, that wants `more` waits for a part of its customer's maximum.
+    /// Notes that a task or gang that requires `more` waits for its customer's quota.
     pub(crate) fn block_on_quota(&mut self, now: Duration, job: JobId, more: &Resources) {
         let Some(customer) = self.limited_customer(job).cloned() else { return };
         self.log_quota_blocked(now, job, &customer);
@@ -129,7 +135,7 @@
         self.quotas.quota_blocked_millis += more.cpu_millis;
     }
 
-    /// One line on a customer, now and then.
+    /// Logs that a customer is blocked on quota, at most once per [`LOG_INTERVAL`].
     fn log_quota_blocked(&mut self, now: Duration, job: JobId, customer: &Arc<str>) {
         let quotas = &mut self.quotas;
         if quotas.logged.get(customer).is_some_and(|logged| now < *logged + LOG_INTERVAL) {
@@ -150,14 +156,14 @@
         );
     }
 
-    /// A task of a job is started, within what its customer may have running.
+    /// Adds a task that is being started to the usage of its customer.
     pub(crate) fn charge_quota(&mut self, task: TaskId) {
         let Some(customer) = self.limited_customer(task.job).cloned() else { return };
         let resources = self.step_of(task).map(|step| step.resources).unwrap_or_default();
         self.quotas.usage.entry(customer).or_default().used.add(&resources);
     }
 
-    /// Asks the ledger, when that is due.
+    /// Sends a request to the ledger if one is due.
     pub(crate) fn request_quota(&mut self, now: Duration) {
         let quotas = &mut self.quotas;
         let Some(limits) = quotas.limits.as_ref().filter(|limits| !limits.is_empty()) else {
@@ -168,7 +174,8 @@
         }
     }
 
-    /// The ledger has answered, or not.
+    /// Applies the ledger's answer to request `number`; a `grant` of `None` means that the request
+    /// failed.
     pub(crate) fn quota_answered(&mut self, number: u64, grant: Option<Grant>) {
         match grant {
             Some(grant) => self.placement_due |= self.quotas.allowance.apply_grant(grant),
@@ -177,7 +184,8 @@
     }
 }
 
-/// Tasks that an owner before may have started and that no worker has shown yet, once for each run.
+/// Tasks that a previous owner may have started and that no worker has reported yet, listed once
+/// for each run.
 fn unreported_tasks(job: &Job) -> Vec<TaskId> {
     let mut found = Vec::new();
     for (id, task) in job.tasks() {
--- a/crates/crosspath_schedule/src/losses.rs
+++ b/crates/crosspath_schedule/src/losses.rs
@@ -1,27 +1,32 @@
-//! Runs that were lost with their workers.
+//! Runs that were lost with their workers, and how tasks that crash workers are found.
 //!
-//! A task may crash each worker that starts it, and a worker that crashes lists no end. So a run that a worker's
-//! end took along counts for its task, in the task's record: what is known of it outlives its owner.
+//! A task may crash every worker that starts it, and a worker that crashes reports no end of its
+//! runs. So each run that is lost with its worker is counted as a loss of its task. Losses are part
+//! of the task's progress record, so they survive a change of owner.
 //!
-//! Most tasks that were lost are bystanders: up to 18 run beside the guilty one. What a count means therefore
-//! depends on what ran beside the task, and that is arranged:
+//! Most lost tasks are bystanders: up to 18 run beside the one that caused the crash. What a number
+//! of losses says about a task therefore depends on what ran beside it, and placement controls
+//! that:
 //!
-//! - after one loss a task is placed like any other;
-//! - after two it goes where the fewest others under suspicion are, and to the emptiest of those, so that the tasks
-//!   lost with one worker part ways;
-//! - after three it runs alone: nothing else there has just been started, and nothing else is started there until
-//!   the run has proved itself, see [`PROVEN`];
-//! - a loss when it was alone, the third or a later one, tells that the task is guilty: its job has failed. So it has
-//!   after the fourth of any kind.
+//! - After one loss a task is placed like any other.
+//! - After two losses it is separated: it goes to the worker with the fewest other suspects, and
+//!   among those to the emptiest, so that the tasks lost with one worker spread over several.
+//! - After three losses it is isolated: it starts on a worker where no other run is on probation,
+//!   and nothing else starts there until its run has passed the probation, see [`PROBATION`].
+//! - A third or later loss during which no other run could be the cause fails the task's job. So
+//!   does the fourth loss of any kind.
 //!
-//! Each of these numbers weighs those against each other. Workers kept free for a few tasks make the rest of a pool
-//! wait, and so does sending all of some 18 tasks to the emptiest workers; not keeping apart at all fails sound jobs,
-//! and a task that is told late costs more lives.
+//! The numbers are a compromise. Reserving workers for a few tasks makes the rest of the pool wait,
+//! and so does sending all of some 18 lost tasks to the emptiest workers. Without any separation
+//! sound jobs would fail, and a task that is identified late costs more workers.
 //!
-//! A lasting run that has proved itself clears its task, so that lasting tasks are not failed by what their workers
-//! suffer in a day: giving a lasting job up ends all its tasks at once, whatever may be away. Brief tasks are cleared by their end only: one may crash its worker late in its work. A silent
-//! worker that is still listed may only be cut off: what was there counts as lost until it answers again, and alone
-//! fails no job.
+//! A long-running task is cleared of its losses once a run of it passes the probation. Otherwise
+//! the ordinary failures of its workers over a day would fail its job, which ends all tasks of
+//! that job at once, whatever `max_unavailable` says. A finite task is cleared only by its
+//! successful end, since it may crash its worker late in its run.
+//!
+//! A silent worker that is still listed may merely be cut off from the network. Its runs count as
+//! lost until it answers again, but such losses alone do not fail a job.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -35,53 +40,54 @@
 use crate::scheduler::Scheduler;
 use crate::worker::Worker;
 
-/// Losses from which tasks keep apart from each other.
+/// Number of losses from which tasks are separated from each other.
 const SEPARATE_MIN_LOSSES: usize = 2;
-/// Losses from which a task runs alone.
+/// Number of losses from which a task is isolated.
 const ISOLATE_MIN_LOSSES: usize = 3;
-/// Losses from which one that came alone fails the task's job, so that a task that crashes its workers costs three or
-/// four lives.
+/// Number of losses from which the job fails if no other run could be the cause of the last loss.
+/// With it, a task that crashes its workers costs three or four worker incarnations.
 const FAIL_ALONE_MIN_LOSSES: usize = 3;
-/// Losses from which a task's job has failed in any case: what an owner before left unseen has no witness. One fewer
-/// than the starts that callers are promised at most, three losses and two starts after them.
+/// Number of losses from which the job fails in any case. Needed because nobody knows what ran
+/// beside an unreported run of a previous owner. Callers are promised at most five starts, three
+/// that end in losses and two after those; this is one fewer.
 const FAIL_MIN_LOSSES: usize = 4;
-/// A run that looks have shown for so long did not crash its worker by its start. Longer than brief tasks take on
-/// sound workers, and than three looks.
+/// Probation of a run: if polls have listed it for this long, its start did not crash the worker.
+/// Longer than finite tasks take on sound workers, and longer than three polls.
 const PROBATION: Duration = Duration::from_secs(3);
-/// Share of a pool's workers at most on which tasks run alone, or that are kept free for them.
+/// Maximum share of a pool's workers that run an isolated task or are reserved for one.
 const MAX_ISOLATING_SHARE: f64 = 0.25;
 
-/// What came of a worker on which runs were unseen.
+/// What became known of a worker incarnation that may have had unreported runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Liveness {
-    /// It answers: what it does not show is not there.
+    /// It answers polls, so runs that it does not list do not exist.
     Answering,
-    /// Its life is over, or all leases there are.
+    /// It has ended, or all leases on it have expired.
     Ended,
 }
 
-/// What ran on a worker when it was lost.
+/// What ran together on a worker at the time it was lost.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Colocation {
-    /// Runs beside each of its runs.
+    /// Number of other runs beside each of its runs.
     others: usize,
-    /// Whether no other run may be why the worker was lost.
+    /// Whether at most one of its runs may be the cause of the loss.
     alone: bool,
 }
 
-/// Whether tasks with so many losses keep apart from each other.
+/// Whether tasks with this number of losses are separated from each other.
 pub(crate) fn needs_separation(losses: usize) -> bool {
     losses >= SEPARATE_MIN_LOSSES
 }
 
-/// Whether a task with so many losses runs alone.
+/// Whether a task with this number of losses is isolated.
 pub(crate) fn needs_isolation(losses: usize) -> bool {
     losses >= ISOLATE_MIN_LOSSES
 }
 
 impl Scheduler {
-    /// Whether a run is known not to crash its worker by its start: it has gone on for so long, or is a lasting one
-    /// that is past its start.
+    /// Whether the start of a run is known not to have crashed its worker: the run has lasted for
+    /// [`PROBATION`], or is a long-running one that has become available.
     fn is_past_probation(&self, id: TaskId, number: u64) -> bool {
         let run = self.run(id, number);
         run.is_some_and(|run| {
@@ -93,13 +99,14 @@
         self.step_of(id).is_some_and(|step| step.long_running)
     }
 
-    /// Whether a run is surely not why its worker is lost: a lasting one that has proved itself.
+    /// Whether a run is ruled out as the cause of its worker's loss: it is a long-running one that
+    /// has passed its probation.
     fn is_above_suspicion(&self, id: TaskId, number: u64) -> bool {
         self.is_long_running(id) && self.is_past_probation(id, number)
     }
 
-    /// A run that a look has shown: once it has proved itself, it need not be alone any more, and a lasting task is
-    /// cleared.
+    /// Ends the probation of a run that a poll has listed, if it has passed it: other tasks may
+    /// start beside it again, and a long-running task is cleared of its losses.
     pub(crate) fn end_probation(&mut self, now: Duration, worker: &str, id: TaskId, number: u64) {
         if !self.is_past_probation(id, number) {
             return;
@@ -116,7 +123,7 @@
         }
     }
 
-    /// A worker's end, or the end of its leases, takes a run along.
+    /// Counts a run that is lost because its worker has ended or its leases have expired.
     pub(crate) fn record_loss(
         &mut self,
         now: Duration,
@@ -141,7 +148,8 @@
         self.add_loss(now, id, Loss { run: number, worker, alone });
     }
 
-    /// Runs of owners before that no answer has shown, and that the end of a worker's life took along.
+    /// Counts unreported runs of previous owners that are lost because the worker incarnation has
+    /// ended or its leases have expired.
     pub(crate) fn record_unreported_losses(&mut self, now: Duration, incarnation: &Arc<str>) {
         let (worker, _) = incarnations::parse(incarnation);
         let draining = self.workers.get(worker).is_some_and(|worker| worker.entry.draining);
@@ -176,7 +184,8 @@
         self.requeue(id);
     }
 
-    /// An answer shows that a start had no effect, whatever became of the worker.
+    /// Removes the loss of a run that a reply has shown not to be lost: its start had no effect, or
+    /// the worker still lists it.
     pub(crate) fn clear_loss(&mut self, now: Duration, id: TaskId, number: u64) {
         let Some(task) = self.task_mut(id) else { return };
         let before = task.lost.len();
@@ -187,7 +196,7 @@
         }
     }
 
-    /// A life answers that was taken for lost.
+    /// Removes all losses on a worker incarnation that was presumed lost and answers again.
     pub(crate) fn clear_losses_on(&mut self, now: Duration, incarnation: &str) {
         for id in self.tasks_lost_on(incarnation) {
             let Some(task) = self.task_mut(id) else { continue };
@@ -197,7 +206,7 @@
         }
     }
 
-    /// Its key tells whether a waiting task is to run alone.
+    /// Replaces the key of a waiting task, since the key says whether the task is to be isolated.
     fn requeue(&mut self, id: TaskId) {
         let Some(job) = self.jobs.get(&id.job) else { return };
         let key = Key::new(job, id);
@@ -214,7 +223,7 @@
         lost.map(|(id, _)| id).collect()
     }
 
-    /// Gives up the tasks under which too many workers were lost, this life among them.
+    /// Fails the jobs of tasks with too many losses, among those with a loss on this incarnation.
     pub(crate) fn enforce_loss_limits_on(&mut self, now: Duration, incarnation: &str) {
         for id in self.tasks_lost_on(incarnation) {
             self.enforce_loss_limit(now, id);
@@ -226,7 +235,7 @@
             return;
         };
         let Some(task) = job.task(id).filter(|task| !task.done) else { return };
-        // A worker that is still listed may be back.
+        // A worker whose incarnation is still known may answer again.
         let final_losses =
             task.lost.iter().filter(|loss| !self.is_current_incarnation(&loss.worker));
         let final_losses: Vec<_> = final_losses.collect();
@@ -238,7 +247,8 @@
         }
     }
 
-    /// Notes which workers take nothing but tasks that run alone: as many as such tasks wait for.
+    /// Reserves workers for waiting tasks that are to be isolated, at most one for each such task
+    /// and within [`MAX_ISOLATING_SHARE`]. No other tasks are placed on reserved workers.
     pub(crate) fn reserve_for_isolation(&mut self, now: Duration) {
         self.reserved_for_isolation.clear();
         let isolated = self.waiting.iter().filter(|key| key.isolated).map(|key| key.task);
@@ -260,7 +270,8 @@
         }
     }
 
-    /// The worker where the fewest runs have to end before a task can run alone there.
+    /// The worker on which the fewest runs have to end, or to pass their probation, before it can
+    /// isolate the task; among equals the one with the fewest runs.
     fn best_worker_to_isolate(&self, now: Duration, id: TaskId) -> Option<Arc<str>> {
         let step = self.step_of(id)?;
         let resources = step.reserved();
@@ -272,7 +283,8 @@
         best.map(|worker| Arc::clone(&worker.entry.id))
     }
 
-    /// What runs on a worker. Any run may be why it is lost, but for lasting ones that have proved themselves.
+    /// Describes the runs on a worker. Each may be the cause of its loss, except long-running ones
+    /// that have passed their probation.
     pub(crate) fn colocation(&self, worker: &Worker) -> Colocation {
         let runs = worker.runs.keys();
         let suspects = runs.filter(|(task, run)| !self.is_above_suspicion(*task, *run));
@@ -280,12 +292,12 @@
         Colocation { others: worker.runs.len().saturating_sub(1), alone }
     }
 
-    /// Runs there that have not proved themselves.
+    /// Number of runs on a worker that have not passed their probation.
     fn runs_on_probation(&self, worker: &Worker) -> usize {
         worker.runs.keys().filter(|(task, run)| !self.is_past_probation(*task, *run)).count()
     }
 
-    /// Whether a task that runs alone may start on a worker now.
+    /// Whether a task that is to be isolated may start on a worker now.
     pub(crate) fn can_isolate(&self, worker: &Worker) -> bool {
         self.runs_on_probation(worker) == 0
     }
--- a/crates/crosspath_schedule/src/place.rs
+++ b/crates/crosspath_schedule/src/place.rs
@@ -1,4 +1,4 @@
-//! Which waiting task goes where.
+//! Placement: which waiting task runs on which worker.
 
 use std::cmp::Ordering;
 use std::sync::Arc;
@@ -13,31 +13,37 @@
 use crate::scheduler::Scheduler;
 use crate::worker::{QUARANTINE_THRESHOLD, Worker};
 
-/// Share of a pool's workers at most that get no new work for what they did to earlier tasks.
+/// Maximum share of a pool's workers that may be quarantined for what they did to earlier runs:
+/// failures, refused starts and stalls. If more workers qualify, none is quarantined.
 const MAX_QUARANTINED_SHARE: f64 = 0.34;
-/// Tasks in a row that fit nowhere after which a round of placing ends.
+/// Number of consecutive tasks without a fitting worker after which a round of placement ends.
 const MAX_CONSECUTIVE_UNPLACED: usize = 96;
 
-/// Cost of a worker for each task there that may crash it: more than being full, less than a place far from the data.
+/// Cost of a worker for each suspect on it, that is, each run of a task that may crash it. It
+/// weighs more than how full the worker is, and less than a place off the rack that is close to
+/// the data.
 const SUSPECT_WEIGHT: f64 = 5.0;
 
-/// Order of a waiting task.
+/// Queue entry of a waiting task. Entries are ordered by priority, then long-running before finite
+/// tasks, then by latest start and identifier. The other fields do not affect this order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Key {
     priority: u32,
-    /// Lasting tasks first: each moment away costs.
+    /// Whether the task ends by itself. Long-running tasks are placed first, as they are
+    /// unavailable while they wait.
     finite: bool,
-    /// Latest start with which the job can end in time, in ms since the process started.
+    /// Latest start with which the job meets its deadline, in ms since the process started.
     latest_start_ms: u64,
     pub(crate) task: TaskId,
-    /// What it reserves.
+    /// Resources that the task reserves on its worker.
     pub(crate) resources: Resources,
-    /// Whether any worker with room will do.
+    /// Whether the task may run on any worker with enough free resources.
     unconstrained: bool,
     gang: bool,
-    /// Whether it waits behind all that is owed: its customer sent the job beyond its share.
+    /// Whether the job is over its customer's share, so that the task is placed after all tasks
+    /// within their customers' shares.
     over_share: bool,
-    /// Whether it runs alone, for what it may have done to workers before.
+    /// Whether the task is to be isolated, because workers were lost while they ran it.
     pub(crate) isolated: bool,
 }
 
@@ -69,36 +75,39 @@
             unconstrained: step.requires.is_none() && step.max_per_worker == 0,
             gang: step.gang,
             over_share: !job.within_share && !step.long_running,
-            // Members of a gang run side by side or not at all.
+            // The members of a gang have to run at the same time, so they cannot be isolated.
             isolated: !step.gang && losses::needs_isolation(losses),
         }
     }
 
-    /// Whether it is a lasting task.
+    /// Whether the task is a long-running one.
     pub(crate) fn is_long_running(&self) -> bool {
         !self.finite
     }
 
-    /// Whether its job cannot end in time any more; such tasks go after all that can.
+    /// Whether the job can no longer meet its deadline. Such tasks are placed after those of jobs
+    /// that can.
     fn misses_deadline(&self, now: Duration) -> bool {
         self.finite && Duration::from_millis(self.latest_start_ms) < now
     }
 }
 
-/// What became of a waiting task in a round of placing.
+/// Result of the attempt to place a waiting task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Attempt {
-    /// It was placed, or waits for something else than room.
+    /// The task was placed, needs no run, or waits for something other than a worker or quota.
     Settled,
-    /// There is room for it, and its customer has as much running as it may.
+    /// The allotment of its customer's maximum does not cover the task.
     QuotaBlocked,
-    /// No worker has room for it.
+    /// No eligible worker has enough free resources.
     NoCapacity,
-    /// It runs alone, and on all workers something else has just been started.
+    /// The task is to be isolated, and no eligible worker with enough free resources is free of
+    /// runs on probation.
     NoIsolation,
 }
 
-/// Requests for room that nothing could satisfy in this pass.
+/// Minimal resource requests for which no worker was found in this round of placement. Larger ones
+/// need not be tried.
 #[derive(Debug, Default)]
 struct Unplaceable(Vec<Resources>);
 
@@ -203,7 +212,7 @@
         Attempt::Settled
     }
 
-    /// Plans a run; it is sent once its place is kept in the log.
+    /// Plans a run on a worker. Its start is sent once its placement record is durable.
     fn plan_run(
         &mut self,
         now: Duration,
@@ -245,7 +254,7 @@
         self.commits.plan_run(now, id, run);
     }
 
-    /// Sends the start of a planned run, its place being kept.
+    /// Sends the start of a planned run, whose placement record is durable.
     pub(crate) fn send_start(&mut self, now: Duration, id: TaskId, number: u64) {
         let terms = self.settings.terms;
         let Some(job) = self.jobs.get_mut(&id.job) else { return };
@@ -297,7 +306,7 @@
         best.map(|(_, worker)| Arc::clone(&worker.entry.id))
     }
 
-    /// Whether a task may go to a worker, room aside.
+    /// Whether a task may run on a worker, regardless of free resources.
     pub(crate) fn is_eligible(
         &self,
         now: Duration,
@@ -320,8 +329,9 @@
         self.quarantine_enabled && worker.suspicion_at(now) >= QUARANTINE_THRESHOLD
     }
 
-    /// Notes whether blame keeps work from workers: not where most are blamed. Looked over once a round of
-    /// placing: once for each worker, the looks would grow with the square of the pool.
+    /// Decides whether workers are quarantined at all: not if more than [`MAX_QUARANTINED_SHARE`]
+    /// would be. This is computed once per round of placement, because its cost would grow with the
+    /// square of the pool's size if it were computed for each worker.
     pub(crate) fn update_quarantine(&mut self, now: Duration) {
         let quarantined =
             self.workers.values().filter(|other| other.suspicion_at(now) >= QUARANTINE_THRESHOLD);
@@ -329,8 +339,9 @@
         self.quarantine_enabled = quarantined.count() as f64 <= allowed;
     }
 
-    /// Lower is better. Fuller workers first, so that others stay empty and can leave the pool; but tasks that were
-    /// lost with several keep apart from each other, and others from them.
+    /// Cost of placing a task on a worker; lower is better. Fuller workers are preferred, so that
+    /// others stay empty and can leave the pool. Separated tasks prefer emptier workers, and all
+    /// tasks avoid workers with suspects.
     fn cost(&self, now: Duration, worker: &Worker, task: &Task, step: &Step) -> f64 {
         let failed = task.failed_on.contains(&worker.entry.id);
         let separate = losses::needs_separation(task.lost.len());
@@ -347,7 +358,8 @@
             + SUSPECT_WEIGHT * worker.suspect_runs.len() as f64
     }
 
-    /// Whether fill work and tasks with a tail target would come together.
+    /// Whether the step would put best-effort runs and runs with a tail latency target on the same
+    /// worker.
     fn mixes_best_effort(&self, worker: &Worker, step: &Step) -> bool {
         if !step.best_effort && step.tail_target_ms == 0 {
             return false;
@@ -390,7 +402,8 @@
         }
     }
 
-    /// A worker for each member, in one rack where the step asks for it and one has room.
+    /// Chooses a worker for each member of a gang. If the step asks for a single rack, one that
+    /// can take the whole gang is preferred.
     fn gang_workers(&self, now: Duration, id: TaskId, step: &Step) -> Option<Vec<Arc<str>>> {
         let usable: Vec<_> = self
             .workers
@@ -405,7 +418,7 @@
             for rack in racks {
                 let inside: Vec<_> =
                     usable.iter().copied().filter(|worker| worker.has_label(&rack)).collect();
-                // A label that all share is no rack.
+                // A label that all workers share does not name a rack.
                 if inside.len() == usable.len() && usable.len() > 1 {
                     continue;
                 }
@@ -418,7 +431,7 @@
     }
 }
 
-/// Tasks of the same step and time on a worker.
+/// Number of runs of the same step and occurrence on a worker.
 fn siblings_on(worker: &Worker, id: TaskId) -> u32 {
     let first = TaskId { index: 0, ..id };
     let last = TaskId { index: u32::MAX, ..id };
@@ -426,7 +439,8 @@
     u32::try_from(runs.count()).unwrap_or(u32::MAX)
 }
 
-/// A worker for each of a step's tasks, or none.
+/// Assigns each of a step's tasks to the first worker with enough free resources; `None` if not all
+/// of them fit.
 fn assign_gang(workers: &[&Worker], step: &Step) -> Option<Vec<Arc<str>>> {
     let resources = step.reserved();
     let mut free: Vec<_> = workers.iter().map(|worker| (worker.free(), 0_u32)).collect();
--- a/crates/crosspath_schedule/src/shares.rs
+++ b/crates/crosspath_schedule/src/shares.rs
@@ -1,9 +1,11 @@
-//! Which jobs wait behind others while all is full.
+//! Customers' shares: which jobs are placed after all others while the pool is full.
 //!
-//! A customer is owed some jobs a second, its weight. What it sends beyond that is served with what is left: its
-//! tasks are placed after all tasks of jobs that are owed, late ones included. A shard sees its part of a customer's
-//! jobs only, and counts against that part of the weight. Jobs are counted in the order of their acceptance, as their
-//! records tell it, so that a new owner comes to the same.
+//! The weight of a customer is the number of jobs per second that it is entitled to. Its share is
+//! enforced with a token bucket that refills at this rate. Jobs over the share get what is left:
+//! their tasks are placed after all tasks of jobs within their customers' shares, late ones
+//! included. A shard sees only a fraction of a customer's jobs and applies the same fraction of the
+//! weight. Jobs are counted in the order of their acceptance times, which their records hold, so
+//! that a new owner reaches the same result.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,22 +16,23 @@
 use crate::place::Key;
 use crate::scheduler::Scheduler;
 
-/// For which a customer may save up what it is owed: callers send in bursts, and a shard's part of them is uneven.
+/// Seconds of its rate that a customer's bucket holds. Callers send in bursts, which are spread
+/// unevenly over the shards.
 const BURST_SECONDS: f64 = 5.0;
-/// Least that may be saved up, in jobs: with one alone, every second job of a caller that sends exactly its weight
-/// comes some ms too early for it.
+/// Minimum capacity of a bucket, in jobs. With a capacity of one, every second job of a caller that
+/// sends at exactly its rate would arrive some ms too early for its token.
 const MIN_BURST_JOBS: f64 = 2.0;
 
-/// What customers are owed, and have left of it.
+/// Weights of the customers, and how much of their shares is unused.
 #[derive(Debug, Default)]
 pub(crate) struct Shares {
     weights: Weights,
-    /// Part of a customer's jobs that come to this shard.
+    /// Fraction of each customer's jobs that comes to this shard.
     fraction: f64,
     buckets: BTreeMap<Arc<str>, Bucket>,
 }
 
-/// Jobs that a customer is still owed, and as of when.
+/// Token bucket of a customer: jobs that are left of its share as of `at_ms`, in Unix time.
 #[derive(Debug, Clone, Copy)]
 struct Bucket {
     tokens: f64,
@@ -37,7 +40,8 @@
 }
 
 impl Shares {
-    /// Counts a job, and tells whether its customer is owed it.
+    /// Counts a job against its customer's share and returns whether it is within the share. Always
+    /// true for customers without a weight.
     fn take_token(&mut self, customer: &Arc<str>, at_ms: u64) -> bool {
         let Some(weight) = self.weights.get(customer) else { return true };
         let rate = weight * self.fraction;
@@ -56,9 +60,9 @@
 }
 
 impl Scheduler {
-    /// Customers are owed other numbers of jobs from now on: all jobs are counted anew.
+    /// Applies new weights, or a new fraction, and counts all known jobs again.
     pub(crate) fn set_weights(&mut self, weights: Weights, fraction: f64) {
-        // Most new configurations change nothing of it.
+        // Most new configurations leave the weights as they are.
         if self.shares.weights == weights && self.shares.fraction == fraction {
             return;
         }
@@ -76,7 +80,7 @@
         self.placement_due = true;
     }
 
-    /// Notes whether a job's customer is owed it.
+    /// Counts a job and records whether it is within its customer's share.
     pub(crate) fn charge_share(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let Some(customer) = &job.accepted.customer else { return };
--- a/crates/crosspath_schedule/src/stall.rs
+++ b/crates/crosspath_schedule/src/stall.rs
@@ -1,7 +1,8 @@
-//! Runs that stand still on a worker that answers.
+//! Detection of stalled runs on workers that answer.
 //!
-//! A worker may answer all looks and do nothing. A brief run whose percent has not changed between
-//! looks for some time is stopped, goes on elsewhere, and is held against the worker.
+//! A worker may answer every poll and yet make no progress. If polls have reported the same
+//! progress of a finite run for [`STALL_TIMEOUT`], the run is stopped, its task resumes elsewhere,
+//! and the suspicion score of the worker is raised. Gangs and best-effort runs are exempt.
 
 use std::time::Duration;
 
@@ -10,10 +11,10 @@
 use crate::job::{Phase, Run};
 use crate::scheduler::Scheduler;
 
-/// Between two looks that show no progress. Even a long task on a slow worker gains some percent in it; going on from
-/// a checkpoint takes a part of it before.
+/// Time without progress after which a run counts as stalled. Even a long task on a slow worker
+/// gains some percent within it, and resuming from a checkpoint takes only a part of it.
 const STALL_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// Blame for a run that stands still: two keep a worker from new work.
+/// Added to the suspicion score of a worker for each stalled run; two of them quarantine it.
 const STALL_PENALTY: f64 = 1.5;
 
 impl Scheduler {
--- a/crates/crosspath_schedule/src/throttle.rs
+++ b/crates/crosspath_schedule/src/throttle.rs
@@ -1,7 +1,8 @@
-//! How fast fill work may run beside tasks that have a tail target.
+//! Throttling of best-effort runs beside tasks that have a tail latency target.
 //!
-//! A worker's tails are compared with their targets at each look. Fill work on it is slowed at once
-//! when a tail comes near its target, and speeds up again step by step.
+//! The tail latencies that a worker's polls report are compared with their targets. When one comes
+//! near its target, the best-effort runs on that worker are slowed down at once. They speed up
+//! again step by step.
 
 use crosspath_job::TaskId;
 
@@ -9,15 +10,15 @@
 use crate::job::Phase;
 use crate::scheduler::Scheduler;
 
-/// Tail, as a share of its target, from which fill work is slowed.
+/// Ratio of tail latency to its target from which best-effort runs are slowed down.
 const SLOW_DOWN_RATIO: f64 = 0.85;
-/// Tail, as a share of its target, below which fill work may speed up.
+/// Ratio of tail latency to its target below which best-effort runs speed up.
 const SPEED_UP_RATIO: f64 = 0.6;
-/// What fill work keeps of its speed at each slowing, in percent.
+/// Percentage of its current speed that a run keeps each time it is slowed down.
 const SLOW_DOWN_PERCENT: u32 = 40;
-/// What it gains at each step up, in percent of full speed.
+/// Speed that a run gains each time it speeds up, in percent of full speed.
 const SPEED_UP_PERCENT: u32 = 15;
-/// Below this share it is stopped altogether, in percent.
+/// Minimum speed, in percent of full speed; a run that would be slower is paused.
 const MIN_PERCENT: u32 = 5;
 
 impl Scheduler {
--- a/crates/crosspath_schedule/src/tickets.rs
+++ b/crates/crosspath_schedule/src/tickets.rs
@@ -1,4 +1,4 @@
-//! Tickets of the advice service, for queues that need them.
+//! Tickets of the advice service, which tasks of some queues need to start on a worker.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,15 +10,17 @@
 use crate::action::Action;
 use crate::scheduler::Scheduler;
 
-/// Workers that one question to the advice service may name.
+/// Maximum number of workers in one request to the advice service.
 const MAX_ADVICE_WORKERS: usize = 100;
-/// A question to the advice service without an answer is asked again after this.
+/// Delay after which a request to the advice service is repeated if it failed or got no answer.
 const ADVICE_RETRY_INTERVAL: Duration = Duration::from_millis(500);
-/// A ticket is not used in its last moments: the start must arrive in time.
+/// Remaining validity below which a ticket is not used any more, so that the start reaches the
+/// worker in time.
 const TICKET_MARGIN: Duration = Duration::from_millis(300);
 
 impl Scheduler {
-    /// Whether the task needs no advice or has some; asks for it otherwise.
+    /// Whether the task needs no advice or its step has valid advice. Otherwise requests advice,
+    /// unless a request is under way.
     pub(crate) fn ensure_advice(&mut self, now: Duration, id: TaskId) -> bool {
         let Some(job) = self.jobs.get(&id.job) else { return false };
         if job.accepted.advice.is_none() {
@@ -43,7 +45,7 @@
     }
 }
 
-/// Tickets of the advice service.
+/// The newest advice for each step.
 #[derive(Debug, Default)]
 pub(crate) struct Tickets(BTreeMap<StepId, Advice>);
 
@@ -63,7 +65,7 @@
         self.0.get(&step).is_some_and(|advice| now < advice.valid_until)
     }
 
-    /// Whether no question for the step is on its way; notes that one is now.
+    /// Whether a request for the step may be sent now. If so, it is recorded as sent.
     fn begin_request(&mut self, now: Duration, step: StepId) -> bool {
         let advice = self.0.entry(step).or_default();
         let due = advice.requested.is_zero() || now >= advice.requested + ADVICE_RETRY_INTERVAL;
@@ -83,7 +85,7 @@
         match answer {
             Ok(answer) => {
                 let valid = Duration::from_millis(answer.valid_ms).saturating_sub(TICKET_MARGIN);
-                // The ticket's time may have begun when the question was sent.
+                // The validity may have begun as early as the request was sent.
                 advice.valid_until = advice.requested + valid;
                 advice.approved = answer.approved.into_iter().collect();
             }
@@ -94,7 +96,7 @@
         }
     }
 
-    /// The step's tickets do not hold any more.
+    /// Drops the advice for the step of a task, because a worker has rejected a ticket.
     pub(crate) fn invalidate(&mut self, task: TaskId) {
         self.0.remove(&step_id(task));
     }
--- a/crates/crosspath_schedule/src/vacate.rs
+++ b/crates/crosspath_schedule/src/vacate.rs
@@ -1,8 +1,9 @@
-//! Emptying workers that drain, whose VM is wanted elsewhere, or whose data centre is evacuated.
+//! Vacating workers that drain, whose VM is needed elsewhere, or whose data centre is evacuated.
 //!
-//! Brief tasks end by themselves, or go on elsewhere from their checkpoint where their job can afford
-//! it. Lasting ones are stopped one by one, each only while the others of its step are at work, and
-//! start again elsewhere.
+//! Finite tasks run to their end, or are stopped and resume elsewhere from a checkpoint if their
+//! job can afford it. Long-running tasks are stopped one by one and start again elsewhere. Each is
+//! stopped only while fewer than `max_unavailable` (by default 1) other tasks of its step are
+//! unavailable and another worker can take it.
 
 use std::time::Duration;
 
@@ -12,9 +13,10 @@
 use crate::scheduler::Scheduler;
 use crate::worker::Worker;
 
-/// Tasks with a checkpoint go on elsewhere below this percent of their work; above, they end soon.
+/// Progress in percent below which a task with a checkpoint is moved; above it, the task ends soon.
 const MOVE_BELOW_PERCENT: u32 = 70;
-/// What moving a task costs its job: a stop of up to 0.9 s, a wait for room, another start.
+/// Time that a job loses when a task is moved: a stop of up to 0.9 s, a wait for a worker and
+/// another start.
 const MOVE_COST: Duration = Duration::from_millis(1_500);
 
 impl Scheduler {
@@ -33,12 +35,13 @@
         }
     }
 
-    /// Whether a worker's data centre gets no new work.
+    /// Whether a worker's data centre is being evacuated, so that it gets no new tasks.
     pub(crate) fn is_evacuated(&self, worker: &Worker) -> bool {
         self.evacuated.contains(&worker.entry.data_centre)
     }
 
-    /// Whether a worker is to become vacant: its VM is wanted elsewhere, or its data centre is evacuated.
+    /// Whether a worker is to be vacated: its VM is needed elsewhere, or its data centre is being
+    /// evacuated.
     pub(crate) fn must_be_vacated(&self, worker: &Worker) -> bool {
         self.vms_to_vacate.contains(&worker.entry.vm) || self.is_evacuated(worker)
     }
@@ -59,7 +62,7 @@
         movable && !misses_deadline_if_moved(now, job, id, run.percent)
     }
 
-    /// Other tasks of the step that are not at work, as far as is known.
+    /// Number of other tasks of the step that are not known to be available.
     fn unavailable_siblings(&self, now: Duration, job: &Job, id: TaskId) -> u32 {
         let step = &job.occurrences[id.occurrence as usize].steps[id.step as usize];
         let available = |run: &Run| {
@@ -82,8 +85,8 @@
     }
 }
 
-/// Whether a job ends in time by its estimates if its task goes on where it is, and does not if the
-/// task is moved.
+/// Whether, by its estimates, a job meets its deadline if the task stays where it is and misses it
+/// if the task is moved.
 fn misses_deadline_if_moved(now: Duration, job: &Job, id: TaskId, percent: u32) -> bool {
     let estimate_ms = job.accepted.spec.steps[id.step as usize].estimate_ms;
     let done_ms = estimate_ms * u64::from(percent.min(100)) / 100;
