--- a/crates/crosspath_node/src/appender.rs
+++ b/crates/crosspath_node/src/appender.rs
@@ -23,36 +23,36 @@
 
 use crate::clock;
 use crate::node::Node;
-use crate::pending::{self, Outcome, Patience, Pending};
+use crate::pending::{self, Deadlines, Outcome, Pending};
 use crate::rpc::{self, Failure, Question};
 
 /// Between tries of an append that was refused.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 /// After which an owner that has not answered is asked whether it lives: an append takes 10 ms, and an
 /// owner that is busy some 50 ms more.
-const OWNER_PATIENCE: Duration = Duration::from_millis(300);
+const OWNER_PROBE_INTERVAL: Duration = Duration::from_millis(300);
 /// For an append by the shard's owner while the store is slow: one under way, and the next.
 const OWNER_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// After which an owner takes records back that wait for a slow store: an append that takes 0.4 s is
 /// under way, and the one for them would end too late for the callers.
-const OWNER_WAIT: Duration = Duration::from_millis(800);
+const OWNER_QUEUE_TIMEOUT: Duration = Duration::from_millis(800);
 /// After which an owner says that records surely are not kept: some tries, and in time for the asking
 /// daemon to tell its caller when to come back.
-const OWNER_REFUSAL: Duration = Duration::from_millis(250);
+const OWNER_REFUSE_AFTER: Duration = Duration::from_millis(250);
 /// After which it says that it does not know; before the asking daemon stops waiting.
-const OWNER_DOUBT: Duration = Duration::from_millis(1_000);
+const OWNER_UNKNOWN_AFTER: Duration = Duration::from_millis(1_000);
 /// Other daemons that are asked to append in one try. Where the store turns away a third of the daemons,
 /// one in 27 tries fails and is repeated; where it turns away all, callers hear of it soon.
-const RELAYS: usize = 2;
+const MAX_RELAYS: usize = 2;
 /// After which an append under way holds up the next no longer. A quick store takes 5 to 10 ms, through the
 /// owner some 15; with one that is slow, a caller would wait for two such appends and its own, at its daemon and at
 /// the owner.
-const NEXT_AFTER: Duration = Duration::from_millis(30);
+const PIPELINE_DELAY: Duration = Duration::from_millis(30);
 /// Appends to a shard under way at most, where its owner makes them: a partition of a slow store takes one after the
 /// other, 17 a second where it is 57 times as slow, and those of its owner's commits too.
-const MOST_AS_OWNER: usize = 3;
+const MAX_IN_FLIGHT_AS_OWNER: usize = 3;
 /// The same where the owner is asked for them, who makes one of many.
-const MOST_RELAYED: usize = 8;
+const MAX_IN_FLIGHT_RELAYED: usize = 8;
 /// Records in one append at most; with a job of 4 KB far below the store's bound on a call.
 const MAX_RECORDS: usize = 128;
 
@@ -65,7 +65,7 @@
     node: &Arc<Node>,
     shard: u32,
     record: &Record,
-    patience: Patience,
+    deadlines: Deadlines,
 ) -> Outcome {
     let record = NewRecord { key: record.key(), value: record.value().into() };
     if rpc::is_taken_here(node, shard, &record) {
@@ -74,17 +74,17 @@
     // What is under way may hold the queue up for long while the store is silent.
     if node.is_store_silent(clock::now()) {
         let records = [record];
-        let appended = append_somehow(node, shard, &records).await;
+        let appended = append_with_fallback(node, shard, &records).await;
         node.append_ended(clock::now(), appended.as_ref().err());
         return match appended {
-            Ok(by) => {
-                by.tell_owner(node, shard, &records);
-                by.outcome(&records[0].key)
+            Ok(route) => {
+                route.notify_owner(node, shard, &records);
+                route.outcome(&records[0].key)
             }
             Err(error) => outcome_of(error),
         };
     }
-    let (pending, waiter) = pending::pair(record, patience);
+    let (pending, waiter) = pending::pair(record, deadlines);
     sender(node, shard).send(pending).ok();
     waiter.outcome(clock::now()).await
 }
@@ -102,38 +102,39 @@
 /// Sends what waits, as few appends as can be while the store is quick: what comes while one is under way waits
 /// for it and goes together. One that is slow, or whose answer is lost, holds nothing up for long.
 async fn run(node: Arc<Node>, shard: u32, mut receiver: mpsc::UnboundedReceiver<Pending>) {
-    let mut waiting: Vec<Pending> = Vec::new();
-    let mut under_way = FuturesUnordered::new();
+    let mut queued: Vec<Pending> = Vec::new();
+    let mut in_flight = FuturesUnordered::new();
     // When the next may be sent beside others, and at all.
-    let mut next = Instant::now();
-    let mut rested = next;
+    let mut next_at = Instant::now();
+    let mut retry_at = next_at;
     loop {
         let is_owner = node.owned().contains_key(&shard);
-        let may_send = under_way.len() < if is_owner { MOST_AS_OWNER } else { MOST_RELAYED };
+        let may_send =
+            in_flight.len() < if is_owner { MAX_IN_FLIGHT_AS_OWNER } else { MAX_IN_FLIGHT_RELAYED };
         tokio::select! {
-            failed = under_way.select_next_some(), if !under_way.is_empty() => {
+            failed = in_flight.select_next_some(), if !in_flight.is_empty() => {
                 if failed {
-                    rested = Instant::now() + RETRY_PAUSE;
+                    retry_at = Instant::now() + RETRY_PAUSE;
                 }
             }
-            received = receiver.recv(), if waiting.len() < MAX_RECORDS => {
+            received = receiver.recv(), if queued.len() < MAX_RECORDS => {
                 let Some(pending) = received else { return };
-                waiting.push(pending);
-                while waiting.len() < MAX_RECORDS && let Ok(pending) = receiver.try_recv() {
-                    waiting.push(pending);
+                queued.push(pending);
+                while queued.len() < MAX_RECORDS && let Ok(pending) = receiver.try_recv() {
+                    queued.push(pending);
                 }
             }
-            () = sleep_until(next.max(rested)), if !waiting.is_empty() && may_send => {}
+            () = sleep_until(next_at.max(retry_at)), if !queued.is_empty() && may_send => {}
         }
         let now = Instant::now();
-        let is_due = under_way.is_empty() || (may_send && now >= next);
-        if waiting.is_empty() || !is_due || now < rested {
+        let is_due = in_flight.is_empty() || (may_send && now >= next_at);
+        if queued.is_empty() || !is_due || now < retry_at {
             continue;
         }
-        let batch: Vec<_> = waiting.drain(..).filter(Pending::take).collect();
+        let batch: Vec<_> = queued.drain(..).filter(Pending::begin_send).collect();
         if !batch.is_empty() {
-            next = now + NEXT_AFTER;
-            under_way.push(append_batch(&node, shard, batch));
+            next_at = now + PIPELINE_DELAY;
+            in_flight.push(append_batch(&node, shard, batch));
         }
     }
 }
@@ -142,13 +143,13 @@
 async fn append_batch(node: &Arc<Node>, shard: u32, mut batch: Vec<Pending>) -> bool {
     loop {
         let records: Vec<NewRecord> = batch.iter().map(|pending| pending.record.clone()).collect();
-        let appended = append_somehow(node, shard, &records).await;
+        let appended = append_with_fallback(node, shard, &records).await;
         node.append_ended(clock::now(), appended.as_ref().err());
         match appended {
-            Ok(by) => {
-                by.tell_owner(node, shard, &records);
+            Ok(route) => {
+                route.notify_owner(node, shard, &records);
                 for pending in batch.drain(..) {
-                    let outcome = by.outcome(&pending.record.key);
+                    let outcome = route.outcome(&pending.record.key);
                     pending.settle(outcome);
                 }
                 return false;
@@ -159,9 +160,9 @@
                     batch.len()
                 );
                 for pending in &mut batch {
-                    pending.failed(!error.had_no_effect());
+                    pending.attempt_failed(!error.had_no_effect());
                 }
-                batch = give_up(node, batch);
+                batch = settle_expired(node, batch);
                 if batch.is_empty() {
                     return true;
                 }
@@ -173,17 +174,17 @@
 
 /// Answers those that are not tried again; the others. While the store is down one try by all ways is
 /// enough: a caller that waits through more only comes back later.
-fn give_up(node: &Node, batch: Vec<Pending>) -> Vec<Pending> {
+fn settle_expired(node: &Node, batch: Vec<Pending>) -> Vec<Pending> {
     let now = clock::now();
     let is_down = node.store_down_for(now).is_some();
-    let mut kept = Vec::new();
+    let mut remaining = Vec::new();
     for pending in batch {
-        match pending.verdict(now, is_down) {
+        match pending.final_outcome(now, is_down) {
             Some(outcome) => pending.settle(outcome),
-            None => kept.push(pending),
+            None => remaining.push(pending),
         }
     }
-    kept
+    remaining
 }
 
 /// What an append that failed says of its records.
@@ -198,13 +199,13 @@
     records: Vec<NewRecord>,
 ) -> Outcome {
     let now = clock::now();
-    let patience = Patience {
-        waits_until: now + OWNER_WAIT,
-        refused_at: now + OWNER_REFUSAL,
-        doubted_until: now + OWNER_DOUBT,
+    let deadlines = Deadlines {
+        send_by: now + OWNER_QUEUE_TIMEOUT,
+        refuse_at: now + OWNER_REFUSE_AFTER,
+        unknown_at: now + OWNER_UNKNOWN_AFTER,
     };
     let waiters = records.iter().map(|record| {
-        let (pending, waiter) = pending::pair(record.clone(), patience);
+        let (pending, waiter) = pending::pair(record.clone(), deadlines);
         sender(node, shard).send(pending).ok();
         waiter.outcome(now)
     });
@@ -214,51 +215,56 @@
 }
 
 /// Appends through the shard's owner, or else directly or through any daemon that the store serves.
-async fn append_somehow(node: &Arc<Node>, shard: u32, records: &[NewRecord]) -> Result<By, Error> {
+async fn append_with_fallback(
+    node: &Arc<Node>,
+    shard: u32,
+    records: &[NewRecord],
+) -> Result<Route, Error> {
     let owner = node.holder(shard).filter(|_| !node.owned().contains_key(&shard));
-    let by_any = async || append_by_any(node, shard, records).await.map(|()| By::Other);
-    let Some(owner) = owner else { return by_any().await };
-    let by_owner = pin!(rpc::relay_append(node, owner, shard, records, OWNER_TIMEOUT));
-    let by_owner = match select(by_owner, pin!(owner_is_silent(node, owner))).await {
-        Either::Left((Ok(taken), _)) => return Ok(By::Owner { taken }),
+    let without_owner =
+        async || append_without_owner(node, shard, records).await.map(|()| Route::WithoutOwner);
+    let Some(owner) = owner else { return without_owner().await };
+    let via_owner = pin!(rpc::relay_append(node, owner, shard, records, OWNER_TIMEOUT));
+    let via_owner = match select(via_owner, pin!(until_owner_unresponsive(node, owner))).await {
+        Either::Left((Ok(taken), _)) => return Ok(Route::Owner { taken }),
         // Appended by each daemon, they would hold the store up even more.
         Either::Left((Err(failure @ (Failure::Unsent | Failure::Unanswered)), _)) => {
             return Err(failure.into());
         }
         Either::Left((Err(failure), _)) => {
             node.holders_doubted.notify_one();
-            return by_any().await.map_err(|other| worse(failure.into(), other));
+            return without_owner().await.map_err(|other| combine_errors(failure.into(), other));
         }
-        Either::Right(((), by_owner)) => by_owner,
+        Either::Right(((), via_owner)) => via_owner,
     };
     // The owner may have it appended all the same; that twice is as good as once.
-    match select(by_owner, pin!(by_any())).await {
-        Either::Left((Ok(taken), _)) => Ok(By::Owner { taken }),
-        Either::Right((Ok(by), _)) => Ok(by),
+    match select(via_owner, pin!(without_owner())).await {
+        Either::Left((Ok(taken), _)) => Ok(Route::Owner { taken }),
+        Either::Right((Ok(route), _)) => Ok(route),
         Either::Left((Err(failure), other)) => {
-            other.await.map_err(|other| worse(failure.into(), other))
+            other.await.map_err(|other| combine_errors(failure.into(), other))
         }
         Either::Right((Err(error), other)) => other
             .await
-            .map(|taken| By::Owner { taken })
-            .map_err(|failure| worse(error, failure.into())),
+            .map(|taken| Route::Owner { taken })
+            .map_err(|failure| combine_errors(error, failure.into())),
     }
 }
 
 /// Who has appended a record.
 #[derive(Debug, Clone)]
-enum By {
+enum Route {
     /// The shard's owner, who knows of it; not of records with these keys, whose identifiers other
     /// customers' jobs have.
     Owner { taken: Vec<String> },
     /// This daemon, or one that the store serves.
-    Other,
+    WithoutOwner,
 }
 
-impl By {
+impl Route {
     /// Has the owner hear of records sooner than by the log, if it does not know of them; nobody waits
     /// for that.
-    fn tell_owner(&self, node: &Arc<Node>, shard: u32, records: &[NewRecord]) {
+    fn notify_owner(&self, node: &Arc<Node>, shard: u32, records: &[NewRecord]) {
         if matches!(self, Self::Owner { .. }) {
             return;
         }
@@ -269,21 +275,21 @@
     }
 }
 
-impl By {
+impl Route {
     /// What became of the record with a key.
     fn outcome(&self, key: &str) -> Outcome {
         match self {
             Self::Owner { taken } if taken.iter().any(|other| other == key) => Outcome::Taken,
-            Self::Owner { .. } | Self::Other => Outcome::Kept,
+            Self::Owner { .. } | Self::WithoutOwner => Outcome::Kept,
         }
     }
 }
 
 /// Ends when an owner that was asked to append turns out to be silent; one that answers other questions
 /// waits for the store.
-async fn owner_is_silent(node: &Node, owner: SocketAddr) {
+async fn until_owner_unresponsive(node: &Node, owner: SocketAddr) {
     loop {
-        tokio::time::sleep(OWNER_PATIENCE).await;
+        tokio::time::sleep(OWNER_PROBE_INTERVAL).await;
         if let Err(error) = node.peers.ask(owner, &Question::Life).await {
             log::info!("event=owner_silent peer={owner} error=\"{error}\"");
             return;
@@ -292,21 +298,25 @@
 }
 
 /// What two failed ways say together: what is in doubt by one of them is in doubt.
-fn worse(one: Error, other: Error) -> Error {
+fn combine_errors(one: Error, other: Error) -> Error {
     if one.had_no_effect() { other } else { one }
 }
 
-async fn append_by_any(node: &Arc<Node>, shard: u32, records: &[NewRecord]) -> Result<(), Error> {
+async fn append_without_owner(
+    node: &Arc<Node>,
+    shard: u32,
+    records: &[NewRecord],
+) -> Result<(), Error> {
     let mut error = match node.append(shard, records).await {
         Ok(()) => return Ok(()),
         Err(error) => error,
     };
     let mut peers = node.other_daemons();
-    let (some, _) = peers.partial_shuffle(&mut rand::rng(), RELAYS);
-    for peer in &*some {
+    let (relays, _) = peers.partial_shuffle(&mut rand::rng(), MAX_RELAYS);
+    for peer in &*relays {
         match rpc::relay_append(node, *peer, shard, records, rpc::TIMEOUT).await {
             Ok(_) => return Ok(()),
-            Err(failure) => error = worse(error, failure.into()),
+            Err(failure) => error = combine_errors(error, failure.into()),
         }
     }
     Err(error)
--- a/crates/crosspath_node/src/backoff.rs
+++ b/crates/crosspath_node/src/backoff.rs
@@ -10,49 +10,49 @@
 /// Pauses after failures in a row.
 #[derive(Debug, Clone, Copy)]
 pub struct Backoff {
-    terms: Terms,
+    policy: Policy,
     next: Duration,
 }
 
 /// The first pause and the longest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Terms {
+pub struct Policy {
     /// After the first failure, at most.
-    pub first: Duration,
+    pub initial: Duration,
     /// After any, at most.
-    pub longest: Duration,
+    pub max: Duration,
 }
 
 /// Of what the group's members alone call, and callers wait for: claims, owners' appends, records of shards.
-pub const OWNERS: Terms =
-    Terms { first: Duration::from_millis(100), longest: Duration::from_millis(200) };
+pub const OWNER_CALLS: Policy =
+    Policy { initial: Duration::from_millis(100), max: Duration::from_millis(200) };
 /// Of the configuration and evacuations, which have a bound in which they must be in force.
-pub const OPERATORS: Terms =
-    Terms { first: Duration::from_millis(150), longest: Duration::from_millis(600) };
+pub const CONFIG_READS: Policy =
+    Policy { initial: Duration::from_millis(150), max: Duration::from_millis(600) };
 /// Of lists that another daemon knows too: who owns what, workers, the map.
-pub const LISTS: Terms =
-    Terms { first: Duration::from_millis(150), longest: Duration::from_millis(900) };
+pub const LIST_READS: Policy =
+    Policy { initial: Duration::from_millis(150), max: Duration::from_millis(900) };
 
 /// Share of a pause that chance may take off.
-const SPREAD: f64 = 0.5;
+const JITTER: f64 = 0.5;
 
 impl Backoff {
     /// No call has failed yet.
     #[must_use]
-    pub fn new(terms: Terms) -> Self {
-        Self { terms, next: terms.first }
+    pub fn new(policy: Policy) -> Self {
+        Self { policy, next: policy.initial }
     }
 
     /// A call has succeeded.
     pub fn reset(&mut self) {
-        self.next = self.terms.first;
+        self.next = self.policy.initial;
     }
 
-    /// The pause after a call that failed; `chance` is from 0 to 1.
+    /// The pause after a call that failed; `random` is from 0 to 1.
     #[must_use]
-    pub fn pause(&mut self, chance: f64) -> Duration {
-        let pause = self.next.mul_f64(1.0 - SPREAD * chance);
-        self.next = (self.next * 2).min(self.terms.longest);
+    pub fn pause(&mut self, random: f64) -> Duration {
+        let pause = self.next.mul_f64(1.0 - JITTER * random);
+        self.next = (self.next * 2).min(self.policy.max);
         pause
     }
 }
--- a/crates/crosspath_node/src/claim.rs
+++ b/crates/crosspath_node/src/claim.rs
@@ -7,7 +7,7 @@
 
 /// The first append of a claim has a number of its own out of this many, so that the store does not
 /// take it for a repetition of another daemon's claim with the same epoch.
-const NUMBERS: u64 = 1 << 40;
+const SEQUENCE_RANGE: u64 = 1 << 40;
 
 /// A claim that the store has taken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -23,11 +23,11 @@
 /// Claims a shard with an epoch higher than any before, however long that takes.
 pub async fn claim(store: &dyn Store, shard: Partition, owner: &str) -> Claim {
     let mut epoch = 1;
-    let mut backoff = Backoff::new(backoff::OWNERS);
+    let mut backoff = Backoff::new(backoff::OWNER_CALLS);
     loop {
         let record = record::Record::Claim(record::Claim { owner: owner.into(), epoch });
         let records = [NewRecord { key: record.key(), value: record.value().into() }];
-        let sequence = rand::random_range(1..NUMBERS);
+        let sequence = rand::random_range(1..SEQUENCE_RANGE);
         match store.append(shard, &records, Precondition::Owner { epoch, sequence }).await {
             Ok(appended) => {
                 let token = appended.offset + 1;
@@ -37,7 +37,7 @@
                 );
                 return Claim { epoch, sequence, token };
             }
-            Err(Error::Fenced { epoch: seen }) => epoch = seen.max(epoch) + 1,
+            Err(Error::Fenced { epoch: current }) => epoch = current.max(epoch) + 1,
             // The epoch is another owner's, or that of an own claim without an answer.
             Err(Error::Sequence { .. }) => epoch += 1,
             Err(error) => {
--- a/crates/crosspath_node/src/daemon.rs
+++ b/crates/crosspath_node/src/daemon.rs
@@ -93,7 +93,7 @@
     let member = Member {
         address: settings.peers,
         name: Arc::clone(&settings.name),
-        life: format!("{:x}", clock::wall_ms()).into(),
+        incarnation: format!("{:x}", clock::wall_ms()).into(),
         millicores: settings.millicores,
     }
     .to_string();
--- a/crates/crosspath_node/src/directory.rs
+++ b/crates/crosspath_node/src/directory.rs
@@ -19,7 +19,7 @@
 
 /// The part of the list that is known.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-enum Part {
+enum Coverage {
     /// Nothing.
     #[default]
     Nothing,
@@ -57,10 +57,10 @@
 #[derive(Debug, Default)]
 pub struct Directory {
     pub(crate) entries: BTreeMap<Arc<str>, Entry>,
-    part: Part,
+    coverage: Coverage,
     changes: ChangeLog,
     /// Readings of the whole list.
-    readings: u64,
+    full_reads: u64,
 }
 
 /// A change of one entry, for the owner of the VM's shard.
@@ -84,76 +84,77 @@
     /// Whether all workers are known.
     #[must_use]
     pub fn is_whole(&self) -> bool {
-        self.part == Part::Whole
+        self.coverage == Coverage::Whole
     }
 
     /// Whether all workers of a slice are known.
     #[must_use]
-    pub fn covers(&self, unit: &PoolSlice) -> bool {
-        match &self.part {
-            Part::Nothing => false,
-            Part::Slices(units) => units.contains(unit),
-            Part::Whole => true,
+    pub fn covers(&self, pool_slice: &PoolSlice) -> bool {
+        match &self.coverage {
+            Coverage::Nothing => false,
+            Coverage::Slices(pool_slices) => pool_slices.contains(pool_slice),
+            Coverage::Whole => true,
         }
     }
 
     /// Nothing is followed from now on.
     pub fn clear(&mut self) {
         self.entries.clear();
-        self.part = Part::Nothing;
+        self.coverage = Coverage::Nothing;
     }
 
     /// Takes in records of the list, `whole` if they are all there are, and tells what has changed.
-    pub fn take(
+    pub fn apply_records(
         &mut self,
         records: &[Stored],
         whole: bool,
         read: impl Fn(&Stored) -> Result<Entry, DecodeError>,
     ) -> Vec<Change> {
-        let there = records.iter().map(|record| record.key.as_str());
-        let mut changes = if whole { self.forget_all_but(&there.collect()) } else { Vec::new() };
-        if whole && self.part != Part::Whole {
-            self.part = Part::Whole;
-            self.readings += 1;
+        let present = records.iter().map(|record| record.key.as_str());
+        let mut changes = if whole { self.retain_only(&present.collect()) } else { Vec::new() };
+        if whole && self.coverage != Coverage::Whole {
+            self.coverage = Coverage::Whole;
+            self.full_reads += 1;
         }
         for record in records {
             if record.value.is_empty() {
-                changes.extend(self.forget(&record.key));
+                changes.extend(self.remove(&record.key));
                 continue;
             }
             match read(record) {
-                Ok(entry) => changes.extend(self.note(entry)),
+                Ok(entry) => changes.extend(self.upsert(entry)),
                 Err(error) => {
                     log::warn!("event=worker_entry_unreadable error=\"{error}\"");
-                    changes.extend(self.forget(&record.key));
+                    changes.extend(self.remove(&record.key));
                 }
             }
         }
         changes
     }
 
-    /// What another daemon is told of the workers of `units`, where it was told up to `cursor`; nothing while
+    /// What another daemon is told of the workers of `pool_slices`, where it was told up to `cursor`; nothing while
     /// not all workers are known here.
     #[must_use]
-    pub fn tell(
+    pub fn update_since(
         &self,
         reader: &Arc<str>,
         map: &Map,
-        units: &BTreeSet<PoolSlice>,
+        pool_slices: &BTreeSet<PoolSlice>,
         cursor: Option<&Cursor>,
     ) -> Option<Update> {
         if !self.is_whole() {
             return None;
         }
         let change = self.changes.last();
-        let told = Cursor { reader: Arc::clone(reader), reading: self.readings, change };
-        let is_of = |entry: &&Entry| units.contains(&unit_of(map, &entry.pool, &entry.vm));
+        let current = Cursor { reader: Arc::clone(reader), reading: self.full_reads, change };
+        let is_of =
+            |entry: &&Entry| pool_slices.contains(&pool_slice_of(map, &entry.pool, &entry.vm));
         let known =
-            cursor.filter(|cursor| **cursor == Cursor { change: cursor.change, ..told.clone() });
+            cursor.filter(|cursor| **cursor == Cursor { change: cursor.change, ..current.clone() });
         let since = known.and_then(|cursor| self.changes.since(cursor.change));
         let Some(since) = since else {
             let entries = self.entries.values().filter(is_of).cloned().collect();
-            return Some(Update { cursor: told, whole: true, entries, gone: Vec::new() });
+            return Some(Update { cursor: current, whole: true, entries, gone: Vec::new() });
         };
         let (mut entries, mut gone) = (Vec::new(), Vec::new());
         for id in since {
@@ -162,35 +163,39 @@
                 None => gone.push(Arc::clone(id)),
             }
         }
-        Some(Update { cursor: told, whole: false, entries, gone })
+        Some(Update { cursor: current, whole: false, entries, gone })
     }
 
-    /// Takes in what was told of the workers of `units`, and tells what has changed.
-    pub fn update(&mut self, update: Update, units: &BTreeSet<PoolSlice>) -> Vec<Change> {
+    /// Takes in what was told of the workers of `pool_slices`, and tells what has changed.
+    pub fn apply_update(
+        &mut self,
+        update: Update,
+        pool_slices: &BTreeSet<PoolSlice>,
+    ) -> Vec<Change> {
         let mut changes = Vec::new();
         if update.whole {
-            let there = update.entries.iter().map(|entry| &*entry.id).collect();
-            changes.extend(self.forget_all_but(&there));
-            self.part = Part::Slices(units.clone());
+            let present = update.entries.iter().map(|entry| &*entry.id).collect();
+            changes.extend(self.retain_only(&present));
+            self.coverage = Coverage::Slices(pool_slices.clone());
         }
-        changes.extend(update.gone.iter().filter_map(|id| self.forget(id)));
-        changes.extend(update.entries.into_iter().filter_map(|entry| self.note(entry)));
+        changes.extend(update.gone.iter().filter_map(|id| self.remove(id)));
+        changes.extend(update.entries.into_iter().filter_map(|entry| self.upsert(entry)));
         changes
     }
 
-    fn forget_all_but(&mut self, there: &BTreeSet<&str>) -> Vec<Change> {
-        let gone = self.entries.keys().filter(|id| !there.contains(&***id));
+    fn retain_only(&mut self, present: &BTreeSet<&str>) -> Vec<Change> {
+        let gone = self.entries.keys().filter(|id| !present.contains(&***id));
         let gone: Vec<_> = gone.cloned().collect();
-        gone.iter().filter_map(|id| self.forget(id)).collect()
+        gone.iter().filter_map(|id| self.remove(id)).collect()
     }
 
-    fn forget(&mut self, id: &str) -> Option<Change> {
+    fn remove(&mut self, id: &str) -> Option<Change> {
         let entry = self.entries.remove(id)?;
         self.changes.gone(&entry.id, |id| self.entries.contains_key(id));
         Some(Change::gone(entry))
     }
 
-    fn note(&mut self, entry: Entry) -> Option<Change> {
+    fn upsert(&mut self, entry: Entry) -> Option<Change> {
         let known = self.entries.insert(Arc::clone(&entry.id), entry.clone());
         if known.is_some_and(|known| known.eq_ignoring_clock(&entry)) {
             return None;
@@ -202,6 +207,6 @@
 }
 
 /// The slice of a worker.
-pub(crate) fn unit_of(map: &Map, pool: &Arc<str>, vm: &str) -> PoolSlice {
+pub(crate) fn pool_slice_of(map: &Map, pool: &Arc<str>, vm: &str) -> PoolSlice {
     PoolSlice { pool: Arc::clone(pool), slice: map.slice_of_vm(vm) }
 }
--- a/crates/crosspath_node/src/feed.rs
+++ b/crates/crosspath_node/src/feed.rs
@@ -81,7 +81,7 @@
 /// Follows the operators' records.
 pub(crate) async fn follow_operators(node: Arc<Node>) {
     let mut feed = Feed::new(only_partition(Topic::Operators));
-    let mut backoff = Backoff::new(backoff::OPERATORS);
+    let mut backoff = Backoff::new(backoff::CONFIG_READS);
     loop {
         let whole = !feed.is_started();
         // What is long unheard must be heard at once, not when the next record comes.
@@ -163,5 +163,5 @@
         config.customers.len()
     );
     let table = table.as_deref().cloned().unwrap_or_default();
-    node.set_table(table.after(config));
+    node.set_table(table.with_config(config));
 }
--- a/crates/crosspath_node/src/fleet.rs
+++ b/crates/crosspath_node/src/fleet.rs
@@ -95,7 +95,7 @@
 
 async fn load_history(node: &Node) -> History {
     let mut pages = Pages::default();
-    let mut backoff = Backoff::new(backoff::OWNERS);
+    let mut backoff = Backoff::new(backoff::OWNER_CALLS);
     loop {
         match feed::newest(node, shard_partition(node.fleet_shard()), &mut pages).await {
             Ok((records, _)) => {
--- a/crates/crosspath_node/src/gateway.rs
+++ b/crates/crosspath_node/src/gateway.rs
@@ -16,7 +16,7 @@
 use crate::fresh;
 use crate::metrics::Call;
 use crate::node::Node;
-use crate::pending::{Outcome, Patience};
+use crate::pending::{Deadlines, Outcome};
 use crate::rpc::{self, Answer, Question};
 
 /// Share of a caller's patience that is used for tries to find out how a job is, or whether it is kept.
@@ -75,12 +75,12 @@
         if down || self.node.is_store_silent(now) { SILENT_RETRY_AFTER_S } else { RETRY_AFTER_S }
     }
 
-    fn patience(within: Duration) -> Patience {
+    fn patience(within: Duration) -> Deadlines {
         let now = clock::now();
-        Patience {
-            waits_until: now + within.mul_f64(WAIT_PATIENCE),
-            refused_at: now + within.mul_f64(REFUSAL_PATIENCE),
-            doubted_until: now + within.mul_f64(PATIENCE),
+        Deadlines {
+            send_by: now + within.mul_f64(WAIT_PATIENCE),
+            refuse_at: now + within.mul_f64(REFUSAL_PATIENCE),
+            unknown_at: now + within.mul_f64(PATIENCE),
         }
     }
 
@@ -171,7 +171,7 @@
         let Some((queue, rest)) = table.resolve(host, path) else {
             return refused(Resolved::Unknown);
         };
-        match table.caller(&queue, key) {
+        match table.authorize(&queue, key) {
             Some(caller) => {
                 Resolved::Access(Access { queue, customer: caller.customer(), subpath: rest })
             }
@@ -258,7 +258,7 @@
         };
         let record = Record::Cancelled(job, asker(access));
         // A cancel is worth as many tries as the caller waits for.
-        let patience = Patience { waits_until: until, refused_at: until, doubted_until: until };
+        let patience = Deadlines { send_by: until, refuse_at: until, unknown_at: until };
         let appends =
             shards.iter().map(|shard| appender::append(&self.node, *shard, &record, patience));
         let outcomes = join_all(appends).await;
--- a/crates/crosspath_node/src/handover.rs
+++ b/crates/crosspath_node/src/handover.rs
@@ -100,7 +100,9 @@
 /// Whether a member's life is over, by the word that `seen` lives now.
 #[must_use]
 pub fn has_ended(member: &Member, seen: &Member) -> bool {
-    seen.name == member.name && seen.address == member.address && seen.life != member.life
+    seen.name == member.name
+        && seen.address == member.address
+        && seen.incarnation != member.incarnation
 }
 
 /// Members that are earlier lives of the daemon that lives now as `own`.
--- a/crates/crosspath_node/src/seen.rs
+++ b/crates/crosspath_node/src/inputs.rs
@@ -11,17 +11,17 @@
 
 /// What the scheduler was last told.
 #[derive(Debug)]
-pub(crate) struct Seen {
+pub(crate) struct Inputs {
     /// Version of the configuration.
     version: Option<u64>,
     evacuated: Arc<BTreeSet<Arc<str>>>,
     may_start: bool,
     may_act: bool,
     /// Whether the store is away for all.
-    away: bool,
+    outage: bool,
 }
 
-impl Default for Seen {
+impl Default for Inputs {
     /// As a scheduler begins.
     fn default() -> Self {
         Self {
@@ -29,19 +29,19 @@
             evacuated: Arc::default(),
             may_start: true,
             may_act: true,
-            away: false,
+            outage: false,
         }
     }
 }
 
-impl Seen {
+impl Inputs {
     /// What the scheduler of a slice's shard is to hear at `now`.
     pub(crate) fn changes(
         &mut self,
         node: &Node,
         now: Duration,
         shard: u32,
-        unit: &PoolSlice,
+        pool_slice: &PoolSlice,
     ) -> Vec<Event> {
         let mut events = Vec::new();
         if let Some(table) = node.table()
@@ -60,19 +60,19 @@
         let may_start = node.may_start(now);
         if may_start != self.may_start {
             self.may_start = may_start;
-            log::info!("event=may_start shard={shard} unit={unit} may_start={may_start}");
+            log::info!("event=may_start shard={shard} unit={pool_slice} may_start={may_start}");
             events.push(Event::MayStart(may_start));
         }
         let may_act = node.may_act(now);
         if may_act != self.may_act {
             self.may_act = may_act;
-            log::info!("event=may_act shard={shard} unit={unit} may_act={may_act}");
+            log::info!("event=may_act shard={shard} unit={pool_slice} may_act={may_act}");
             events.push(Event::MayAct(may_act));
         }
-        let away = node.is_store_away(now);
-        if away != self.away {
-            self.away = away;
-            log::info!("event=store_away shard={shard} unit={unit} away={away}");
+        let outage = node.is_store_away(now);
+        if outage != self.outage {
+            self.outage = outage;
+            log::info!("event=store_away shard={shard} unit={pool_slice} away={outage}");
         }
         events
     }
--- a/crates/crosspath_node/src/map.rs
+++ b/crates/crosspath_node/src/map.rs
@@ -32,8 +32,8 @@
 /// VMs of a slice at least.
 const MIN_VMS_PER_SLICE: usize = 32;
 /// Until the map has a pool's shards: a daemon serves nobody before, and hundreds read the map meanwhile.
-const EXTEND_BACKOFF: backoff::Terms =
-    backoff::Terms { first: Duration::from_millis(300), longest: Duration::from_millis(1_000) };
+const EXTEND_BACKOFF: backoff::Policy =
+    backoff::Policy { initial: Duration::from_millis(300), max: Duration::from_millis(1_000) };
 /// Share of brief jobs that a slice gets, against [`LENT_WEIGHT`].
 const FULL_WEIGHT: u64 = 7;
 /// The same where lasting tasks of another pool hold VMs, about three of seven.
@@ -254,7 +254,7 @@
             Err(ExtendError::NotResponsible) => backoff.pause(rand::random()),
             Err(error @ ExtendError::NoShardLeft { .. }) => {
                 log::error!("event=map_not_extended error=\"{error}\"");
-                EXTEND_BACKOFF.longest
+                EXTEND_BACKOFF.max
             }
         };
         tokio::time::sleep(pause).await;
--- a/crates/crosspath_node/src/member.rs
+++ b/crates/crosspath_node/src/member.rs
@@ -15,22 +15,22 @@
     /// Name of its VM.
     pub name: Arc<str>,
     /// Differs between two lives of one daemon.
-    pub life: Arc<str>,
+    pub incarnation: Arc<str>,
     /// Processor time of its VM, in thousandths of a core.
     pub millicores: u32,
 }
 
 /// A text that names no member.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
-#[snafu(display("\"{text}\" is not ADDRESS/NAME/LIFE/MILLICORES"))]
+#[snafu(display("\"{text}\" is not ADDRESS/NAME/INCARNATION/MILLICORES"))]
 pub struct ParseError {
     text: String,
 }
 
 impl fmt::Display for Member {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self { address, name, life, millicores } = self;
-        write!(f, "{address}/{name}/{life}/{millicores}")
+        let Self { address, name, incarnation, millicores } = self;
+        write!(f, "{address}/{name}/{incarnation}/{millicores}")
     }
 }
 
@@ -43,7 +43,7 @@
             Some(Self {
                 address: parts.next()?.parse().ok()?,
                 name: parts.next()?.into(),
-                life: parts.next()?.into(),
+                incarnation: parts.next()?.into(),
                 millicores: parts.next()?.parse().ok()?,
             })
         };
--- a/crates/crosspath_node/src/node.rs
+++ b/crates/crosspath_node/src/node.rs
@@ -19,16 +19,16 @@
 
 use crate::appender::Appenders;
 use crate::clock;
-use crate::contact::Contact;
 use crate::directory::Directory;
 use crate::evacuation::{self, Evacuated, Evacuations};
 use crate::map::{Map, PoolSlice};
 use crate::member::Member;
 use crate::metrics::Metrics;
+use crate::reachability::Reachability;
+use crate::routing::Table;
 use crate::rpc::Peers;
 use crate::settings::Settings;
 use crate::shard::Handle;
-use crate::table::Table;
 
 /// Between looks whether the workers of a slice are known.
 const LIST_PAUSE: Duration = Duration::from_millis(20);
@@ -52,7 +52,7 @@
     /// Whether this daemon stands for ownership.
     pub(crate) candidate: bool,
     /// Calls and answers of the store.
-    pub(crate) contact: Contact,
+    pub(crate) contact: Reachability,
 }
 
 /// What the daemon's tasks share.
@@ -294,7 +294,7 @@
 
     /// A call was sent to the store that is answered at once when the store is well.
     pub(crate) fn store_asked(&self, now: Duration) {
-        lock(&self.standing).contact.asked(now);
+        lock(&self.standing).contact.call_sent(now);
     }
 
     /// Whether the store keeps silent towards this daemon.
@@ -304,15 +304,15 @@
 
     /// The store has answered.
     pub(crate) fn store_answers(&self, now: Duration) {
-        lock(&self.standing).contact.answered(now);
+        lock(&self.standing).contact.call_answered(now);
     }
 
     /// How an append by all ways ended.
     pub(crate) fn append_ended(&self, now: Duration, failure: Option<&Error>) {
         let contact = &mut lock(&self.standing).contact;
         match failure {
-            None => contact.kept(),
-            Some(error) if error.had_no_effect() => contact.refused(now),
+            None => contact.append_stored(),
+            Some(error) if error.had_no_effect() => contact.append_refused(now),
             Some(_) => {}
         }
     }
--- a/crates/crosspath_node/src/order.rs
+++ b/crates/crosspath_node/src/order.rs
@@ -13,8 +13,8 @@
 use crate::node::Node;
 use crate::watch::Watch;
 
-/// A start that could not be sent within this since it was decided is given up.
-const ORDER_PATIENCE: Duration = Duration::from_millis(250);
+/// A start that could not be sent within this since it was decided_at is given up.
+const START_EXPIRY: Duration = Duration::from_millis(250);
 
 /// An order to a worker on its way.
 #[derive(Debug)]
@@ -24,7 +24,7 @@
     events: mpsc::UnboundedSender<Event>,
     terms: Terms,
     token: u64,
-    decided: Duration,
+    decided_at: Duration,
 }
 
 impl Order {
@@ -41,7 +41,7 @@
             events: events.clone(),
             terms,
             token,
-            decided: clock::now(),
+            decided_at: clock::now(),
         }
     }
 
@@ -57,14 +57,14 @@
         let Ok(_permit) = permit else { return Err(Error::NotReached) };
         let now = clock::now();
         // Too late, or by now another daemon may be the owner, or the data centre evacuated: it is not sent.
-        let is_late = now > self.decided + ORDER_PATIENCE;
+        let is_late = now > self.decided_at + START_EXPIRY;
         if is_late || !self.node.may_act(now) || !self.node.may_start(now) {
             return Err(Error::NotReached);
         }
         start.deadline_ms = self.watch.deadline_ms(now, self.terms.initial);
         let answer = self.node.runner.start(&self.watch.target, start).await?;
         if let Some(clock_ms) = answer.clock_ms {
-            self.watch.heard(clock_ms);
+            self.watch.update_clock(clock_ms);
         }
         Ok(answer.value)
     }
@@ -72,19 +72,19 @@
     pub(crate) async fn stop(self, task: TaskId, run: u64) {
         let answer = self.node.runner.stop(&self.watch.target, task, run, self.token).await;
         let worker = Arc::clone(&self.watch.target.id);
-        let answer = answer.map(|clocked| clocked.value);
+        let answer = answer.map(|timestamped| timestamped.value);
         self.events.send(Event::StopAnswered { worker, task, run, answer }).ok();
     }
 
-    pub(crate) async fn look(self) {
+    pub(crate) async fn poll(self) {
         let sent = clock::now();
         let acknowledged = self.watch.acknowledged();
         let wait = Duration::ZERO;
-        let hold = Poll { token: self.token, acknowledged, deadline_ms: None, wait };
+        let poll = Poll { token: self.token, acknowledged, deadline_ms: None, wait };
         let worker = Arc::clone(&self.watch.target.id);
-        match self.node.runner.poll(&self.watch.target, &hold).await {
+        match self.node.runner.poll(&self.watch.target, &poll).await {
             Ok(reply) => {
-                self.watch.heard(reply.clock_ms);
+                self.watch.update_clock(reply.clock_ms);
                 self.events.send(Event::Polled { worker, sent, extended: false, reply }).ok();
             }
             // The worker's own looks tell whether it is silent.
@@ -92,7 +92,7 @@
         }
     }
 
-    pub(crate) async fn pace(self, task: TaskId, run: u64, percent: u32) {
+    pub(crate) async fn throttle(self, task: TaskId, run: u64, percent: u32) {
         let target = &self.watch.target;
         let answer = self.node.runner.throttle(target, task, run, percent, self.token).await;
         if let Err(error) = answer {
--- a/crates/crosspath_node/src/away.rs
+++ b/crates/crosspath_node/src/outage.rs
@@ -7,15 +7,15 @@
 
 /// Silence of the store towards a daemon after which that daemon's word counts. Each calls it about
 /// every 150 ms, and a slow store takes some 250 ms.
-const SILENCE: Duration = Duration::from_millis(600);
+const MIN_SILENCE: Duration = Duration::from_millis(600);
 
 /// What the other daemons say of the store.
 #[derive(Debug, Clone)]
 pub struct Survey {
     /// When they were asked.
-    pub asked: Duration,
+    pub asked_at: Duration,
     /// Until when the group surely counted this daemon in.
-    pub counted_until: Duration,
+    pub member_until: Duration,
     /// Other daemons last known.
     pub others: usize,
     /// How long ago the store answered each that replied.
@@ -27,13 +27,13 @@
     /// a majority, this daemon included, since it would have counted this daemon out, and no daemon
     /// says the contrary.
     #[must_use]
-    pub fn is_away_for_all(&self) -> bool {
+    pub fn shows_outage(&self) -> bool {
         let silent = |ago: &Duration| {
-            *ago >= SILENCE && self.asked.saturating_sub(*ago) <= self.counted_until
+            *ago >= MIN_SILENCE && self.asked_at.saturating_sub(*ago) <= self.member_until
         };
-        let agree = 1 + self.answered_ago.len();
-        self.asked >= self.counted_until
-            && agree * 2 > self.others + 1
+        let respondents = 1 + self.answered_ago.len();
+        self.asked_at >= self.member_until
+            && respondents * 2 > self.others + 1
             && self.answered_ago.iter().all(silent)
     }
 }
--- a/crates/crosspath_node/src/pending.rs
+++ b/crates/crosspath_node/src/pending.rs
@@ -14,13 +14,13 @@
 
 /// For how long a record is tried; times of the process's clock.
 #[derive(Debug, Clone, Copy)]
-pub struct Patience {
+pub struct Deadlines {
     /// While it waits for others to be sent; then it is taken back.
-    pub waits_until: Duration,
+    pub send_by: Duration,
     /// While it surely is not kept: the caller is better off being told so.
-    pub refused_at: Duration,
+    pub refuse_at: Duration,
     /// While it may be kept: repeating it may yet tell.
-    pub doubted_until: Duration,
+    pub unknown_at: Duration,
 }
 
 /// What became of a record.
@@ -43,53 +43,53 @@
 pub struct Pending {
     /// What is to be kept.
     pub record: NewRecord,
-    patience: Patience,
+    deadlines: Deadlines,
     /// Whether an append of it got no answer.
-    doubtful: bool,
-    taken: Arc<AtomicBool>,
+    unconfirmed: bool,
+    decided: Arc<AtomicBool>,
     answer: oneshot::Sender<Outcome>,
 }
 
 /// The caller's side of a record.
 #[derive(Debug)]
 pub struct Waiter {
-    patience: Patience,
-    taken: Arc<AtomicBool>,
+    deadlines: Deadlines,
+    decided: Arc<AtomicBool>,
     outcome: oneshot::Receiver<Outcome>,
 }
 
 /// Both sides of a record.
 #[must_use]
-pub fn pair(record: NewRecord, patience: Patience) -> (Pending, Waiter) {
+pub fn pair(record: NewRecord, deadlines: Deadlines) -> (Pending, Waiter) {
     let (answer, outcome) = oneshot::channel();
-    let taken = Arc::<AtomicBool>::default();
-    let waiter = Waiter { patience, taken: Arc::clone(&taken), outcome };
-    (Pending { record, patience, doubtful: false, taken, answer }, waiter)
+    let decided = Arc::<AtomicBool>::default();
+    let waiter = Waiter { deadlines, decided: Arc::clone(&decided), outcome };
+    (Pending { record, deadlines, unconfirmed: false, decided, answer }, waiter)
 }
 
 impl Pending {
     /// Takes the record for sending, once; false when the caller has taken it back.
     #[must_use]
-    pub fn take(&self) -> bool {
-        !self.taken.swap(true, Ordering::AcqRel)
+    pub fn begin_send(&self) -> bool {
+        !self.decided.swap(true, Ordering::AcqRel)
     }
 
     /// An append of it failed; whether it may be kept all the same.
-    pub fn failed(&mut self, doubtful: bool) {
-        self.doubtful |= doubtful;
+    pub fn attempt_failed(&mut self, unconfirmed: bool) {
+        self.unconfirmed |= unconfirmed;
     }
 
     /// What it ends with when it is not tried again; none while it is worth more tries, of which there
     /// are none for a record that surely is not kept while the store `is_down`.
     #[must_use]
-    pub fn verdict(&self, now: Duration, is_down: bool) -> Option<Outcome> {
-        if is_down && !self.doubtful {
+    pub fn final_outcome(&self, now: Duration, is_down: bool) -> Option<Outcome> {
+        if is_down && !self.unconfirmed {
             return Some(Outcome::NotKept);
         }
-        let (until, outcome) = if self.doubtful {
-            (self.patience.doubted_until, Outcome::Unknown)
+        let (until, outcome) = if self.unconfirmed {
+            (self.deadlines.unknown_at, Outcome::Unknown)
         } else {
-            (self.patience.refused_at, Outcome::NotKept)
+            (self.deadlines.refuse_at, Outcome::NotKept)
         };
         (until <= now).then_some(outcome)
     }
@@ -103,17 +103,17 @@
 impl Waiter {
     /// What becomes of the record, by the end of the caller's patience.
     pub async fn outcome(mut self, now: Duration) -> Outcome {
-        let Patience { waits_until, doubted_until, .. } = self.patience;
-        let first = waits_until.saturating_sub(now);
-        if let Ok(told) = timeout(first, &mut self.outcome).await {
-            return told.unwrap_or(Outcome::Unknown);
+        let Deadlines { send_by, unknown_at, .. } = self.deadlines;
+        let until_send = send_by.saturating_sub(now);
+        if let Ok(outcome) = timeout(until_send, &mut self.outcome).await {
+            return outcome.unwrap_or(Outcome::Unknown);
         }
-        if !self.taken.swap(true, Ordering::AcqRel) {
+        if !self.decided.swap(true, Ordering::AcqRel) {
             return Outcome::Unsent;
         }
-        let rest = doubted_until.saturating_sub(now.max(waits_until));
-        match timeout(rest, self.outcome).await {
-            Ok(told) => told.unwrap_or(Outcome::Unknown),
+        let remaining = unknown_at.saturating_sub(now.max(send_by));
+        match timeout(remaining, self.outcome).await {
+            Ok(outcome) => outcome.unwrap_or(Outcome::Unknown),
             Err(_) => Outcome::Unknown,
         }
     }
--- a/crates/crosspath_node/src/contact.rs
+++ b/crates/crosspath_node/src/reachability.rs
@@ -7,43 +7,43 @@
 
 /// A call without an answer for so long, and no other answer meanwhile, shows a silent store: one that
 /// is slow takes some 420 ms.
-const SILENCE: Duration = Duration::from_millis(800);
+const SILENCE_THRESHOLD: Duration = Duration::from_millis(800);
 
 /// Appends that the store has refused by all ways for so long, with no answer meanwhile, show a store that
 /// is down: a restart of an owner or a queue of appends takes less.
-const REFUSAL: Duration = Duration::from_millis(300);
+const REFUSAL_THRESHOLD: Duration = Duration::from_millis(300);
 
 /// Calls and answers of the store.
 #[derive(Debug, Default, Clone, Copy)]
-pub struct Contact {
+pub struct Reachability {
     /// Since when appends were refused by all ways.
     refused_since: Option<Duration>,
     /// When the oldest call was sent of those since the last answer.
-    waiting_since: Option<Duration>,
+    unanswered_since: Option<Duration>,
     /// When the store last answered.
-    answered: Duration,
+    answered_at: Duration,
 }
 
-impl Contact {
+impl Reachability {
     /// A call was sent that the store answers at once when it is well.
-    pub fn asked(&mut self, now: Duration) {
-        self.waiting_since.get_or_insert(now);
+    pub fn call_sent(&mut self, now: Duration) {
+        self.unanswered_since.get_or_insert(now);
     }
 
     /// The store has answered some call.
-    pub fn answered(&mut self, now: Duration) {
-        self.waiting_since = None;
+    pub fn call_answered(&mut self, now: Duration) {
+        self.unanswered_since = None;
         self.refused_since = None;
-        self.answered = now;
+        self.answered_at = now;
     }
 
     /// The store has refused an append, here and through other daemons.
-    pub fn refused(&mut self, now: Duration) {
+    pub fn append_refused(&mut self, now: Duration) {
         self.refused_since.get_or_insert(now);
     }
 
     /// An append was kept, by whatever way.
-    pub fn kept(&mut self) {
+    pub fn append_stored(&mut self) {
         self.refused_since = None;
     }
 
@@ -51,18 +51,18 @@
     #[must_use]
     pub fn down_for(&self, now: Duration) -> Option<Duration> {
         let refused = now.saturating_sub(self.refused_since?);
-        (refused >= REFUSAL).then_some(refused)
+        (refused >= REFUSAL_THRESHOLD).then_some(refused)
     }
 
     /// When the store last answered.
     #[must_use]
     pub fn last_answer(&self) -> Duration {
-        self.answered
+        self.answered_at
     }
 
     /// Whether the store keeps silent towards this daemon.
     #[must_use]
     pub fn is_silent(&self, now: Duration) -> bool {
-        self.waiting_since.is_some_and(|since| now >= since + SILENCE)
+        self.unanswered_since.is_some_and(|since| now >= since + SILENCE_THRESHOLD)
     }
 }
--- a/crates/crosspath_node/src/table.rs
+++ b/crates/crosspath_node/src/routing.rs
@@ -15,7 +15,7 @@
     /// Queues by host, longest prefix first.
     by_host: HashMap<Arc<str>, Vec<Arc<Queue>>>,
     /// Every pool that a queue ever had in this process's life.
-    pools: BTreeMap<Arc<str>, BTreeSet<Arc<str>>>,
+    known_pools: BTreeMap<Arc<str>, BTreeSet<Arc<str>>>,
 }
 
 /// For whom a call is.
@@ -39,11 +39,11 @@
 
 impl Table {
     /// The table after a configuration, which must be newer.
-    pub(crate) fn after(&self, config: Config) -> Self {
+    pub(crate) fn with_config(&self, config: Config) -> Self {
         let mut by_host: HashMap<Arc<str>, Vec<Arc<Queue>>> = HashMap::new();
-        let mut pools = self.pools.clone();
+        let mut known_pools = self.known_pools.clone();
         for queue in &config.queues {
-            let known = pools.entry(Arc::clone(&queue.name)).or_default();
+            let known = known_pools.entry(Arc::clone(&queue.name)).or_default();
             known.insert(Arc::clone(&queue.pool));
             let host = by_host.entry(Arc::clone(&queue.host)).or_default();
             host.push(Arc::new(queue.clone()));
@@ -51,7 +51,7 @@
         for queues in by_host.values_mut() {
             queues.sort_by_key(|queue| std::cmp::Reverse(queue.prefix.len()));
         }
-        Self { version: config.version, config: Arc::new(config), by_host, pools }
+        Self { version: config.version, config: Arc::new(config), by_host, known_pools }
     }
 
     /// The queue with the longest prefix of `path`, and the rest of the path.
@@ -62,7 +62,7 @@
     }
 
     /// Whether a call with `key` may use a queue, and for which customer; none when it may not.
-    pub(crate) fn caller(&self, queue: &Queue, key: Option<&str>) -> Option<Caller> {
+    pub(crate) fn authorize(&self, queue: &Queue, key: Option<&str>) -> Option<Caller> {
         if queue.open || self.config.customers.is_empty() {
             return Some(Caller::Anyone);
         }
@@ -85,7 +85,7 @@
 
     /// Pools where jobs of the queue may be.
     pub(crate) fn pools_of(&self, queue: &Queue) -> BTreeSet<Arc<str>> {
-        let mut pools = self.pools.get(&queue.name).cloned().unwrap_or_default();
+        let mut pools = self.known_pools.get(&queue.name).cloned().unwrap_or_default();
         pools.insert(Arc::clone(&queue.pool));
         pools
     }
--- a/crates/crosspath_node/src/rpc.rs
+++ b/crates/crosspath_node/src/rpc.rs
@@ -214,7 +214,7 @@
         }
         Question::Waiting { shard, queue } => {
             let owned = node.owned();
-            let waiting = owned.get(&shard).and_then(|handle| handle.waiting(&queue));
+            let waiting = owned.get(&shard).and_then(|handle| handle.queued_jobs(&queue));
             waiting.map_or(Answer::NotOwner, Answer::Waiting)
         }
         Question::Pool { shard, vacate } => {
@@ -234,7 +234,7 @@
         Question::Parts(ask) => {
             node.deal(clock::now(), &ask).map_or(Answer::NotOwner, Answer::Parts)
         }
-        Question::Workers { units, cursor } => workers::tell(node, &units, cursor.as_ref()),
+        Question::Workers { units, cursor } => workers::answer(node, &units, cursor.as_ref()),
         Question::Config { known } => fresh::tell(node, known),
         Question::Life => Answer::Life { member: Arc::clone(&node.member) },
         Question::Store => {
@@ -290,7 +290,7 @@
     let owned = node.owned();
     let Some(handle) = owned.get(&shard) else { return false };
     match Record::decode(key, value) {
-        Ok(record) => handle.tell(record),
+        Ok(record) => handle.notify(record),
         Err(error) => log::warn!("event=record_unreadable error=\"{error}\""),
     }
     true
--- a/crates/crosspath_node/src/shard.rs
+++ b/crates/crosspath_node/src/shard.rs
@@ -20,20 +20,20 @@
 use crate::claim::{Claim, claim};
 use crate::clock;
 use crate::feed;
+use crate::inputs::Inputs;
 use crate::map::PoolSlice;
 use crate::membership::TTL;
 use crate::node::{Node, shard_partition};
 use crate::order::Order;
 use crate::pages::Pages;
 use crate::rpc::{self, Answer, Question};
-use crate::seen::Seen;
-use crate::shard_log::{append_owned, ask_owner_before, asked_for, decode, follow};
+use crate::shard_log::{append_owned, ask_previous_owner, decode, follow, request_event};
 use crate::watch::{self, Watch};
 
 /// What a look extends leases to; see [`Terms::extension`].
-const HOLD: Duration = Duration::from_millis(5_000);
+const LEASE_EXTENSION: Duration = Duration::from_millis(5_000);
 /// What a start asks for; see [`Terms::initial`].
-const START: Duration = Duration::from_millis(2_000);
+const INITIAL_LEASE: Duration = Duration::from_millis(2_000);
 /// A worker's clock may run 2 % slow; as much again for ours.
 const CLOCK_SLACK: f64 = 0.04;
 /// Between decisions when nothing happens.
@@ -43,45 +43,47 @@
 /// Events taken in before the next decision.
 const MAX_EVENTS: usize = 64;
 
-type Shared = Arc<Mutex<Option<Scheduler>>>;
+type SharedScheduler = Arc<Mutex<Option<Scheduler>>>;
 
 /// A shard that this daemon holds.
 #[derive(Debug)]
 pub(crate) struct Handle {
-    unit: Option<PoolSlice>,
+    pool_slice: Option<PoolSlice>,
     events: mpsc::UnboundedSender<Event>,
-    scheduler: Shared,
+    scheduler: SharedScheduler,
     task: JoinHandle<()>,
 }
 
-fn scheduler(shared: &Shared) -> std::sync::MutexGuard<'_, Option<Scheduler>> {
+fn scheduler(shared: &SharedScheduler) -> std::sync::MutexGuard<'_, Option<Scheduler>> {
     shared.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl Handle {
     /// Begins to own a shard: that of a slice of a pool, or the fleet's.
-    pub(crate) fn start(node: &Arc<Node>, number: u32, unit: Option<PoolSlice>) -> Self {
+    pub(crate) fn start(node: &Arc<Node>, number: u32, pool_slice: Option<PoolSlice>) -> Self {
         let (events, receiver) = mpsc::unbounded_channel();
-        let shared = Shared::default();
-        let task = if let Some(unit) = unit.clone() {
+        let shared = SharedScheduler::default();
+        let task = if let Some(pool_slice) = pool_slice.clone() {
             let owner = Owner {
                 node: Arc::clone(node),
                 number,
-                unit,
+                pool_slice,
                 shared: Arc::clone(&shared),
-                before: node.holder(number).filter(|before| *before != node.settings.peers),
+                previous_owner: node
+                    .holder(number)
+                    .filter(|previous| *previous != node.settings.peers),
                 events: events.clone(),
             };
             tokio::spawn(owner.run(receiver))
         } else {
             tokio::spawn(crate::fleet::run(Arc::clone(node)))
         };
-        Self { unit, events, scheduler: shared, task }
+        Self { pool_slice, events, scheduler: shared, task }
     }
 
     /// The slice of a pool; none for the fleet.
-    pub(crate) fn unit(&self) -> Option<&PoolSlice> {
-        self.unit.as_ref()
+    pub(crate) fn pool_slice(&self) -> Option<&PoolSlice> {
+        self.pool_slice.as_ref()
     }
 
     pub(crate) fn send(&self, event: Event) {
@@ -90,17 +92,17 @@
     }
 
     /// Passes on a record that a caller's request has added to the shard.
-    pub(crate) fn tell(&self, record: Record) {
-        if let Some(event) = asked_for(record) {
+    pub(crate) fn notify(&self, record: Record) {
+        if let Some(event) = request_event(record) {
             self.send(event);
         }
     }
 
     /// State of a job that belongs to the asker, none within when there is none; none while taking over.
-    pub(crate) fn state(&self, job: JobId, asker: &Requester) -> Option<Option<State>> {
+    pub(crate) fn state(&self, job: JobId, requester: &Requester) -> Option<Option<State>> {
         let shared = scheduler(&self.scheduler);
         let scheduler = shared.as_ref()?;
-        let own = scheduler.accepted(job).is_some_and(|accepted| accepted.belongs_to(asker));
+        let own = scheduler.accepted(job).is_some_and(|accepted| accepted.belongs_to(requester));
         Some(scheduler.state(job).filter(|_| own))
     }
 
@@ -112,7 +114,7 @@
         known.is_some_and(|known| !known.belongs_to(&accepted.requester()))
     }
 
-    pub(crate) fn waiting(&self, queue: &str) -> Option<u64> {
+    pub(crate) fn queued_jobs(&self, queue: &str) -> Option<u64> {
         scheduler(&self.scheduler).as_ref().map(|scheduler| scheduler.queued_jobs(queue))
     }
 
@@ -130,7 +132,7 @@
         Some(scheduler.report(now))
     }
 
-    pub(crate) fn is_over(&self) -> bool {
+    pub(crate) fn has_ended(&self) -> bool {
         self.task.is_finished()
     }
 
@@ -152,16 +154,16 @@
 struct Owner {
     node: Arc<Node>,
     number: u32,
-    unit: PoolSlice,
-    shared: Shared,
+    pool_slice: PoolSlice,
+    shared: SharedScheduler,
     /// Address of the daemon that held the shard before, as far as is known.
-    before: Option<SocketAddr>,
+    previous_owner: Option<SocketAddr>,
     events: mpsc::UnboundedSender<Event>,
 }
 
 /// What the owner keeps beside its scheduler.
 #[derive(Debug)]
-struct Duties {
+struct Ownership {
     claimed: Claim,
     sequence: u64,
     terms: Terms,
@@ -170,7 +172,7 @@
     commit: Option<AbortOnDrop>,
 }
 
-impl Drop for Duties {
+impl Drop for Ownership {
     fn drop(&mut self) {
         for watch in self.watches.values() {
             watch.end();
@@ -182,11 +184,11 @@
     async fn run(self, mut receiver: mpsc::UnboundedReceiver<Event>) {
         let store = &*self.node.store;
         let claimed = claim(store, shard_partition(self.number), &self.node.member).await;
-        self.node.workers_known(&self.unit).await;
-        let (records, end) = self.newest().await;
+        self.node.workers_known(&self.pool_slice).await;
+        let (records, end) = self.read_latest().await;
         let terms = Terms {
-            extension: HOLD.min(self.node.settings.longest_hold),
-            initial: START,
+            extension: LEASE_EXTENSION.min(self.node.settings.longest_hold),
+            initial: INITIAL_LEASE,
             clock_slack: CLOCK_SLACK,
         };
         let settings = Settings {
@@ -196,14 +198,14 @@
             membership_ttl: TTL,
         };
         let now = clock::now();
-        let mut taken = Scheduler::new(settings, claimed.epoch, now);
-        taken.take_over(now, clock::wall_ms(), decode(&records), self.workers());
-        *scheduler(&self.shared) = Some(taken);
-        let _asking = AbortOnDrop(tokio::spawn(ask_owner_before(
+        let mut scheduler_state = Scheduler::new(settings, claimed.epoch, now);
+        scheduler_state.take_over(now, clock::wall_ms(), decode(&records), self.workers());
+        *scheduler(&self.shared) = Some(scheduler_state);
+        let _handover_request = AbortOnDrop(tokio::spawn(ask_previous_owner(
             Arc::clone(&self.node),
             self.number,
             claimed.epoch - 1,
-            self.before,
+            self.previous_owner,
             self.events.clone(),
         )));
         let follower = tokio::spawn(follow(
@@ -214,18 +216,19 @@
             self.events.clone(),
         ));
         let sequence = claimed.sequence;
-        let duties = Duties { claimed, sequence, terms, watches: HashMap::new(), commit: None };
+        let ownership =
+            Ownership { claimed, sequence, terms, watches: HashMap::new(), commit: None };
         let _follower = AbortOnDrop(follower);
-        self.serve(duties, &mut receiver).await;
+        self.serve(ownership, &mut receiver).await;
         if let Some(ended) = scheduler(&self.shared).take() {
             self.node.note_left(self.number, ended.handover(clock::now()));
         }
-        log::info!("event=shard_left shard={} unit={}", self.number, self.unit);
+        log::info!("event=shard_left shard={} unit={}", self.number, self.pool_slice);
     }
 
-    async fn newest(&self) -> (Vec<Stored>, u64) {
+    async fn read_latest(&self) -> (Vec<Stored>, u64) {
         let mut pages = Pages::default();
-        let mut backoff = Backoff::new(backoff::OWNERS);
+        let mut backoff = Backoff::new(backoff::OWNER_CALLS);
         loop {
             match feed::newest(&self.node, shard_partition(self.number), &mut pages).await {
                 Ok(found) => return found,
@@ -233,7 +236,7 @@
                     log::info!(
                         "event=shard_unread shard={} unit={} error=\"{error}\"",
                         self.number,
-                        self.unit
+                        self.pool_slice
                     );
                     tokio::time::sleep(backoff.pause(rand::random())).await;
                 }
@@ -246,20 +249,21 @@
         let map = self.node.map();
         let directory = self.node.directory();
         let own = directory.entries.values().filter(|entry| {
-            entry.pool == self.unit.pool && map.slice_of_vm(&entry.vm) == self.unit.slice
+            entry.pool == self.pool_slice.pool
+                && map.slice_of_vm(&entry.vm) == self.pool_slice.slice
         });
         own.cloned().collect()
     }
 
-    async fn serve(&self, mut duties: Duties, receiver: &mut mpsc::UnboundedReceiver<Event>) {
+    async fn serve(&self, mut ownership: Ownership, receiver: &mut mpsc::UnboundedReceiver<Event>) {
         let mut events = Vec::new();
-        let mut seen = Seen::default();
+        let mut inputs = Inputs::default();
         let mut gathers = false;
         let mut ticked = Duration::ZERO;
         loop {
             let pause = if gathers { GATHER_TICK } else { TICK };
-            let heard = tokio::time::timeout(pause, receiver.recv_many(&mut events, MAX_EVENTS));
-            if matches!(heard.await, Ok(0)) {
+            let received = tokio::time::timeout(pause, receiver.recv_many(&mut events, MAX_EVENTS));
+            if matches!(received.await, Ok(0)) {
                 return;
             }
             let now = clock::now();
@@ -267,10 +271,10 @@
                 ticked = now;
                 events.push(Event::Tick);
             }
-            events.extend(seen.changes(&self.node, now, self.number, &self.unit));
+            events.extend(inputs.changes(&self.node, now, self.number, &self.pool_slice));
             let Some(actions) = self.decide(now, &mut events, &mut gathers) else { return };
             for action in actions {
-                self.carry_out(&mut duties, action);
+                self.execute(&mut ownership, action);
             }
         }
     }
@@ -289,7 +293,7 @@
             scheduler.handle(now, wall_ms, event);
         }
         if scheduler.is_superseded() {
-            log::info!("event=shard_superseded shard={} unit={}", self.number, self.unit);
+            log::info!("event=shard_superseded shard={} unit={}", self.number, self.pool_slice);
             return None;
         }
         let actions = scheduler.decide(now, wall_ms);
@@ -298,30 +302,30 @@
     }
 
     /// An order to a worker under the shard's token.
-    fn order(&self, watch: &Arc<Watch>, duties: &Duties) -> Order {
-        Order::new(&self.node, watch, &self.events, duties.terms, duties.claimed.token)
+    fn order(&self, watch: &Arc<Watch>, ownership: &Ownership) -> Order {
+        Order::new(&self.node, watch, &self.events, ownership.terms, ownership.claimed.token)
     }
 
-    fn carry_out(&self, duties: &mut Duties, action: Action) {
+    fn execute(&self, ownership: &mut Ownership, action: Action) {
         match action {
             Action::Start { worker, task, run, text, checkpoint, ticket } => {
-                let Some(watch) = duties.watches.get(&worker.id) else { return };
-                let token = duties.claimed.token;
+                let Some(watch) = ownership.watches.get(&worker.id) else { return };
+                let token = ownership.claimed.token;
                 let start = Start { task, run, text, deadline_ms: 0, token, checkpoint, ticket };
-                let order = self.order(watch, duties);
+                let order = self.order(watch, ownership);
                 drop(tokio::spawn(order.start(start)));
             }
             Action::Stop { worker, task, run } => {
-                let Some(watch) = duties.watches.get(&worker.id) else { return };
-                drop(tokio::spawn(self.order(watch, duties).stop(task, run)));
+                let Some(watch) = ownership.watches.get(&worker.id) else { return };
+                drop(tokio::spawn(self.order(watch, ownership).stop(task, run)));
             }
             Action::Poll { worker } => {
-                let Some(watch) = duties.watches.get(&worker.id) else { return };
-                drop(tokio::spawn(self.order(watch, duties).look()));
+                let Some(watch) = ownership.watches.get(&worker.id) else { return };
+                drop(tokio::spawn(self.order(watch, ownership).poll()));
             }
             Action::Throttle { worker, task, run, percent } => {
-                let Some(watch) = duties.watches.get(&worker.id) else { return };
-                drop(tokio::spawn(self.order(watch, duties).pace(task, run, percent)));
+                let Some(watch) = ownership.watches.get(&worker.id) else { return };
+                drop(tokio::spawn(self.order(watch, ownership).throttle(task, run, percent)));
             }
             Action::RequestAdvice { step, workers } => {
                 let (node, events) = (Arc::clone(&self.node), self.events.clone());
@@ -334,16 +338,18 @@
                 }));
             }
             Action::Commit { records } => {
-                duties.sequence += 1;
-                let guard =
-                    Precondition::Owner { epoch: duties.claimed.epoch, sequence: duties.sequence };
-                let keyed =
+                ownership.sequence += 1;
+                let precondition = Precondition::Owner {
+                    epoch: ownership.claimed.epoch,
+                    sequence: ownership.sequence,
+                };
+                let new_record =
                     |record: &Record| NewRecord { key: record.key(), value: record.value().into() };
-                let records: Vec<_> = records.iter().map(keyed).collect();
+                let records: Vec<_> = records.iter().map(new_record).collect();
                 let (node, events) = (Arc::clone(&self.node), self.events.clone());
                 let partition = shard_partition(self.number);
-                duties.commit = Some(AbortOnDrop(tokio::spawn(async move {
-                    let kept = append_owned(&node, partition, &records, guard).await;
+                ownership.commit = Some(AbortOnDrop(tokio::spawn(async move {
+                    let kept = append_owned(&node, partition, &records, precondition).await;
                     events.send(if kept { Event::Committed } else { Event::Superseded }).ok();
                 })));
             }
@@ -360,25 +366,25 @@
                 }));
             }
             Action::Acknowledge { worker, number } => {
-                if let Some(watch) = duties.watches.get(&worker) {
+                if let Some(watch) = ownership.watches.get(&worker) {
                     watch.acknowledge(number);
                 }
             }
             Action::StartPolling { worker, clock_ms } => {
                 let watch = Arc::new(Watch::new(worker.clone(), clock_ms));
-                let token = duties.claimed.token;
+                let token = ownership.claimed.token;
                 let run = watch::run(
                     Arc::clone(&self.node),
                     Arc::clone(&watch),
-                    duties.terms,
+                    ownership.terms,
                     token,
                     self.events.clone(),
                 );
                 drop(tokio::spawn(run));
-                duties.watches.insert(worker.id, watch);
+                ownership.watches.insert(worker.id, watch);
             }
             Action::StopPolling { worker } => {
-                if let Some(watch) = duties.watches.remove(&worker.id) {
+                if let Some(watch) = ownership.watches.remove(&worker.id) {
                     watch.end();
                 }
                 self.node.runner.forget(&worker);
--- a/crates/crosspath_node/src/shard_log.rs
+++ b/crates/crosspath_node/src/shard_log.rs
@@ -16,13 +16,13 @@
 use crate::rpc::{Answer, Question};
 
 /// For which a read of the shard waits for a record.
-const LONG_WAIT: Duration = Duration::from_millis(1_500);
+const POLL_WAIT: Duration = Duration::from_millis(1_500);
 /// After records were read: what comes meanwhile, the own commits too, is read by one call. Daemons
 /// that append for callers tell the owner so, and this is only for when they cannot.
-const FOLLOW_PAUSE: Duration = Duration::from_millis(200);
+const FOLLOW_INTERVAL: Duration = Duration::from_millis(200);
 
 /// What a record means that anyone may write; none for those of owners.
-pub(crate) fn asked_for(record: Record) -> Option<Event> {
+pub(crate) fn request_event(record: Record) -> Option<Event> {
     match record {
         Record::Accepted(job, accepted) => Some(Event::Accepted(job, accepted)),
         Record::Cancelled(job, by) => Some(Event::Cancelled(job, by)),
@@ -43,11 +43,11 @@
     node: &Node,
     partition: Partition,
     records: &[NewRecord],
-    guard: Precondition,
+    precondition: Precondition,
 ) -> bool {
-    let mut backoff = Backoff::new(backoff::OWNERS);
+    let mut backoff = Backoff::new(backoff::OWNER_CALLS);
     loop {
-        match node.store.append(partition, records, guard).await {
+        match node.store.append(partition, records, precondition).await {
             Ok(_) => {
                 node.store_answers(clock::now());
                 return true;
@@ -73,9 +73,9 @@
     events: mpsc::UnboundedSender<Event>,
 ) {
     let mut feed = Feed::from(shard_partition(number), from);
-    let mut backoff = Backoff::new(backoff::OWNERS);
+    let mut backoff = Backoff::new(backoff::OWNER_CALLS);
     loop {
-        let records = match feed.read(&node, LONG_WAIT).await {
+        let records = match feed.read(&node, POLL_WAIT).await {
             Ok(records) => {
                 backoff.reset();
                 records
@@ -86,7 +86,7 @@
                 continue;
             }
         };
-        let heard = !records.is_empty();
+        let received_any = !records.is_empty();
         for record in decode(&records) {
             if let Record::Claim(claim) = &record
                 && claim.epoch > epoch
@@ -95,36 +95,38 @@
                 events.send(Event::Superseded).ok();
                 return;
             }
-            let Some(event) = asked_for(record) else { continue };
+            let Some(event) = request_event(record) else { continue };
             if events.send(event).is_err() {
                 return;
             }
         }
-        if heard {
-            tokio::time::sleep(FOLLOW_PAUSE).await;
+        if received_any {
+            tokio::time::sleep(FOLLOW_INTERVAL).await;
         }
     }
 }
 
 /// Asks the owner before, who may live on, what it knew of leases as owner in `epoch`.
-pub(crate) async fn ask_owner_before(
+pub(crate) async fn ask_previous_owner(
     node: Arc<Node>,
     shard: u32,
     epoch: u64,
-    before: Option<SocketAddr>,
+    previous_owner: Option<SocketAddr>,
     events: mpsc::UnboundedSender<Event>,
 ) {
-    let Some(before) = before else { return };
-    match node.peers.ask(before, &Question::Left { shard, epoch }).await {
+    let Some(previous_owner) = previous_owner else { return };
+    match node.peers.ask(previous_owner, &Question::Left { shard, epoch }).await {
         Ok(Answer::Left(leases)) => {
             let now = clock::now();
-            let over = |(worker, left_ms)| (worker, now + Duration::from_millis(left_ms));
+            let expiry = |(worker, left_ms)| (worker, now + Duration::from_millis(left_ms));
             // An owner that has ended needs no events.
-            events.send(Event::LeasesHandedOver(leases.into_iter().map(over).collect())).ok();
+            events.send(Event::LeasesHandedOver(leases.into_iter().map(expiry).collect())).ok();
         }
-        Ok(_) => log::info!("event=owner_before_left_nothing shard={shard} peer={before}"),
+        Ok(_) => log::info!("event=owner_before_left_nothing shard={shard} peer={previous_owner}"),
         Err(error) => {
-            log::info!("event=owner_before_silent shard={shard} peer={before} error=\"{error}\"");
+            log::info!(
+                "event=owner_before_silent shard={shard} peer={previous_owner} error=\"{error}\""
+            );
         }
     }
 }
--- a/crates/crosspath_node/src/watch.rs
+++ b/crates/crosspath_node/src/watch.rs
@@ -13,15 +13,15 @@
 use crate::node::Node;
 
 /// For which a worker waits for an end. Leases are extended this often.
-const WAIT: Duration = Duration::from_millis(1_000);
+const POLL_WAIT: Duration = Duration::from_millis(1_000);
 /// For which the next look waits for ends to be kept, so that it can acknowledge them.
-const KEEP_PATIENCE: Duration = Duration::from_millis(120);
+const STORE_TIMEOUT: Duration = Duration::from_millis(120);
 /// Between looks while ends cannot be kept: the worker would answer at once, over and over.
-const UNKEPT_PAUSE: Duration = Duration::from_millis(200);
+const UNSTORED_PAUSE: Duration = Duration::from_millis(200);
 /// After a look that failed.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
 /// Orders to one worker at a time: each has a connection of its own.
-const ORDERS: usize = 2;
+const MAX_ORDERS: usize = 2;
 
 /// What the looks and the shard's owner share of one worker.
 #[derive(Debug)]
@@ -31,8 +31,8 @@
     pub(crate) orders: Semaphore,
     clock: Mutex<Clock>,
     acknowledged: AtomicU64,
-    kept: Notify,
-    over: AtomicBool,
+    stored: Notify,
+    ended: AtomicBool,
 }
 
 impl Watch {
@@ -40,11 +40,11 @@
         let clock = Clock { reading_ms: clock_ms, received: clock::now() };
         Self {
             target,
-            orders: Semaphore::new(ORDERS),
+            orders: Semaphore::new(MAX_ORDERS),
             clock: Mutex::new(clock),
             acknowledged: AtomicU64::new(0),
-            kept: Notify::new(),
-            over: AtomicBool::new(false),
+            stored: Notify::new(),
+            ended: AtomicBool::new(false),
         }
     }
 
@@ -53,7 +53,7 @@
     }
 
     /// Takes in what the worker's clock showed.
-    pub(crate) fn heard(&self, reading_ms: u64) {
+    pub(crate) fn update_clock(&self, reading_ms: u64) {
         let clock = Clock { reading_ms, received: clock::now() };
         *self.clock.lock().unwrap_or_else(PoisonError::into_inner) = clock;
     }
@@ -61,7 +61,7 @@
     /// Ends up to a number are kept.
     pub(crate) fn acknowledge(&self, number: u64) {
         self.acknowledged.fetch_max(number, Ordering::Relaxed);
-        self.kept.notify_one();
+        self.stored.notify_one();
     }
 
     /// Number up to which ends are kept.
@@ -70,12 +70,12 @@
     }
 
     pub(crate) fn end(&self) {
-        self.over.store(true, Ordering::Relaxed);
-        self.kept.notify_one();
+        self.ended.store(true, Ordering::Relaxed);
+        self.stored.notify_one();
     }
 
-    fn is_over(&self) -> bool {
-        self.over.load(Ordering::Relaxed)
+    fn has_ended(&self) -> bool {
+        self.ended.load(Ordering::Relaxed)
     }
 }
 
@@ -87,40 +87,44 @@
     token: u64,
     events: mpsc::UnboundedSender<Event>,
 ) {
-    let mut failing = false;
+    let mut is_failing = false;
     // The first look tells at once what runs there.
-    let mut first = true;
-    let mut unkept = 0;
-    while !watch.is_over() {
+    let mut is_first = true;
+    let mut last_ended = 0;
+    while !watch.has_ended() {
         let sent = clock::now();
         let acknowledged = watch.acknowledged();
         // A worker that did not answer may still hear: its leases must be able to run out.
-        let extended = !failing && node.may_act(sent);
-        let wait = if first || failing || unkept > acknowledged { Duration::ZERO } else { WAIT };
+        let extended = !is_failing && node.may_act(sent);
+        let wait = if is_first || is_failing || last_ended > acknowledged {
+            Duration::ZERO
+        } else {
+            POLL_WAIT
+        };
         let deadline_ms = extended.then(|| watch.deadline_ms(sent, terms.extension));
-        let hold = Poll { token, acknowledged, deadline_ms, wait };
-        let answer = node.runner.poll(&watch.target, &hold).await;
-        if watch.is_over() {
+        let poll = Poll { token, acknowledged, deadline_ms, wait };
+        let answer = node.runner.poll(&watch.target, &poll).await;
+        if watch.has_ended() {
             return;
         }
         let worker = Arc::clone(&watch.target.id);
         match answer {
             Ok(reply) => {
-                failing = false;
-                first = false;
-                watch.heard(reply.clock_ms);
-                unkept = reply.ended.iter().map(|ended| ended.number).max().unwrap_or(0);
+                is_failing = false;
+                is_first = false;
+                watch.update_clock(reply.clock_ms);
+                last_ended = reply.ended.iter().map(|ended| ended.number).max().unwrap_or(0);
                 if events.send(Event::Polled { worker, sent, extended, reply }).is_err() {
                     return;
                 }
-                await_kept(&watch, unkept).await;
+                wait_until_stored(&watch, last_ended).await;
             }
             Err(error) => {
-                failing = true;
+                is_failing = true;
                 if events.send(Event::PollFailed { worker, sent, extended, error }).is_err() {
                     return;
                 }
-                let pause = if error == Error::Fenced { WAIT } else { RETRY_PAUSE };
+                let pause = if error == Error::Fenced { POLL_WAIT } else { RETRY_PAUSE };
                 tokio::time::sleep(pause).await;
             }
         }
@@ -128,14 +132,14 @@
 }
 
 /// Waits until ends up to `number` are kept, but not for long.
-async fn await_kept(watch: &Watch, number: u64) {
-    let is_kept = || watch.acknowledged() >= number || watch.is_over();
-    let kept = async {
-        while !is_kept() {
-            watch.kept.notified().await;
+async fn wait_until_stored(watch: &Watch, number: u64) {
+    let is_stored = || watch.acknowledged() >= number || watch.has_ended();
+    let stored = async {
+        while !is_stored() {
+            watch.stored.notified().await;
         }
     };
-    if tokio::time::timeout(KEEP_PATIENCE, kept).await.is_err() {
-        tokio::time::sleep(UNKEPT_PAUSE).await;
+    if tokio::time::timeout(STORE_TIMEOUT, stored).await.is_err() {
+        tokio::time::sleep(UNSTORED_PAUSE).await;
     }
 }
--- a/crates/crosspath_node/src/workers.rs
+++ b/crates/crosspath_node/src/workers.rs
@@ -13,7 +13,7 @@
 
 use crate::backoff::{self, Backoff};
 use crate::clock;
-use crate::directory::{Change, Cursor, Update, unit_of};
+use crate::directory::{Change, Cursor, Update, pool_slice_of};
 use crate::feed::Feed;
 use crate::map::PoolSlice;
 use crate::node::{Node, only_partition};
@@ -22,16 +22,16 @@
 
 /// Between reads of the list by its reader: some dozens of workers write at a time, and reading each record as
 /// it comes would cost a call for each.
-const READ_PAUSE: Duration = Duration::from_millis(100);
+const READ_INTERVAL: Duration = Duration::from_millis(100);
 /// Between questions to a reader.
-const ASK_PAUSE: Duration = Duration::from_millis(250);
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 /// The same while an owned slice has work and no worker with room: VMs are on their way to it, and wait for this
 /// once they are there.
-const SHORT_ASK_PAUSE: Duration = Duration::from_millis(60);
+const SHORT_POLL_INTERVAL: Duration = Duration::from_millis(60);
 /// Silence of the readers after which an owner reads the list by itself: a takeover of the fleet takes less.
-const READER_PATIENCE: Duration = Duration::from_millis(2_500);
+const READER_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Between questions to readers meanwhile.
-const ASK_AGAIN: Duration = Duration::from_millis(1_000);
+const READER_RETRY_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// Where a daemon hears of workers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -57,13 +57,13 @@
 }
 
 /// Where to hear of workers at `now`, for a daemon that owns `shards` shards, one whose owner reads the list among
-/// them or not, and heard from a reader at `heard`, or has needed one since then.
+/// them or not, and heard from a reader at `last_answer`, or has needed one since then.
 #[must_use]
-pub fn source(shards: usize, is_reader: bool, heard: Duration, now: Duration) -> Source {
+pub fn source(shards: usize, is_reader: bool, last_answer: Duration, now: Duration) -> Source {
     match (shards, is_reader) {
         (0, _) => Source::Nobody,
         (_, true) => Source::Store,
-        (_, false) if now > heard + READER_PATIENCE => Source::Store,
+        (_, false) if now > last_answer + READER_TIMEOUT => Source::Store,
         (_, false) => Source::Reader,
     }
 }
@@ -72,17 +72,17 @@
 pub(crate) async fn follow(node: Arc<Node>) {
     let mut follower = Follower {
         feed: Feed::new(only_partition(Topic::Workers)),
-        backoff: Backoff::new(backoff::LISTS),
+        backoff: Backoff::new(backoff::LIST_READS),
         cursor: None,
-        units: BTreeSet::new(),
-        heard: clock::now(),
-        asked: Duration::ZERO,
-        preferred: 0,
-        before: Source::Nobody,
+        pool_slices: BTreeSet::new(),
+        last_answer: clock::now(),
+        polled_at: Duration::ZERO,
+        preferred_reader: 0,
+        previous_source: Source::Nobody,
         node,
     };
     loop {
-        follower.round().await;
+        follower.step().await;
     }
 }
 
@@ -94,55 +94,59 @@
     /// How far the reader has told.
     cursor: Option<Cursor>,
     /// Slices of which the reader tells.
-    units: BTreeSet<PoolSlice>,
+    pool_slices: BTreeSet<PoolSlice>,
     /// When a reader last answered, or since when one is needed.
-    heard: Duration,
+    last_answer: Duration,
     /// When one was last asked.
-    asked: Duration,
+    polled_at: Duration,
     /// Which of the reader shards' owners last answered.
-    preferred: usize,
-    /// Where it heard of workers in the round before.
-    before: Source,
+    preferred_reader: usize,
+    /// Where it heard of workers in the step before.
+    previous_source: Source,
 }
 
 impl Follower {
-    async fn round(&mut self) {
+    async fn step(&mut self) {
         let shards = self.node.owned().len();
         let is_reader = is_reader(&self.node);
         let now = clock::now();
-        if self.before == Source::Nobody || is_reader {
-            self.heard = now;
+        if self.previous_source == Source::Nobody || is_reader {
+            self.last_answer = now;
         }
-        let source = source(shards, is_reader, self.heard, now);
-        if source != self.before {
+        let source = source(shards, is_reader, self.last_answer, now);
+        if source != self.previous_source {
             log::info!("event=workers_source source={source:?} shards={shards}");
-            self.before = source;
+            self.previous_source = source;
             self.feed = Feed::new(only_partition(Topic::Workers));
             self.cursor = None;
         }
         match source {
             Source::Nobody => {
                 self.node.directory().clear();
-                let dealt = self.node.ownership_changed.notified();
-                drop(tokio::time::timeout(ASK_PAUSE, dealt).await);
+                let changed = self.node.ownership_changed.notified();
+                drop(tokio::time::timeout(POLL_INTERVAL, changed).await);
             }
             Source::Store => {
                 self.read().await;
-                if !is_reader && now >= self.asked + ASK_AGAIN {
-                    self.ask().await;
+                if !is_reader && now >= self.polled_at + READER_RETRY_INTERVAL {
+                    self.poll_reader().await;
                 }
             }
             Source::Reader => {
-                let pause = if self.ask().await { self.ask_pause() } else { SHORT_ASK_PAUSE };
-                let dealt = self.node.ownership_changed.notified();
-                drop(tokio::time::timeout(pause, dealt).await);
+                let pause = if self.poll_reader().await {
+                    self.poll_interval()
+                } else {
+                    SHORT_POLL_INTERVAL
+                };
+                let changed = self.node.ownership_changed.notified();
+                drop(tokio::time::timeout(pause, changed).await);
             }
         }
     }
 
-    fn ask_pause(&self) -> Duration {
-        let lacks = self.node.owned().values().any(Handle::lacks_workers);
-        if lacks { SHORT_ASK_PAUSE } else { ASK_PAUSE }
+    fn poll_interval(&self) -> Duration {
+        let lacks_workers = self.node.owned().values().any(Handle::lacks_workers);
+        if lacks_workers { SHORT_POLL_INTERVAL } else { POLL_INTERVAL }
     }
 
     /// Reads what is new in the list.
@@ -153,9 +157,9 @@
                 self.backoff.reset();
                 let whole = whole && self.feed.is_started();
                 let read = |record: &_| self.node.store.decode_worker(record);
-                let changes = self.node.directory().take(&records, whole, read);
-                pass_on(&self.node, changes);
-                tokio::time::sleep(READ_PAUSE).await;
+                let changes = self.node.directory().apply_records(&records, whole, read);
+                forward_changes(&self.node, changes);
+                tokio::time::sleep(READ_INTERVAL).await;
             }
             Err(error) => {
                 let pause = self.backoff.pause(rand::random());
@@ -166,56 +170,61 @@
     }
 
     /// Asks a reader for what is new, and the other one when that has no answer; whether one had.
-    async fn ask(&mut self) -> bool {
-        let units = self.owned_units();
-        if units != self.units {
+    async fn poll_reader(&mut self) -> bool {
+        let pool_slices = self.owned_pool_slices();
+        if pool_slices != self.pool_slices {
             self.cursor = None;
         }
-        self.asked = clock::now();
+        self.polled_at = clock::now();
         let shards = reader_shards(&self.node);
         for _ in 0..shards.len() {
-            let question = Question::Workers { units: units.clone(), cursor: self.cursor.clone() };
-            let answer = rpc::ask_holder(&self.node, shards[self.preferred], question).await;
+            let question =
+                Question::Workers { units: pool_slices.clone(), cursor: self.cursor.clone() };
+            let answer = rpc::ask_holder(&self.node, shards[self.preferred_reader], question).await;
             if let Some(Answer::Workers(update)) = answer {
-                self.told(update, units);
+                self.apply(update, pool_slices);
                 return true;
             }
-            self.preferred = (self.preferred + 1) % shards.len();
+            self.preferred_reader = (self.preferred_reader + 1) % shards.len();
         }
         false
     }
 
-    /// Takes in what a reader has told of the workers of `units`.
-    fn told(&mut self, update: Update, units: BTreeSet<PoolSlice>) {
-        self.heard = clock::now();
+    /// Takes in what a reader has told of the workers of `pool_slices`.
+    fn apply(&mut self, update: Update, pool_slices: BTreeSet<PoolSlice>) {
+        self.last_answer = clock::now();
         self.cursor = Some(update.cursor.clone());
-        let changes = self.node.directory().update(update, &units);
-        self.units = units;
-        pass_on(&self.node, changes);
+        let changes = self.node.directory().apply_update(update, &pool_slices);
+        self.pool_slices = pool_slices;
+        forward_changes(&self.node, changes);
     }
 
-    fn owned_units(&self) -> BTreeSet<PoolSlice> {
-        self.node.owned().values().filter_map(Handle::unit).cloned().collect()
+    fn owned_pool_slices(&self) -> BTreeSet<PoolSlice> {
+        self.node.owned().values().filter_map(Handle::pool_slice).cloned().collect()
     }
 }
 
 /// Tells owners of slices here of changes.
-fn pass_on(node: &Node, changes: Vec<Change>) {
+fn forward_changes(node: &Node, changes: Vec<Change>) {
     let owned = node.owned();
     let map = node.map();
     for Change { pool, vm, event } in changes {
-        let unit = unit_of(&map, &pool, &vm);
-        for handle in owned.values().filter(|handle| handle.unit() == Some(&unit)) {
+        let pool_slice = pool_slice_of(&map, &pool, &vm);
+        for handle in owned.values().filter(|handle| handle.pool_slice() == Some(&pool_slice)) {
             handle.send(event.clone());
         }
     }
 }
 
-/// What another daemon is told of the workers of `units`; nothing from a daemon that does not read the list.
-pub(crate) fn tell(node: &Node, units: &BTreeSet<PoolSlice>, cursor: Option<&Cursor>) -> Answer {
+/// What another daemon is told of the workers of `pool_slices`; nothing from a daemon that does not read the list.
+pub(crate) fn answer(
+    node: &Node,
+    pool_slices: &BTreeSet<PoolSlice>,
+    cursor: Option<&Cursor>,
+) -> Answer {
     if !is_reader(node) || !node.may_act(clock::now()) {
         return Answer::NotOwner;
     }
-    let update = node.directory().tell(&node.member, &node.map(), units, cursor);
+    let update = node.directory().update_since(&node.member, &node.map(), pool_slices, cursor);
     update.map_or(Answer::NotOwner, Answer::Workers)
 }
--- a/crates/crosspath_node/tests/node/appends.rs
+++ b/crates/crosspath_node/tests/node/appends.rs
@@ -26,7 +26,7 @@
 }
 
 #[tokio::test]
-async fn an_owner_that_the_log_turns_away_is_passed_by() {
+async fn an_owner_refused_by_the_log_is_bypassed() {
     let (owner, other) = owner_and_other().await;
     owner.refuse();
     assert_eq!(other.submit(20).await, Submitted::Accepted);
@@ -34,7 +34,7 @@
 }
 
 #[tokio::test]
-async fn where_the_log_refuses_all_callers_hear_that_nothing_was_taken() {
+async fn submissions_are_refused_when_the_log_refuses_every_daemon() {
     let (owner, other) = owner_and_other().await;
     owner.refuse();
     other.refuse();
@@ -45,7 +45,7 @@
 }
 
 #[tokio::test]
-async fn a_log_known_to_be_down_is_asked_once_for_each_caller() {
+async fn each_submission_makes_one_attempt_while_the_log_is_known_to_be_down() {
     let (owner, other) = owner_and_other().await;
     for daemon in [&owner, &other] {
         daemon.take_log_down(true);
--- a/crates/crosspath_node/tests/node/candidacy.rs
+++ b/crates/crosspath_node/tests/node/candidacy.rs
@@ -16,7 +16,7 @@
     let member = |n| Member {
         address: ([10, 0, 0, 1], n).into(),
         name: format!("edge-{n}").into(),
-        life: "1".into(),
+        incarnation: "1".into(),
         millicores,
     };
     (0..count).map(member).collect()
@@ -24,32 +24,32 @@
 
 /// Whether it stands at each of some moments, seeing the same owners at all of them.
 fn observe(candidacy: &mut Candidacy, at: &[u64], seen: &[Member]) -> Vec<bool> {
-    let mut stands = Vec::new();
+    let mut candidate = Vec::new();
     for at in at {
         candidacy.observe(ms(*at), seen);
-        stands.push(candidacy.stands());
+        candidate.push(candidacy.is_candidate());
     }
-    stands
+    candidate
 }
 
 #[test]
-fn a_large_vm_stands_whatever_it_sees() {
+fn a_large_vm_is_always_a_candidate() {
     let mut candidacy = Candidacy::new(LARGE);
-    assert!(candidacy.stands());
+    assert!(candidacy.is_candidate());
     let seen = owners(LARGE, 8);
     assert_eq!(observe(&mut candidacy, &[0, 10_000], &seen), [true, true]);
 }
 
 #[test]
-fn a_small_vm_leaves_shards_to_large_ones() {
+fn a_small_vm_is_no_candidate_while_large_vms_own_shards() {
     let mut candidacy = Candidacy::new(SMALL);
-    assert!(!candidacy.stands());
+    assert!(!candidacy.is_candidate());
     let seen = owners(LARGE, 8);
     assert_eq!(observe(&mut candidacy, &[0, 10_000], &seen), [false, false]);
 }
 
 #[test]
-fn a_small_vm_steps_in_when_too_few_large_ones_are_left_for_some_time() {
+fn a_small_vm_becomes_a_candidate_after_too_few_large_owners_for_some_time() {
     let mut candidacy = Candidacy::new(SMALL);
     let few = owners(LARGE, 1);
     assert_eq!(observe(&mut candidacy, &[0, 1_400], &few), [false, false]);
@@ -59,19 +59,19 @@
 }
 
 #[test]
-fn nobody_owning_at_all_brings_small_ones_in() {
+fn a_small_vm_becomes_a_candidate_when_there_are_no_owners() {
     let mut candidacy = Candidacy::new(SMALL);
     assert_eq!(observe(&mut candidacy, &[0, 1_500], &[]), [false, true]);
 }
 
 #[test]
-fn where_small_ones_own_already_another_joins_them_at_once() {
+fn a_small_vm_becomes_a_candidate_at_once_among_small_owners() {
     let mut candidacy = Candidacy::new(SMALL);
     assert_eq!(observe(&mut candidacy, &[0], &owners(SMALL, 6)), [true]);
 }
 
 #[test]
-fn a_small_vm_steps_back_once_enough_large_ones_stay() {
+fn a_small_vm_withdraws_once_enough_large_owners_stay() {
     let mut candidacy = Candidacy::new(SMALL);
     observe(&mut candidacy, &[0, 1_500], &[]);
     let some = owners(LARGE, 3);
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_members_text_can_be_read_back() {
+fn a_member_round_trips_through_its_text() {
     let member = owners(LARGE, 1).remove(0);
     assert_eq!(member.to_string().parse(), Ok(member));
     let error = "10.0.0.1:7000/edge".parse::<Member>().expect_err("half a text");
--- a/crates/crosspath_node/tests/node/claim.rs
+++ b/crates/crosspath_node/tests/node/claim.rs
@@ -20,19 +20,19 @@
 }
 
 #[tokio::test]
-async fn the_owner_before_cannot_append_any_more() {
+async fn the_previous_owner_is_fenced() {
     let store = MemoryStore::new(24);
     let first = claim(&store, SHARD, "first").await;
-    let guard = Precondition::Owner { epoch: first.epoch, sequence: first.sequence + 1 };
-    store.append(SHARD, &record(), guard).await.expect("the owner appends");
+    let precondition = Precondition::Owner { epoch: first.epoch, sequence: first.sequence + 1 };
+    store.append(SHARD, &record(), precondition).await.expect("the owner appends");
     let second = claim(&store, SHARD, "second").await;
-    let guard = Precondition::Owner { epoch: first.epoch, sequence: first.sequence + 2 };
-    let refused = store.append(SHARD, &record(), guard).await;
+    let precondition = Precondition::Owner { epoch: first.epoch, sequence: first.sequence + 2 };
+    let refused = store.append(SHARD, &record(), precondition).await;
     assert_eq!(refused, Err(Error::Fenced { epoch: second.epoch }));
 }
 
 #[tokio::test]
-async fn a_claim_whose_answer_is_lost_is_not_taken_for_the_next_one() {
+async fn a_claim_whose_answer_is_lost_is_not_confused_with_its_retry() {
     let store = MemoryStore::new(24);
     store.lose_answers(1);
     let claimed = claim(&store, SHARD, "first").await;
@@ -42,12 +42,12 @@
 }
 
 #[tokio::test]
-async fn a_repeated_append_of_the_owner_is_done_once() {
+async fn a_repeated_append_of_the_owner_is_stored_once() {
     let store = MemoryStore::new(24);
     let owner = claim(&store, SHARD, "first").await;
-    let guard = Precondition::Owner { epoch: owner.epoch, sequence: owner.sequence + 1 };
+    let precondition = Precondition::Owner { epoch: owner.epoch, sequence: owner.sequence + 1 };
     store.lose_answers(1);
-    assert_eq!(store.append(SHARD, &record(), guard).await, Err(Error::NoAnswer));
-    store.append(SHARD, &record(), guard).await.expect("the first answer again");
+    assert_eq!(store.append(SHARD, &record(), precondition).await, Err(Error::NoAnswer));
+    store.append(SHARD, &record(), precondition).await.expect("the first answer again");
     assert_eq!(store.records(SHARD).len(), 2, "the claim and the record");
 }
--- a/crates/crosspath_node/tests/node/directory.rs
+++ b/crates/crosspath_node/tests/node/directory.rs
@@ -36,33 +36,33 @@
     })
 }
 
-fn take(directory: &mut Directory, records: &[Stored], whole: bool) -> Vec<Change> {
-    directory.take(records, whole, read)
+fn apply(directory: &mut Directory, records: &[Stored], whole: bool) -> Vec<Change> {
+    directory.apply_records(records, whole, read)
 }
 
 #[test]
-fn an_entry_that_cannot_be_read_names_no_worker_and_the_others_hold() {
+fn an_unreadable_entry_is_skipped_and_the_others_apply() {
     let mut directory = Directory::default();
     let records = [stored("x", FOREIGN), stored("i-1", SOUND), stored("y", FOREIGN)];
-    let changes = take(&mut directory, &records, true);
+    let changes = apply(&mut directory, &records, true);
     assert_eq!(changes.len(), 1);
     assert!(matches!(&changes[0].event, Event::WorkerListed(entry) if &*entry.id == "i-1"));
 }
 
 #[test]
-fn a_worker_whose_entry_another_wrote_over_is_not_used_until_it_writes_again() {
+fn a_worker_whose_entry_was_overwritten_is_gone_until_it_writes_again() {
     let mut directory = Directory::default();
-    take(&mut directory, &[stored("i-1", SOUND)], true);
-    let changes = take(&mut directory, &[stored("i-1", FOREIGN)], false);
+    apply(&mut directory, &[stored("i-1", SOUND)], true);
+    let changes = apply(&mut directory, &[stored("i-1", FOREIGN)], false);
     assert_eq!(changes.len(), 1);
     assert!(matches!(&changes[0].event, Event::WorkerUnlisted(id) if &**id == "i-1"));
-    let changes = take(&mut directory, &[stored("i-1", SOUND)], false);
+    let changes = apply(&mut directory, &[stored("i-1", SOUND)], false);
     assert!(matches!(&changes[0].event, Event::WorkerListed(_)));
 }
 
 #[test]
-fn an_entry_that_says_the_same_changes_nothing() {
+fn an_unchanged_entry_produces_no_change() {
     let mut directory = Directory::default();
-    take(&mut directory, &[stored("i-1", SOUND)], true);
-    assert!(take(&mut directory, &[stored("i-1", SOUND)], false).is_empty());
+    apply(&mut directory, &[stored("i-1", SOUND)], true);
+    assert!(apply(&mut directory, &[stored("i-1", SOUND)], false).is_empty());
 }
--- a/crates/crosspath_node/tests/node/handover.rs
+++ b/crates/crosspath_node/tests/node/handover.rs
@@ -15,9 +15,9 @@
 /// When the orders of these tests were given, in ms since 1970.
 const ISSUED_MS: u64 = 1_700_000_000_000;
 
-fn member(life: &str) -> Member {
+fn member(incarnation: &str) -> Member {
     let address = "127.0.0.1:7100".parse().expect("an address");
-    Member { address, name: "entry-1".into(), life: life.into(), millicores: 250 }
+    Member { address, name: "entry-1".into(), incarnation: incarnation.into(), millicores: 250 }
 }
 
 fn history_with(order: &Order) -> History {
--- a/crates/crosspath_node/tests/node/main.rs
+++ b/crates/crosspath_node/tests/node/main.rs
@@ -1,19 +1,19 @@
 //! Tests of the daemon's parts.
 
 mod appends;
-mod away;
 mod candidacy;
 mod claim;
 mod clock;
 mod common;
-mod contact;
 mod directory;
 mod evacuation;
 mod handover;
 mod keys;
 mod listing;
 mod map;
+mod outage;
 mod pending;
+mod reachability;
 mod standby;
 mod storm;
 mod vm_count;
--- a/crates/crosspath_node/tests/node/pending.rs
+++ b/crates/crosspath_node/tests/node/pending.rs
@@ -3,18 +3,18 @@
 use std::time::Duration;
 
 use crosspath_border::store::NewRecord;
-use crosspath_node::pending::{self, Outcome, Patience, Pending, Waiter};
+use crosspath_node::pending::{self, Deadlines, Outcome, Pending, Waiter};
 use tokio::time::Instant;
 
-const PATIENCE: Patience = Patience {
-    waits_until: Duration::from_millis(900),
-    refused_at: Duration::from_millis(450),
-    doubted_until: Duration::from_millis(1_350),
+const DEADLINES: Deadlines = Deadlines {
+    send_by: Duration::from_millis(900),
+    refuse_at: Duration::from_millis(450),
+    unknown_at: Duration::from_millis(1_350),
 };
 
 fn pair() -> (Pending, Waiter) {
     let record = NewRecord { key: "a/1".to_owned(), value: Vec::from("{}").into() };
-    pending::pair(record, PATIENCE)
+    pending::pair(record, DEADLINES)
 }
 
 /// The outcome and after how long it came, in ms.
@@ -25,27 +25,27 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_record_that_was_not_sent_is_refused_in_time_and_never_sent() {
+async fn a_record_not_sent_in_time_is_withdrawn_and_never_sent() {
     let (pending, waiter) = pair();
     let (outcome, after) = outcome(waiter).await;
     assert_eq!(outcome, Outcome::Unsent);
     assert!((900..910).contains(&after), "after {after} ms");
-    assert!(!pending.take(), "it would be sent after its caller was told that it was not");
+    assert!(!pending.begin_send(), "it would be sent after its caller was told that it was not");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_record_under_way_is_in_doubt_when_the_patience_ends() {
+async fn a_record_in_flight_is_unknown_at_the_deadline() {
     let (pending, waiter) = pair();
-    assert!(pending.take());
+    assert!(pending.begin_send());
     let (outcome, after) = outcome(waiter).await;
     assert_eq!(outcome, Outcome::Unknown);
     assert!((1_350..1_360).contains(&after), "after {after} ms");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_record_kept_late_is_told_as_kept() {
+async fn a_record_stored_before_the_deadline_is_reported_as_kept() {
     let (pending, waiter) = pair();
-    assert!(pending.take());
+    assert!(pending.begin_send());
     drop(tokio::spawn(async move {
         tokio::time::sleep(Duration::from_millis(1_200)).await;
         pending.settle(Outcome::Kept);
@@ -54,22 +54,22 @@
 }
 
 #[test]
-fn tries_end_sooner_while_a_record_surely_is_not_kept() {
+fn retries_end_sooner_while_no_attempt_is_unconfirmed() {
     let (mut pending, _waiter) = pair();
-    pending.failed(false);
-    assert_eq!(pending.verdict(Duration::from_millis(449), false), None);
-    assert_eq!(pending.verdict(Duration::from_millis(450), false), Some(Outcome::NotKept));
-    pending.failed(true);
-    pending.failed(false);
-    assert_eq!(pending.verdict(Duration::from_millis(1_349), false), None);
-    assert_eq!(pending.verdict(Duration::from_millis(1_350), false), Some(Outcome::Unknown));
+    pending.attempt_failed(false);
+    assert_eq!(pending.final_outcome(Duration::from_millis(449), false), None);
+    assert_eq!(pending.final_outcome(Duration::from_millis(450), false), Some(Outcome::NotKept));
+    pending.attempt_failed(true);
+    pending.attempt_failed(false);
+    assert_eq!(pending.final_outcome(Duration::from_millis(1_349), false), None);
+    assert_eq!(pending.final_outcome(Duration::from_millis(1_350), false), Some(Outcome::Unknown));
 }
 
 #[test]
-fn while_the_store_is_down_one_try_is_enough_unless_it_left_a_doubt() {
+fn no_retry_while_the_store_is_down_unless_an_attempt_is_unconfirmed() {
     let (mut pending, _waiter) = pair();
-    pending.failed(false);
-    assert_eq!(pending.verdict(Duration::from_millis(1), true), Some(Outcome::NotKept));
-    pending.failed(true);
-    assert_eq!(pending.verdict(Duration::from_millis(1), true), None);
+    pending.attempt_failed(false);
+    assert_eq!(pending.final_outcome(Duration::from_millis(1), true), Some(Outcome::NotKept));
+    pending.attempt_failed(true);
+    assert_eq!(pending.final_outcome(Duration::from_millis(1), true), None);
 }
--- a/crates/crosspath_node/tests/node/standby.rs
+++ b/crates/crosspath_node/tests/node/standby.rs
@@ -8,11 +8,11 @@
 use crate::common::{Daemon, SETTLED, log_of_one_pool};
 
 /// In which a daemon that owns nothing asks twice at most.
-const CALM: Duration = Duration::from_millis(4_000);
+const IDLE_PERIOD: Duration = Duration::from_millis(4_000);
 
 /// There are as many as the fleet is large, and nothing changes: 4 readings in 4 s before.
 #[tokio::test]
-async fn who_owns_what_is_seldom_read_while_owners_answer() {
+async fn standby_daemons_rarely_read_holders_while_owners_answer() {
     let log = log_of_one_pool().await;
     let large = Daemon::start("entry-1", &log).await;
     let _other = Daemon::start("entry-2", &log).await;
@@ -20,16 +20,16 @@
     tokio::time::sleep(SETTLED).await;
     assert_eq!(small.submit(1).await, Submitted::Accepted);
     let before = small.holder_reads();
-    tokio::time::sleep(CALM).await;
+    tokio::time::sleep(IDLE_PERIOD).await;
     assert_eq!(small.state_for(None, 1).await, Lookup::State(State::Queued));
     let read = small.holder_reads() - before;
-    assert!(read <= 2, "{read} readings in {CALM:?}");
+    assert!(read <= 2, "{read} readings in {IDLE_PERIOD:?}");
     assert!(large.appends() > 0, "the owner appends for it");
 }
 
 /// The owner says that it is none any more, and the daemon that asked finds the next within the caller's patience.
 #[tokio::test]
-async fn a_new_owner_is_found_as_soon_as_the_one_before_is_asked() {
+async fn asking_the_previous_owner_leads_to_the_new_one() {
     let log = log_of_one_pool().await;
     let _large = Daemon::start("entry-1", &log).await;
     let small = Daemon::start_small("entry-2", &log).await;
--- a/crates/crosspath_node/tests/node/storm.rs
+++ b/crates/crosspath_node/tests/node/storm.rs
@@ -39,7 +39,7 @@
 }
 
 impl Reader {
-    fn new(due: Duration, terms: backoff::Terms, pages: usize) -> Self {
+    fn new(due: Duration, terms: backoff::Policy, pages: usize) -> Self {
         let (backoff, received) = (Backoff::new(terms), Pages::default());
         Self { due, backoff, pages, pages_left: pages, read: 0, received, complete_at: None }
     }
@@ -86,10 +86,10 @@
             let first = READ_INTERVAL.mul_f64(rng.random());
             readers.push(Reader::new(first, terms, pages));
         };
-        reader(backoff::OPERATORS, 1);
-        reader(backoff::LISTS, 1);
+        reader(backoff::CONFIG_READS, 1);
+        reader(backoff::LIST_READS, 1);
         if number < OWNERS {
-            reader(backoff::LISTS, daemons.div_ceil(DAEMONS_PER_PAGE));
+            reader(backoff::LIST_READS, daemons.div_ceil(DAEMONS_PER_PAGE));
         }
     }
     let calls_per_s = 2.0 * daemons as f64 / READ_INTERVAL.as_secs_f64();
@@ -144,13 +144,13 @@
 
 #[test]
 fn backoff_grows_up_to_its_limit_and_resets_after_an_answer() {
-    let mut backoff = Backoff::new(backoff::OPERATORS);
+    let mut backoff = Backoff::new(backoff::CONFIG_READS);
     let pauses: Vec<_> = (0..6).map(|_| backoff.pause(0.0)).collect();
-    assert_eq!(pauses[0], backoff::OPERATORS.first);
-    assert_eq!(pauses[5], backoff::OPERATORS.longest);
+    assert_eq!(pauses[0], backoff::CONFIG_READS.initial);
+    assert_eq!(pauses[5], backoff::CONFIG_READS.max);
     assert!(pauses.windows(2).all(|pair| pair[0] <= pair[1]));
     backoff.reset();
-    assert_eq!(backoff.pause(1.0), backoff::OPERATORS.first / 2);
+    assert_eq!(backoff.pause(1.0), backoff::CONFIG_READS.initial / 2);
 }
 
 #[test]
--- a/crates/crosspath_node/tests/node/workers.rs
+++ b/crates/crosspath_node/tests/node/workers.rs
@@ -37,8 +37,8 @@
     }
 }
 
-fn take(directory: &mut Directory, records: &[Stored], whole: bool) {
-    drop(directory.take(records, whole, |record| Ok(read(record))));
+fn apply(directory: &mut Directory, records: &[Stored], whole: bool) {
+    drop(directory.apply_records(records, whole, |record| Ok(read(record))));
 }
 
 /// A map of one slice a pool.
@@ -48,7 +48,7 @@
     map
 }
 
-fn units(pools: &[&str]) -> BTreeSet<PoolSlice> {
+fn pool_slices(pools: &[&str]) -> BTreeSet<PoolSlice> {
     pools.iter().map(|pool| PoolSlice { pool: (*pool).into(), slice: 0 }).collect()
 }
 
@@ -56,14 +56,16 @@
     let mut directory = Directory::default();
     let records =
         [stored("i-1", "counter 32"), stored("i-2", "counter 32"), stored("i-3", "meter 32")];
-    take(&mut directory, &records, true);
+    apply(&mut directory, &records, true);
     directory
 }
 
 /// What the reader tells of the counter's workers, and of what it has told before.
-fn tell(directory: &Directory, before: Option<&Update>) -> Update {
+fn update_since(directory: &Directory, before: Option<&Update>) -> Update {
     let cursor = before.map(|update| &update.cursor);
-    directory.tell(&"reader".into(), &map(), &units(&["counter"]), cursor).expect("all are known")
+    directory
+        .update_since(&"reader".into(), &map(), &pool_slices(&["counter"]), cursor)
+        .expect("all are known")
 }
 
 fn ids(update: &Update) -> Vec<&str> {
@@ -71,66 +73,75 @@
 }
 
 #[test]
-fn an_owner_is_told_of_all_its_workers_once_and_then_of_changes() {
+fn an_owner_receives_all_its_workers_once_and_then_changes() {
     let mut directory = reader();
-    let first = tell(&directory, None);
+    let first = update_since(&directory, None);
     assert!(first.whole);
     assert_eq!(ids(&first), ["i-1", "i-2"]);
     // Most records say the same as the one before.
-    take(&mut directory, &[stored("i-1", "counter 32"), stored("i-3", "meter 16")], false);
-    let second = tell(&directory, Some(&first));
+    apply(&mut directory, &[stored("i-1", "counter 32"), stored("i-3", "meter 16")], false);
+    let second = update_since(&directory, Some(&first));
     assert!(!second.whole);
     assert!(second.entries.is_empty() && second.gone.is_empty(), "{second:?}");
-    take(
+    apply(
         &mut directory,
         &[stored("i-1", "counter 16"), stored("i-2", ""), stored("i-4", "counter 32")],
         false,
     );
-    let third = tell(&directory, Some(&second));
+    let third = update_since(&directory, Some(&second));
     assert_eq!(ids(&third), ["i-1", "i-4"]);
     assert_eq!(third.gone, ["i-2".into()]);
 }
 
 #[test]
-fn what_was_told_makes_the_same_list() {
+fn updates_reproduce_the_readers_list() {
     let mut directory = reader();
     let mut own = Directory::default();
-    let unit = PoolSlice { pool: "counter".into(), slice: 0 };
-    assert!(!own.covers(&unit));
-    let first = tell(&directory, None);
-    assert_eq!(own.update(first.clone(), &units(&["counter"])).len(), 2);
-    assert!(own.covers(&unit) && !own.is_whole());
-    take(&mut directory, &[stored("i-2", ""), stored("i-4", "counter 32")], false);
-    let second = tell(&directory, Some(&first));
-    assert_eq!(own.update(second.clone(), &units(&["counter"])).len(), 2);
+    let pool_slice = PoolSlice { pool: "counter".into(), slice: 0 };
+    assert!(!own.covers(&pool_slice));
+    let first = update_since(&directory, None);
+    assert_eq!(own.apply_update(first.clone(), &pool_slices(&["counter"])).len(), 2);
+    assert!(own.covers(&pool_slice) && !own.is_whole());
+    apply(&mut directory, &[stored("i-2", ""), stored("i-4", "counter 32")], false);
+    let second = update_since(&directory, Some(&first));
+    assert_eq!(own.apply_update(second.clone(), &pool_slices(&["counter"])).len(), 2);
     // Told again, it changes nothing.
-    assert_eq!(own.update(second, &units(&["counter"])).len(), 0);
-    let whole = tell(&directory, None);
-    assert_eq!(own.update(whole, &units(&["counter"])).len(), 0);
+    assert_eq!(own.apply_update(second, &pool_slices(&["counter"])).len(), 0);
+    let whole = update_since(&directory, None);
+    assert_eq!(own.apply_update(whole, &pool_slices(&["counter"])).len(), 0);
 }
 
 /// Another daemon reads the list now, or the same one has begun anew, or has forgotten what was gone.
 #[test]
-fn an_owner_whose_place_is_not_known_is_told_of_all() {
+fn an_unknown_cursor_gets_a_full_update() {
     let mut directory = reader();
-    let first = tell(&directory, None);
-    let other = directory.tell(&"other".into(), &map(), &units(&["counter"]), Some(&first.cursor));
+    let first = update_since(&directory, None);
+    let other = directory.update_since(
+        &"other".into(),
+        &map(),
+        &pool_slices(&["counter"]),
+        Some(&first.cursor),
+    );
     assert!(other.expect("all are known").whole);
     for number in 0..5_000 {
         let key = format!("m-{number}");
-        take(&mut directory, &[stored(&key, "meter 32")], false);
-        take(&mut directory, &[stored(&key, "")], false);
+        apply(&mut directory, &[stored(&key, "meter 32")], false);
+        apply(&mut directory, &[stored(&key, "")], false);
     }
-    assert!(tell(&directory, Some(&first)).whole);
-    let last = tell(&directory, None);
+    assert!(update_since(&directory, Some(&first)).whole);
+    let last = update_since(&directory, None);
     directory.clear();
-    assert!(directory.tell(&"reader".into(), &map(), &units(&["counter"]), None).is_none());
-    take(&mut directory, &[stored("i-1", "counter 32")], true);
-    assert!(tell(&directory, Some(&last)).whole);
+    assert!(
+        directory
+            .update_since(&"reader".into(), &map(), &pool_slices(&["counter"]), None)
+            .is_none()
+    );
+    apply(&mut directory, &[stored("i-1", "counter 32")], true);
+    assert!(update_since(&directory, Some(&last)).whole);
 }
 
 #[test]
-fn a_daemon_that_owns_nothing_follows_nobody_and_an_owner_does_without_a_silent_reader() {
+fn the_source_depends_on_owned_shards_and_on_the_readers_last_answer() {
     let second = Duration::from_secs(1);
     assert_eq!(source(0, false, second, second), Source::Nobody);
     assert_eq!(source(3, true, second, second), Source::Store);
@@ -140,7 +151,7 @@
 
 /// What the store has to send must not grow with the number of daemons: all four read before.
 #[tokio::test]
-async fn two_daemons_of_many_read_the_list() {
+async fn only_two_daemons_read_the_list() {
     let log = log_of_one_pool().await;
     let mut daemons = Vec::new();
     for number in 0..4 {
