--- a/crates/crosspath_http/src/body.rs
+++ b/crates/crosspath_http/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies: bounded reading and ready answers.
+//! Request bodies read within limits, and response bodies that are complete from the start.
 
 use std::time::Duration;
 
@@ -10,37 +10,37 @@
 use serde::Serialize;
 use snafu::Snafu;
 
-/// Any error of a body that is passed on.
+/// Error of a body that is streamed through.
 pub type BoxError = Box<dyn std::error::Error + Send + Sync>;
 
-/// The body of an answer.
+/// Body of a response.
 pub type Body = UnsyncBoxBody<Bytes, BoxError>;
 
-/// A request body that was not taken.
+/// Request body that could not be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum BodyError {
-    /// It is too large.
-    #[snafu(display("body is larger than {limit} bytes"))]
+    /// The body exceeds the size limit.
+    #[snafu(display("request body exceeds {limit} bytes"))]
     TooLarge {
-        /// The limit.
+        /// Maximum size in bytes.
         limit: u64,
     },
-    /// It did not arrive in time.
-    #[snafu(display("body did not arrive within {} ms", limit.as_millis()))]
+    /// The body did not arrive within the time limit.
+    #[snafu(display("request body did not arrive within {} ms", limit.as_millis()))]
     TooSlow {
-        /// The limit.
+        /// Time that was allowed for the whole body.
         limit: Duration,
     },
-    /// It ended before it was whole.
-    #[snafu(display("body ended before it was whole"))]
+    /// The connection failed or closed before the end of the body.
+    #[snafu(display("request body ended before it was complete"))]
     Truncated,
 }
 
-/// Reads a whole body, bounded in size and time.
+/// Reads a whole body of at most `bytes` bytes within `timeout`.
 ///
 /// # Errors
 ///
-/// [`BodyError`] when a bound is passed or the body is cut short.
+/// [`BodyError`] if the body exceeds a limit or is truncated.
 pub async fn read(body: Incoming, bytes: u64, timeout: Duration) -> Result<Bytes, BodyError> {
     let limit = usize::try_from(bytes).unwrap_or(usize::MAX);
     let collected = Limited::new(body, limit).collect();
@@ -54,20 +54,20 @@
     }
 }
 
-/// A body that is there already.
+/// Returns a body that consists of `bytes`.
 #[must_use]
 pub fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into()).map_err(|never| match never {}).boxed_unsync()
 }
 
-/// An answer with a JSON body.
+/// Returns a response with `value` as its JSON body.
 ///
 /// # Panics
 ///
-/// When `value` has no JSON form.
+/// Panics if `value` cannot be serialised as JSON.
 #[must_use]
 pub fn json(status: StatusCode, value: &impl Serialize) -> Response<Body> {
-    let bytes = serde_json::to_vec(value).expect("answers have a JSON form");
+    let bytes = serde_json::to_vec(value).expect("response bodies serialise as JSON");
     let mut response = Response::new(full(bytes));
     *response.status_mut() = status;
     let content_type = header::HeaderValue::from_static("application/json");
--- a/crates/crosspath_http/src/client.rs
+++ b/crates/crosspath_http/src/client.rs
@@ -1,8 +1,10 @@
-//! A small JSON client for one server.
+//! JSON client for one server.
 //!
-//! An open connection may go silent for good while new ones work, and nothing but an answer that does
-//! not come shows it. So a call without an answer costs the client all its idle connections, which may
-//! be silent too: the next call is made on a new one. What waits long is probed by keep-alives.
+//! A connection that is open can stop delivering data for good, without a reset, while new
+//! connections to the same server work. Only a missing response reveals this. A call without a
+//! response therefore discards all idle connections of the client, since they may be dead too, and
+//! the next call opens a new one. TCP keep-alive probes detect dead connections on which a call
+//! waits for a long time.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -23,56 +25,59 @@
 use crate::connection::Connection;
 use crate::latency::Latency;
 
+/// Maximum size of a response body in bytes.
 const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
-/// Idle time after which a connection is probed, and time between probes: the kernel counts whole
-/// seconds.
+/// Idle time before the first keep-alive probe, and interval between probes. The kernel counts in
+/// whole seconds.
 const KEEPALIVE: Duration = Duration::from_secs(1);
-/// Probes without an answer after which a connection is dead: one may be lost.
+/// Unanswered keep-alive probes after which a connection is closed. A single probe may be lost on
+/// a working connection.
 const KEEPALIVE_PROBES: u32 = 2;
 
-/// A call that gave no answer that can be used.
+/// Call that yielded no usable response.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
-    /// The request was never sent, so it had no effect.
-    #[snafu(display("{address} was not reached"))]
+    /// The request was never sent and had no effect.
+    #[snafu(display("{address} could not be reached"))]
     NotSent {
-        /// The server.
+        /// Address of the server.
         address: SocketAddr,
     },
-    /// The request may have had its effect; no answer came.
-    #[snafu(display("{address} gave no answer"))]
+    /// No response came. The request may have taken effect or may still do so.
+    #[snafu(display("{address} did not answer"))]
     NoAnswer {
-        /// The server.
+        /// Address of the server.
         address: SocketAddr,
     },
-    /// The server answered with an error.
+    /// The status of the response is not a success.
     #[snafu(display("{address} answered {status}: {body}"))]
     Status {
-        /// The server.
+        /// Address of the server.
         address: SocketAddr,
-        /// Its status.
+        /// Status of the response.
         status: StatusCode,
-        /// Its body.
+        /// Body of the response; invalid UTF-8 is replaced.
         body: String,
     },
-    /// The answer is not of the agreed form.
-    #[snafu(display("{address} gave a malformed answer: {source}"))]
+    /// The body of a successful response cannot be decoded.
+    #[snafu(display("invalid response from {address}: {source}"))]
     Malformed {
-        /// The server.
+        /// Address of the server.
         address: SocketAddr,
-        /// What the decoder says.
+        /// Error of the JSON decoder.
         source: serde_json::Error,
     },
 }
 
 type Pool = HyperClient<HttpConnector, Full<Bytes>>;
 
-/// A client of one server; clones share its connections.
+/// Client of one server. Clones share its connections.
 #[derive(Debug, Clone)]
 pub struct Client {
     pool: Arc<Mutex<Pool>>,
-    /// Idle connections for what goes by the process that it reaches.
+    /// Idle connections for requests that depend on the server process which they reach. The pool
+    /// does not tell which process a connection leads to.
     pub(crate) idle: Arc<Mutex<Vec<Connection>>>,
     latency: Arc<Mutex<Latency>>,
     pub(crate) connect_timeout: Duration,
@@ -81,12 +86,12 @@
     token: Option<String>,
 }
 
-/// An answer as it came.
+/// Response with any status.
 #[derive(Debug)]
 pub struct Response {
     /// Status and headers.
     pub head: http::response::Parts,
-    /// The whole body.
+    /// Complete body.
     pub body: Bytes,
 }
 
@@ -97,14 +102,14 @@
 }
 
 impl Client {
-    /// Makes a client; each call takes at most `timeout`.
+    /// Creates a client whose calls and new connections each take at most `timeout`.
     #[must_use]
     pub fn new(address: SocketAddr, timeout: Duration) -> Self {
         Self::with_connect_timeout(address, timeout, timeout)
     }
 
-    /// As [`Self::new`], with a bound of its own for a new connection. A connection that is not
-    /// made within `connect` is [`Error::NotSent`].
+    /// As [`Self::new`], with a separate limit for new connections. If a connection is not
+    /// established within `connect`, the call fails with [`Error::NotSent`].
     #[must_use]
     pub fn with_connect_timeout(address: SocketAddr, connect: Duration, timeout: Duration) -> Self {
         Self {
@@ -118,23 +123,25 @@
         }
     }
 
-    /// Shows `token` as bearer with each call.
+    /// Sends `token` as the bearer token of each call.
     #[must_use]
     pub fn with_token(self, token: impl Into<String>) -> Self {
         Self { token: Some(token.into()), ..self }
     }
 
-    /// The server.
+    /// Address of the server.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sends `body` as JSON and reads the JSON answer.
+    /// Sends `body` as JSON and decodes the JSON response. Without a body the request is empty; an
+    /// empty response is decoded as `null`.
     ///
     /// # Errors
     ///
-    /// [`Error`]; only [`Error::NotSent`] says that the call had no effect.
+    /// [`Error`] if there is no usable response. Only after [`Error::NotSent`] is it certain that
+    /// the call had no effect.
     pub async fn call<A: DeserializeOwned>(
         &self,
         method: Method,
@@ -144,7 +151,7 @@
         self.call_within(method, path, body, self.timeout).await
     }
 
-    /// As [`Self::call`], with a time of its own.
+    /// As [`Self::call`], with a separate timeout.
     ///
     /// # Errors
     ///
@@ -161,7 +168,7 @@
         self.decode(&response)
     }
 
-    /// As [`Self::call`], for a call whose effect is the same however often it arrives.
+    /// As [`Self::call`], for an idempotent call: it is hedged, so it may arrive several times.
     ///
     /// # Errors
     ///
@@ -189,11 +196,12 @@
         serde_json::from_slice(bytes).context(MalformedSnafu { address })
     }
 
-    /// Sends a request whose URI is a path, and reads the whole answer, whatever its status.
+    /// Sends a request whose URI is a path, and reads the whole response, whatever its status.
     ///
     /// # Errors
     ///
-    /// [`Error::NotSent`] or [`Error::NoAnswer`].
+    /// [`Error::NotSent`] if the request was not sent, [`Error::NoAnswer`] if no complete response
+    /// came in time.
     pub async fn send(
         &self,
         request: http::request::Builder,
@@ -202,7 +210,7 @@
         self.send_within(request, body, self.timeout).await
     }
 
-    /// As [`Self::send`], with a time of its own.
+    /// As [`Self::send`], with a separate timeout.
     ///
     /// # Errors
     ///
@@ -214,7 +222,8 @@
         timeout: Duration,
     ) -> Result<Response, Error> {
         let request = self.request(request, body)?;
-        // Also when the caller stops waiting first, and this future is dropped.
+        // Discards the idle connections on a timeout, and also if the caller stops waiting first
+        // and drops this future.
         let pending = PendingCall { client: self };
         let exchange = tokio::time::timeout(timeout, self.exchange(request));
         let Ok(response) = exchange.await else {
@@ -224,8 +233,8 @@
         response
     }
 
-    /// As [`Self::send_within`], for a request whose effect is the same however often it arrives.
-    /// The server may let `wait` pass before it answers.
+    /// As [`Self::send_within`], for an idempotent request: it is hedged, so it may arrive several
+    /// times. The server may take up to `wait` before it answers, in addition to the usual delay.
     ///
     /// # Errors
     ///
@@ -242,7 +251,8 @@
         self.hedge(exchange, timeout, wait).await
     }
 
-    /// Time after which an answer is overdue now, beyond what the server may wait.
+    /// Current delay without a response after which an idempotent request is sent again, in
+    /// addition to the time that the server is allowed to wait.
     #[must_use]
     pub fn hedging_delay(&self) -> Duration {
         self.latency().hedging_delay()
@@ -267,7 +277,7 @@
         self.latency.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Gives up the idle connections; calls under way keep theirs.
+    /// Discards the idle connections. Calls in progress keep theirs.
     pub(crate) fn discard_idle(&self) {
         *self.pool() = new_pool(self.connect_timeout);
         self.idle().clear();
@@ -289,7 +299,7 @@
     }
 }
 
-/// Reads the whole of an answer.
+/// Reads the whole response.
 pub(crate) async fn read_response(
     address: SocketAddr,
     response: http::Response<Incoming>,
@@ -302,11 +312,12 @@
 }
 
 fn encode(body: Option<&impl Serialize>) -> Bytes {
-    let bytes = body.map(|body| serde_json::to_vec(body).expect("requests have a JSON form"));
+    let bytes =
+        body.map(|body| serde_json::to_vec(body).expect("request bodies serialise as JSON"));
     bytes.unwrap_or_default().into()
 }
 
-/// Connections to one server, none open yet.
+/// Creates a pool without open connections.
 fn new_pool(connect_timeout: Duration) -> Pool {
     HyperClient::builder(TokioExecutor::new()).build(connector(connect_timeout))
 }
@@ -321,14 +332,15 @@
     connector
 }
 
-/// A call that has no answer yet. Dropped without one it gives up the idle connections.
+/// Call that has no response yet. If it is dropped before it is completed, the idle connections of
+/// the client are discarded.
 #[derive(Debug)]
 pub(crate) struct PendingCall<'a> {
     pub(crate) client: &'a Client,
 }
 
 impl PendingCall<'_> {
-    /// The call has ended with an answer, or with an error of its connection.
+    /// Marks the call as ended, with a response or with an error of its connection.
     pub(crate) fn complete(self) {
         std::mem::forget(self);
     }
--- a/crates/crosspath_http/src/connection.rs
+++ b/crates/crosspath_http/src/connection.rs
@@ -1,8 +1,8 @@
-//! Connections of which it is known which process is at their other end.
+//! Connections that are bound to a known server process.
 //!
-//! A pool hands out any connection to an address. After a restart of the server a new one leads to another process, and
-//! nothing tells before its first answer. As long as a connection is open, though, it leads to the process that
-//! answered over it before.
+//! A pool returns any connection to an address. After a restart of the server, a new connection
+//! leads to another process, which cannot be detected before the first response. An open
+//! connection, however, always leads to the process that has already answered over it.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -19,10 +19,11 @@
     Client, Error, NoAnswerSnafu, NotSentSnafu, PendingCall, Response, connector, read_response,
 };
 
-/// An answer, and the connection that it came over; closed unless it is kept.
+/// Response together with the connection over which it came. The connection is closed on drop
+/// unless it is kept alive.
 #[derive(Debug)]
 pub struct Exchange {
-    /// The answer.
+    /// Response to the request.
     pub response: Response,
     connection: Connection,
     idle: Arc<Mutex<Vec<Connection>>>,
@@ -35,13 +36,14 @@
 }
 
 impl Exchange {
-    /// Keeps the connection for further requests.
+    /// Keeps the connection for further requests, bound to the same process as before.
     pub fn keep_alive(self) -> Response {
         let process = self.connection.process;
         self.keep_alive_to(process)
     }
 
-    /// Keeps the connection for further requests; the answer tells which process it leads to, or does not.
+    /// Keeps the connection for further requests and binds it to `process`; `None` if the response
+    /// does not identify the process.
     pub fn keep_alive_to(self, process: Option<u64>) -> Response {
         let mut connection = self.connection;
         connection.process = process;
@@ -50,19 +52,20 @@
     }
 }
 
-/// A connection for one request at a time.
+/// Connection that carries one request at a time.
 #[derive(Debug)]
 pub(crate) struct Connection {
     address: SocketAddr,
     sender: SendRequest<Full<Bytes>>,
-    /// The process that answered over it last, as far as its answer told.
+    /// Process that answered last over the connection; `None` if no response has identified it.
     pub(crate) process: Option<u64>,
 }
 
 impl Connection {
-    /// Opens a connection.
+    /// Connects to `address`.
     pub(crate) async fn open(connector: HttpConnector, address: SocketAddr) -> Result<Self, Error> {
-        let uri: Uri = format!("http://{address}/").parse().expect("an address makes a URI");
+        let uri: Uri =
+            format!("http://{address}/").parse().expect("socket address is a valid URI authority");
         let Ok(stream) = connector.oneshot(uri).await else {
             return NotSentSnafu { address }.fail();
         };
@@ -73,12 +76,12 @@
         Ok(Self { address, sender, process: None })
     }
 
-    /// Whether another request can be sent.
+    /// Waits until the connection can carry another request; false if it is closed.
     pub(crate) async fn is_open(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the whole response.
     pub(crate) async fn exchange(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -93,8 +96,9 @@
 }
 
 impl Client {
-    /// As [`Self::send_idempotent`], for a request that may depend on which process it reaches: `request` makes it
-    /// for the process that answered over its connection before, or for one that is not known.
+    /// As [`Self::send_idempotent`], for a request whose content depends on the process that it
+    /// reaches. `request` receives the process that the connection is bound to, or `None` if that
+    /// is unknown.
     ///
     /// # Errors
     ///
@@ -113,7 +117,8 @@
         self.hedge(exchange, timeout, wait).await
     }
 
-    /// Sends a request over a connection that leads to `process`; none where there is no such connection.
+    /// Sends a request over an idle connection that is bound to `process`. Returns `None` without
+    /// sending if there is no such connection.
     ///
     /// # Errors
     ///
@@ -145,7 +150,7 @@
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// An idle connection that is still open, the one used last.
+    /// Takes the most recently used idle connection that matches and is still open.
     async fn idle_connection(&self, matches: impl Fn(&Connection) -> bool) -> Option<Connection> {
         loop {
             let mut connection = {
@@ -172,11 +177,13 @@
     }
 }
 
-/// The request as servers take it: its URI is a path, and a header names the server.
+/// Converts the request to origin form: the URI is reduced to path and query, and the `Host` header
+/// names the server.
 fn in_origin_form(mut request: Request<Full<Bytes>>, address: SocketAddr) -> Request<Full<Bytes>> {
     let path = request.uri().path_and_query().cloned();
     *request.uri_mut() = path.map(Uri::from).unwrap_or_default();
-    let host = HeaderValue::try_from(address.to_string()).expect("an address makes a header");
+    let host =
+        HeaderValue::try_from(address.to_string()).expect("socket address is a valid header value");
     request.headers_mut().insert(header::HOST, host);
     request
 }
--- a/crates/crosspath_http/src/hedge.rs
+++ b/crates/crosspath_http/src/hedge.rs
@@ -1,9 +1,11 @@
-//! Requests that may be repeated.
+//! Hedging of idempotent requests.
 //!
-//! One is sent again on a new connection once its answer is overdue by what the server lately took, while the first
-//! goes on: an answer that is lost costs the time until then and not the whole time-out, and a server that turns slow
-//! loses nothing by it. Only answers tell how long a server takes: with lost ones counted as slow, each next one would
-//! be waited for ever longer.
+//! If the response does not arrive within a delay derived from the recent response times of the
+//! server, the request is sent again on a new connection while the first attempt continues. A lost
+//! response thus costs that delay instead of the whole timeout, and the first attempt can still
+//! succeed on a server that has become slow. Only responses that arrive, and
+//! calls that time out altogether, update the estimate of the response time: if lost responses
+//! counted as slow, the delay would grow with each of them.
 
 use std::time::Duration;
 
@@ -13,12 +15,13 @@
 
 use crate::client::{Client, Error, NoAnswerSnafu, NotSentSnafu, PendingCall, Response};
 
-/// Times that a request which may be repeated is sent at most: of answers of which a third is lost,
-/// one call in 27 gets none.
+/// Maximum number of attempts of an idempotent request. If a third of the responses is lost, 1 in
+/// 27 calls remains without one.
 const MAX_ATTEMPTS: usize = 3;
 
 impl Client {
-    /// The first answer to some tries of one request, within `timeout`.
+    /// Runs up to [`MAX_ATTEMPTS`] attempts and returns the first conclusive response within
+    /// `timeout`. The server may take up to `wait` before it answers.
     pub(crate) async fn hedge<T: AsRef<Response>, F: Future<Output = Result<T, Error>>>(
         &self,
         exchange: impl Fn() -> F,
@@ -28,7 +31,8 @@
         let pending = PendingCall { client: self };
         let Ok(response) = tokio::time::timeout(timeout, self.attempts(exchange, wait)).await
         else {
-            // It takes at least as long, so that a server that turns this slow is not asked thrice each time.
+            // The server takes at least this long. Without the observation, each call to a server
+            // that has become this slow would be sent three times.
             self.latency().observe(timeout.saturating_sub(wait));
             return NoAnswerSnafu { address: self.address }.fail();
         };
@@ -36,7 +40,8 @@
         response
     }
 
-    /// The first answer to some tries, each begun when the one before is overdue or has failed.
+    /// Starts each attempt when the previous one has failed or has had no response within the
+    /// hedging delay, and returns the first conclusive response.
     async fn attempts<T: AsRef<Response>, F: Future<Output = Result<T, Error>>>(
         &self,
         exchange: impl Fn() -> F,
@@ -59,7 +64,8 @@
                         self.address,
                         (wait + delay).as_millis()
                     );
-                    // A lost answer says nothing of how long answers take: only those that come do.
+                    // Only the delay of the next attempt grows. The estimate is left alone, since a
+                    // lost response says nothing about response times.
                     delay *= 2;
                 }
             }
@@ -78,7 +84,7 @@
         }
     }
 
-    /// An exchange whose time is noted, unless the server was asked to wait.
+    /// Records the duration of the exchange, unless the server may wait before it answers.
     async fn timed<T>(
         &self,
         exchange: impl Future<Output = Result<T, Error>>,
@@ -93,16 +99,17 @@
     }
 }
 
-/// What became of tries of one request that gave no answer to return.
+/// Attempts of one request that have yielded no conclusive response.
 #[derive(Debug, Default)]
 struct Failures {
-    /// Whether one of them may have had its effect.
+    /// Whether one of them may have taken effect.
     unconfirmed: bool,
 }
 
 impl Failures {
-    /// The answer of a try, if it tells the fate of the request. A refusal tells that of its own try
-    /// only, so it is no answer while another may have had its effect, or yet have it.
+    /// Returns the response of an attempt if it determines the outcome of the whole request. A
+    /// rejection says only that its own attempt had no effect, so it is not conclusive if another
+    /// attempt may have taken effect or may still do so.
     fn conclusive<T: AsRef<Response>>(
         &mut self,
         result: Result<T, Error>,
@@ -125,7 +132,7 @@
     }
 }
 
-/// Whether a status says that the server has done nothing for now.
+/// Whether the status says that the server rejected the request for the moment and did nothing.
 fn is_refusal(status: StatusCode) -> bool {
     matches!(
         status,
--- a/crates/crosspath_http/src/latency.rs
+++ b/crates/crosspath_http/src/latency.rs
@@ -1,34 +1,35 @@
-//! How long a server takes to answer, and when an answer is overdue.
+//! Estimate of a server's response time, and the hedging delay derived from it.
 //!
-//! The estimate is that of TCP's retransmission timer: a moving mean of the time that answers take,
-//! and some of their moving deviation on top.
+//! The estimate works like TCP's retransmission timer: the moving mean of the response times plus a
+//! multiple of their moving deviation.
 
 use std::time::Duration;
 
-/// Overdue before anything was answered: servers are some ms away, and busy at a start.
+/// Delay before the first response. Servers are a few ms away, and busy while they start.
 const INITIAL_HEDGING_DELAY: Duration = Duration::from_millis(300);
-/// Never overdue sooner: a daemon on a slow VM takes some 50 ms for an answer that takes 5 else.
+/// Lower bound of the delay. A daemon on a slow VM takes about 50 ms for a response that otherwise
+/// takes 5 ms.
 const MIN_HEDGING_DELAY: Duration = Duration::from_millis(150);
-/// Always overdue by then: above the time-outs of calls, since a server that takes this long is only
-/// made slower by repeating what it was asked.
+/// Upper bound of the delay. It exceeds the timeouts of calls: sending requests again to a server
+/// that takes this long would only slow it down further.
 const MAX_HEDGING_DELAY: Duration = Duration::from_millis(2_000);
-/// Weight of the last answer in mean and deviation: a server that turns slow is known as such after
-/// some three answers.
+/// Weight of the latest response in mean and deviation. The estimate follows a server that becomes
+/// slow within about three responses.
 const WEIGHT: f64 = 0.3;
-/// Deviations above the mean.
+/// Number of deviations added to the mean.
 const DEVIATION_FACTOR: f64 = 4.0;
 
-/// Time that the answers of a server take.
+/// Moving estimate of a server's response time.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct Latency {
-    /// Moving mean in seconds; none before the first answer.
+    /// Moving mean in seconds; `None` before the first response.
     mean: Option<f64>,
-    /// Moving mean of the distance from the mean, in seconds.
+    /// Moving mean of the absolute difference from the mean, in seconds.
     deviation: f64,
 }
 
 impl Latency {
-    /// Takes in how long an answer took.
+    /// Updates the estimate with the duration of one exchange.
     pub fn observe(&mut self, took: Duration) {
         let took = took.as_secs_f64();
         let Some(mean) = &mut self.mean else {
@@ -41,7 +42,7 @@
         self.deviation += WEIGHT * (distance.abs() - self.deviation);
     }
 
-    /// Time after which an answer is overdue.
+    /// Delay without a response after which a request is sent again.
     #[must_use]
     pub fn hedging_delay(&self) -> Duration {
         let Some(mean) = self.mean else { return INITIAL_HEDGING_DELAY };
--- a/crates/crosspath_http/src/lib.rs
+++ b/crates/crosspath_http/src/lib.rs
@@ -1,4 +1,5 @@
-//! What the crates of the peers share of HTTP: a JSON client, a server loop, and bounded bodies.
+//! HTTP building blocks shared by the crates of the workspace: a JSON client for one server, a
+//! server loop with graceful shutdown, and body reading that is bounded in size and time.
 
 pub mod body;
 pub mod client;
--- a/crates/crosspath_http/src/server.rs
+++ b/crates/crosspath_http/src/server.rs
@@ -1,7 +1,7 @@
-//! The server loop that every listener runs.
+//! Server loop of all listeners.
 //!
-//! It takes a bounded number of connections, gives each a bounded time for its request heads, and
-//! on a planned stop lets what is in flight finish.
+//! The loop limits the number of connections and the time for each request head. On a planned
+//! shutdown it lets requests in flight finish.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -20,17 +20,19 @@
 
 use crate::body::Body;
 
+/// Pause after a failed `accept`, so that a lasting error does not cause a busy loop.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Maximum number of headers of an HTTP/1 request.
 const MAX_HEADERS: usize = 100;
 
-/// Limits on connections.
+/// Limits of one listener.
 #[derive(Debug, Clone)]
 pub struct Limits {
-    /// Connections at one time.
+    /// Maximum number of concurrent connections.
     pub connections: usize,
-    /// Bytes of a request's head.
+    /// Maximum size of a request head in bytes.
     pub header_bytes: usize,
-    /// Time for a request's head.
+    /// Time within which a request head must arrive on HTTP/1; interval between pings on HTTP/2.
     pub header_timeout: Duration,
 }
 
@@ -44,20 +46,20 @@
     }
 }
 
-/// How far a planned stop is; each stage includes those before.
+/// Progress of a planned shutdown. Later stages compare greater.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
-    /// Takes connections.
+    /// Accepts connections.
     #[default]
     Serving,
-    /// Takes none, and finishes what is in flight.
+    /// Accepts no connections and finishes the requests in flight.
     Finishing,
-    /// Ends at once.
+    /// Stops at once, even with requests in flight.
     Ended,
 }
 
-/// Serves `listener` until the stop says [`Stage::Finishing`], then until nothing is in flight or
-/// the stop says [`Stage::Ended`].
+/// Serves `listener` until `stop` reaches [`Stage::Finishing`], then until no request is in flight
+/// or `stop` reaches [`Stage::Ended`].
 pub async fn serve<H, F>(
     listener: TcpListener,
     limits: Limits,
--- a/crates/crosspath_http/tests/http/hedge.rs
+++ b/crates/crosspath_http/tests/http/hedge.rs
@@ -1,4 +1,4 @@
-//! Requests that may be repeated: an answer that is lost costs little.
+//! Hedging of idempotent requests: a lost response must not cost the whole timeout of a call.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,18 +11,20 @@
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::{TcpListener, TcpStream};
 
-/// For a call; far above the time in which it is repeated.
+/// Timeout of a call, far above the hedging delay.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A server that loses the answers to its first requests; a connection says nothing after that.
+/// Server that loses the responses to some requests. A connection on which a response is lost stays
+/// open and silent.
 #[derive(Debug)]
 struct Server {
     requests: AtomicUsize,
+    /// Number of requests, counted from the first, whose responses are lost.
     lost_responses: usize,
-    /// Whether every other answer after those is lost too.
+    /// Whether every second response is lost, starting with the first.
     loses_every_other_response: bool,
     service_time: Duration,
-    /// Head of the answers that are not lost.
+    /// Status line of the responses that are not lost.
     head: &'static str,
 }
 
@@ -94,11 +96,12 @@
 async fn a_request_is_sent_again_when_its_response_is_lost() {
     let (server, address) = Server::start(2, Duration::ZERO).await;
     let client = Client::new(address, TIMEOUT);
-    send(&client, TIMEOUT, Duration::ZERO).await.expect("a response to the third try");
+    send(&client, TIMEOUT, Duration::ZERO).await.expect("response to the third attempt");
     assert_eq!(server.requests(), 3);
 }
 
-/// Before lost answers were told from late ones, the next was waited for up to 2 s after some calls.
+/// If lost responses counted as slow ones, the hedging delay would grow to its maximum of 2 s
+/// within a few calls.
 #[tokio::test]
 async fn lost_responses_do_not_lengthen_the_hedging_delay() {
     let (requests, service_time, head) = (AtomicUsize::new(0), Duration::ZERO, "HTTP/1.1 200 OK");
@@ -112,7 +115,7 @@
     let (_server, address) = server.listen().await;
     let client = Client::new(address, TIMEOUT);
     for _ in 0..8 {
-        send(&client, TIMEOUT, Duration::ZERO).await.expect("a response to the second try");
+        send(&client, TIMEOUT, Duration::ZERO).await.expect("response to the second attempt");
     }
     assert!(client.hedging_delay() < Duration::from_millis(500), "{:?}", client.hedging_delay());
 }
@@ -154,7 +157,7 @@
     assert!(matches!(response, Err(Error::NotSent { .. })), "{response:?}");
 }
 
-/// For calls whose first answer is lost, which are given up in the end.
+/// Timeout of a call that fails because its first response is lost.
 const UNANSWERED_TIMEOUT: Duration = Duration::from_secs(2);
 const REFUSAL: &str = "HTTP/1.1 503 Service Unavailable";
 
--- a/crates/crosspath_http/tests/http/latency.rs
+++ b/crates/crosspath_http/tests/http/latency.rs
@@ -1,4 +1,4 @@
-//! When an answer is overdue.
+//! Hedging delay derived from the response times of a server.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
     Duration::from_millis(ms)
 }
 
-/// A server that has answered some times within `took`.
+/// Estimate after `count` responses that each took `took`.
 fn latency_after(took: Duration, count: usize) -> Latency {
     let mut latency = Latency::default();
     (0..count).for_each(|_| latency.observe(took));
--- a/crates/crosspath_http/tests/http/main.rs
+++ b/crates/crosspath_http/tests/http/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the client against servers over loopback.
+//! Tests of the HTTP client against servers on the loopback interface.
 
 mod hedge;
 mod latency;
--- a/crates/crosspath_http/tests/http/silent.rs
+++ b/crates/crosspath_http/tests/http/silent.rs
@@ -1,4 +1,5 @@
-//! Open connections go silent for good, without a reset, while new ones work.
+//! Open connections stop delivering data for good, without a reset, while new ones work. Later
+//! calls must not be sent over such connections.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,20 +11,20 @@
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Connections that are open at once.
+/// Number of connections that are open at the same time.
 const CONNECTIONS: usize = 4;
-/// For an answer; far above what loopback takes on a busy machine.
+/// Timeout of a call that gets a response, far above the time that it takes on a busy machine.
 const TIMEOUT: Duration = Duration::from_millis(2_000);
-/// For an answer that will not come.
+/// Timeout of a call that gets no response.
 const UNANSWERED_TIMEOUT: Duration = Duration::from_millis(100);
-/// So long a request is under way, so that others need connections of their own.
+/// Duration of a request, long enough that concurrent requests need their own connections.
 const SERVICE_TIME: Duration = Duration::from_millis(30);
 
-/// A server whose first connections can be silenced.
+/// Server whose open connections can be silenced.
 #[derive(Debug, Default)]
 struct Server {
     accepted: AtomicUsize,
-    /// Connections with a number below this say nothing more.
+    /// Connections with a lower number no longer answer.
     silent_below: AtomicUsize,
 }
 
@@ -73,7 +74,7 @@
     client.call_within(Method::GET, "/", None::<&()>, timeout).await
 }
 
-/// A client with some idle connections, all of which have gone silent.
+/// Client with idle connections, all of which have become silent.
 async fn client_with_silent_connections() -> (Arc<Server>, Client) {
     let (server, address) = Server::start().await;
     let client = Client::new(address, TIMEOUT);
@@ -99,7 +100,7 @@
     let (_server, client) = client_with_silent_connections().await;
     let unanswered = tokio::time::timeout(UNANSWERED_TIMEOUT, call(&client, TIMEOUT)).await;
     assert!(unanswered.is_err(), "{unanswered:?}");
-    // A clone shares the connections.
+    // The clone shares the connections.
     let client = client.clone();
     for _ in 0..CONNECTIONS {
         call(&client, TIMEOUT).await.expect("a response on a new connection");
@@ -111,7 +112,8 @@
     let (_server, client) = client_with_silent_connections().await;
     let unanswered = call(&client, Duration::from_millis(1));
     let concurrent = async {
-        // On a new connection: the first one has given up the silent ones by then.
+        // These calls use new connections, since the unanswered call has discarded the silent ones
+        // by now.
         tokio::time::sleep(SERVICE_TIME).await;
         let slow = call(&client, TIMEOUT);
         let other = call(&client, Duration::from_millis(1));
