--- a/crates/crosspath_schedule/src/action.rs
+++ b/crates/crosspath_schedule/src/action.rs
@@ -1,4 +1,4 @@
-//! What the scheduler wants done.
+//! Output of the scheduler: the I/O that its caller is to perform.
 
 use std::sync::Arc;
 
@@ -8,83 +8,84 @@
 use crosspath_job::record::Record;
 use crosspath_quota::Request;
 
-/// One thing to do.
+/// One operation for the caller of the scheduler to perform.
 #[derive(Debug, Clone)]
 pub enum Action {
-    /// Start a run.
+    /// Start a run of a task; answered by `Event::StartAnswered`.
     Start {
-        /// Where.
+        /// Worker to send the start to.
         worker: Target,
-        /// The task.
+        /// Task to be run.
         task: TaskId,
-        /// Number of the run.
+        /// Number of the run; later runs of a task have higher numbers.
         run: u64,
-        /// The job's text.
+        /// Text of the job, passed to the task unchanged.
         text: Arc<str>,
-        /// Where to go on from.
+        /// Checkpoint to resume from; `None` starts from the beginning.
         checkpoint: Option<Arc<str>>,
-        /// Ticket of the advice service.
+        /// Ticket of the advice service; `None` if the queue requires none.
         ticket: Option<Arc<str>>,
     },
-    /// Stop a run.
+    /// Stop a run; answered by `Event::StopAnswered`.
     Stop {
-        /// Where.
+        /// Worker that has or may have the run.
         worker: Target,
-        /// The task.
+        /// Task that the run belongs to.
         task: TaskId,
-        /// Number of the run.
+        /// Number of the run to stop.
         run: u64,
     },
-    /// Look at a worker at once, beside the looks that wait there for an end.
+    /// Poll a worker at once, in addition to the periodic polls, which wait on the worker for a run
+    /// to end.
     Poll {
-        /// Where.
+        /// Worker to poll.
         worker: Target,
     },
-    /// Let a run work at a share of its speed.
+    /// Limit the speed of a run.
     Throttle {
-        /// Where.
+        /// Worker that has the run.
         worker: Target,
-        /// The task.
+        /// Task that the run belongs to.
         task: TaskId,
-        /// Number of the run.
+        /// Number of the run to throttle.
         run: u64,
-        /// The share.
+        /// Permitted speed in percent of full speed.
         percent: u32,
     },
-    /// Ask which workers may run a step.
+    /// Ask the advice service which workers may run a step; answered by `Event::Advised`.
     RequestAdvice {
-        /// The step.
+        /// Step to be approved.
         step: StepId,
-        /// The workers.
+        /// Identifiers of the candidate workers.
         workers: Vec<Arc<str>>,
     },
-    /// Append records as the shard's owner; answered by `Event::Committed`.
+    /// Append records as the owner of the shard; answered by `Event::Committed`.
     Commit {
-        /// The records.
+        /// Records to append in one call.
         records: Vec<Record>,
     },
-    /// Ask the ledger of all shards for parts of customers' maxima; answered by `Event::QuotaAnswered`.
+    /// Request allotments of customers' maxima from the ledger; answered by `Event::QuotaAnswered`.
     RequestQuota {
-        /// The question.
+        /// Request to send, with its number.
         request: Request,
     },
-    /// Tell the worker that ends up to a number are kept.
+    /// Acknowledge ended runs to their worker, which may then delete its reports of them.
     Acknowledge {
-        /// The worker.
+        /// Identifier of the worker.
         worker: Arc<str>,
-        /// The number.
+        /// Sequence number up to which the worker's reports are acknowledged.
         number: u64,
     },
-    /// Begin to look at a worker, again and again.
+    /// Start to poll a worker periodically.
     StartPolling {
-        /// The worker.
+        /// Worker to poll.
         worker: Target,
-        /// Its clock in ms, as its entry gave it.
+        /// The worker's clock in ms, as stated in its registration or its last poll reply.
         clock_ms: u64,
     },
-    /// Look at a worker no more.
+    /// Stop the periodic polls of a worker.
     StopPolling {
-        /// The worker.
+        /// Worker that is polled until now.
         worker: Target,
     },
 }
--- a/crates/crosspath_schedule/src/answers.rs
+++ b/crates/crosspath_schedule/src/answers.rs
@@ -1,4 +1,4 @@
-//! Answers to starts and stops.
+//! Processing of workers' answers to starts and stops.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,13 +10,14 @@
 use crate::job::Phase;
 use crate::scheduler::Scheduler;
 
-/// No new work after an order without an answer, or a refusal; the next look tells more.
+/// Pause in new work for a worker that did not answer an order or refused it as unhealthy; the next
+/// poll shows its state.
 const COOLDOWN_AFTER_NO_ANSWER: Duration = Duration::from_millis(300);
-/// No new work after a refusal for want of room: some looks' time.
+/// Pause in new work for a worker that refused a start; a few polls take place in this time.
 const COOLDOWN_AFTER_NO_ROOM: Duration = Duration::from_millis(60);
-/// A malformed start is not repeated at once.
+/// Delay before a task is placed again after a worker could not interpret its start.
 const MALFORMED_RETRY_DELAY: Duration = Duration::from_secs(1);
-/// Blame for refusing a start.
+/// Increase of a worker's suspicion score when it refuses a start as unhealthy.
 const SUSPICION_REFUSED: f64 = 0.5;
 
 impl Scheduler {
@@ -33,7 +34,7 @@
                 "event=start_refused task={task} run={number} worker={id} answer={answer:?}"
             );
         }
-        // Nothing began, so nothing was lost there.
+        // The run did not start, so it cannot be the reason why the worker was lost.
         if !matches!(answer, Ok(Started::Yes) | Err(Error::NoAnswer)) {
             self.clear_loss(now, task, number);
         }
@@ -86,6 +87,7 @@
         }
     }
 
+    /// A start got no answer: the run may exist, so a stop is sent to make sure that it does not.
     pub(crate) fn start_unanswered(
         &mut self,
         now: Duration,
@@ -124,12 +126,12 @@
                     worker.unanswered.remove(&(task, number));
                 }
                 let Some(run) = self.run_mut(task, number) else { return };
-                let doubtful = run.phase == Phase::Doubtful;
+                let unconfirmed = run.phase == Phase::Doubtful;
                 run.phase = Phase::Stopped;
                 run.answered = now;
-                // A run that was there is listed as ended soon; one that never was shows in no end,
-                // and the look under way may wait for another's for long.
-                if doubtful && let Some(worker) = self.workers.get(id) {
+                // A run that existed is soon reported as ended. One that never started produces no
+                // such report, and the pending periodic poll may wait long for another run to end.
+                if unconfirmed && let Some(worker) = self.workers.get(id) {
                     self.actions.push(Action::Poll { worker: worker.target() });
                 }
             }
--- a/crates/crosspath_schedule/src/commit.rs
+++ b/crates/crosspath_schedule/src/commit.rs
@@ -1,7 +1,7 @@
-//! What is kept in the log, and when workers may forget ends.
+//! Commits to the log, and acknowledgement of ended runs to workers.
 //!
-//! An end is acknowledged to its worker only after the progress that it made is kept. One commit is
-//! under way at a time; what changes meanwhile goes into the next.
+//! An ended run is acknowledged to its worker only after the progress that it caused is durable. At
+//! most one commit is in flight; later changes go into the next one.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -14,69 +14,77 @@
 use crate::action::Action;
 use crate::scheduler::Scheduler;
 
-/// Changes wait this long for others, to save calls of the store. An end that awaits its
-/// acknowledgement holds up the next look at its worker, so this is short.
+/// Time for which a change waits for others to be committed with it, to save calls of the store.
+/// Short, because the next poll of a worker is delayed while an ended run is unacknowledged.
 const BATCH_DELAY: Duration = Duration::from_millis(20);
-/// Starts wait for the record of their place, so a change with one does not wait for others, unless
-/// the last commit is as young as this.
+/// Minimum time between commits that skip [`BATCH_DELAY`] because of a planned run: its start waits
+/// until its placement is durable.
 const MIN_INTERVAL: Duration = Duration::from_millis(20);
-/// Records in one commit at most, to stay far below the store's bound on a call.
+/// Maximum number of progress records in one commit, to stay far below the store's limit on a call.
 const MAX_RECORDS: usize = 400;
 
-/// Commits under way and to come.
+/// Pending changes, and the commit in flight.
 #[derive(Debug, Default)]
 pub(crate) struct Commits {
+    /// Jobs whose progress has changed since their last commit.
     dirty: BTreeSet<JobId>,
+    /// When the first of the pending changes was made.
     dirty_since: Duration,
     /// When the last commit was sent.
     last_sent: Duration,
-    /// Runs whose places are to be kept before they are started.
+    /// Runs that are to be started once their placement is durable.
     planned: Vec<(TaskId, u64)>,
     in_flight: Option<InFlight>,
+    /// Jobs whose records are to be deleted.
     tombstones: Vec<JobId>,
-    /// Jobs whose acceptance is to be written again.
+    /// Jobs whose acceptance record is to be written again.
     acceptances_to_rewrite: Vec<JobId>,
 }
 
+/// Content of the commit in flight, for use when it is durable.
 #[derive(Debug)]
 struct InFlight {
+    /// Job states that the commit makes durable.
     states: Vec<(JobId, State)>,
+    /// Runs that the commit records, to be started afterwards.
     planned: Vec<(TaskId, u64)>,
+    /// By worker, the sequence number up to which ended runs are then acknowledged.
     ends: BTreeMap<Arc<str>, u64>,
 }
 
 impl Commits {
-    /// Whether nothing is to be kept.
+    /// Whether there is nothing to commit.
     fn is_empty(&self) -> bool {
         self.dirty.is_empty()
             && self.tombstones.is_empty()
             && self.acceptances_to_rewrite.is_empty()
     }
 
-    /// Whether changes wait for a commit that is not under way yet.
+    /// Whether progress waits to be committed and no commit is in flight.
     pub(crate) fn is_batching(&self) -> bool {
         self.in_flight.is_none() && !self.dirty.is_empty()
     }
 
-    /// The run's place is to be kept, and the run then started.
+    /// Commits the placement of a run, and has the run started afterwards.
     pub(crate) fn plan_run(&mut self, now: Duration, task: TaskId, run: u64) {
         self.mark_dirty(now, task.job);
         self.planned.push((task, run));
     }
 
-    /// What was accepted as the job is to be written again, over what another has written.
+    /// Writes the acceptance record of a job again, because another writer has overwritten it.
     pub(crate) fn rewrite_acceptance(&mut self, job: JobId) {
         self.acceptances_to_rewrite.push(job);
     }
 
-    /// Ends of a worker's life that is over are acknowledged to no later one.
+    /// Discards the acknowledgements planned for a worker whose incarnation has ended: they must
+    /// not reach a later incarnation, which numbers its reports from 1 again.
     pub(crate) fn discard_ends(&mut self, worker: &str) {
         if let Some(in_flight) = &mut self.in_flight {
             in_flight.ends.remove(worker);
         }
     }
 
-    /// The job's progress is to be kept.
+    /// Notes that the progress of a job has changed and must be committed.
     pub(crate) fn mark_dirty(&mut self, now: Duration, job: JobId) {
         if self.dirty.is_empty() {
             self.dirty_since = now;
@@ -138,7 +146,8 @@
         unacknowledged.map(|(id, worker)| (Arc::clone(id), worker.ends_seen)).collect()
     }
 
-    /// Nothing is to be kept: ends that changed nothing are acknowledged at once.
+    /// Acknowledges all ended runs at once. Used when there is nothing to commit, so that none of
+    /// them has changed any progress that is not durable.
     fn acknowledge_all(&mut self) {
         for (id, number) in self.unacknowledged_ends() {
             self.acknowledge(&id, number);
@@ -172,15 +181,15 @@
         }
     }
 
-    /// Whether a planned run may still be started: its data centre may have been evacuated while its
-    /// place was being kept.
+    /// Whether a planned run may still be started: its data centre may have been evacuated while
+    /// its placement was being committed.
     fn may_send_start(&self, task: TaskId, run: u64) -> bool {
         let worker = self.run(task, run).and_then(|run| self.workers.get(&run.worker));
         let evacuated = worker.is_some_and(|worker| self.is_evacuated(worker));
         self.may_act && self.may_start && !evacuated
     }
 
-    /// Drops jobs that ended long ago.
+    /// Removes jobs that ended longer ago than the retention time, and deletes their records.
     pub(crate) fn remove_ended_jobs(&mut self, now: Duration) {
         let keep = self.settings.ended_job_retention;
         let expired = |job: &&crate::job::Job| {
--- a/crates/crosspath_schedule/src/ended_runs.rs
+++ b/crates/crosspath_schedule/src/ended_runs.rs
@@ -1,4 +1,4 @@
-//! Ends of runs, as workers list them.
+//! Processing of ended runs that workers report.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,13 +10,15 @@
 use crate::place::Key;
 use crate::scheduler::Scheduler;
 
-/// Blame for a run that failed; for a lasting one, which may fail at any time by itself, half.
+/// Increase of a worker's suspicion score for a failed run. Half of it for a long-running one,
+/// which may fail at any time for reasons of its own.
 const SUSPICION_FAILED: f64 = 1.0;
-/// What a run that ended well takes off.
+/// Change of a worker's suspicion score for a run that ended successfully.
 const SUSPICION_DONE: f64 = -0.5;
 
 impl Scheduler {
-    /// An end that the worker lists.
+    /// Applies the end of a run that the worker reports. Reports that were applied before are
+    /// ignored.
     pub(crate) fn run_ended(&mut self, now: Duration, id: &Arc<str>, ended: &Ended) {
         let Some(worker) = self.workers.get_mut(id) else { return };
         if ended.number <= worker.ends_seen {
@@ -78,7 +80,7 @@
         let step = &mut job.occurrences[id.occurrence as usize].steps[id.step as usize];
         let mut others = Vec::new();
         for (index, task) in (0..).zip(&mut step.tasks) {
-            // One successful end of a gang stands for all of its members.
+            // If one member of a gang ends successfully, all of its members count as done.
             if task.done || !(gang || index == id.index) {
                 continue;
             }
@@ -106,7 +108,7 @@
         if job_over {
             self.finish(now, id.job, State::Completed);
         } else if step_over {
-            // Times that are not due are opened by the tick; 0 opens none of them early.
+            // With 0 as the time of day no further occurrence becomes due here; the tick does that.
             self.unblock_steps(now, 0, id.job);
         }
     }
--- a/crates/crosspath_schedule/src/event.rs
+++ b/crates/crosspath_schedule/src/event.rs
@@ -1,4 +1,4 @@
-//! What the scheduler hears.
+//! Input of the scheduler: events that its caller observes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -10,98 +10,99 @@
 use crosspath_job::{JobId, TaskId};
 use crosspath_quota::{Grant, Limits, Weights};
 
-/// One thing that has happened.
+/// One observation that may change the scheduler's state.
 #[derive(Debug, Clone)]
 pub enum Event {
     /// A job was accepted.
     Accepted(JobId, Arc<Accepted>),
-    /// A job's cancelling was asked for.
+    /// The requester asked for the job to be cancelled.
     Cancelled(JobId, Requester),
     /// The worker list has a new or changed entry.
     WorkerListed(Entry),
-    /// The worker list lost an entry.
+    /// The worker list no longer has an entry with this identifier.
     WorkerUnlisted(Arc<str>),
-    /// A look at a worker was answered.
+    /// A worker answered a poll.
     Polled {
-        /// The worker.
+        /// Identifier of the polled worker.
         worker: Arc<str>,
-        /// When the look was sent.
+        /// When the poll was sent.
         sent: Duration,
-        /// Whether it extended leases.
+        /// Whether the poll extended the leases on the worker.
         extended: bool,
-        /// The answer.
+        /// Answer of the worker.
         reply: PollReply,
     },
-    /// A look at a worker failed.
+    /// A poll failed.
     PollFailed {
-        /// The worker.
+        /// Identifier of the polled worker.
         worker: Arc<str>,
-        /// When it was sent.
+        /// When the poll was sent.
         sent: Duration,
-        /// Whether it would have extended leases.
+        /// Whether the poll extends the leases on the worker if it was received.
         extended: bool,
-        /// How it failed.
+        /// Reason of the failure.
         error: Error,
     },
-    /// A start was answered, or not.
+    /// A worker answered a start, or the start failed.
     StartAnswered {
-        /// The worker.
+        /// Identifier of the worker that the start was sent to.
         worker: Arc<str>,
-        /// The task.
+        /// Task that was to be run.
         task: TaskId,
         /// Number of the run.
         run: u64,
-        /// The answer.
+        /// Answer of the worker, or the reason why there is none.
         answer: Result<Started, Error>,
     },
-    /// A stop was answered, or not.
+    /// A worker answered a stop, or the stop failed.
     StopAnswered {
-        /// The worker.
+        /// Identifier of the worker that the stop was sent to.
         worker: Arc<str>,
-        /// The task.
+        /// Task that the run belongs to.
         task: TaskId,
         /// Number of the run.
         run: u64,
-        /// The answer.
+        /// Acknowledgement of the worker, or the reason why there is none.
         answer: Result<(), Error>,
     },
-    /// The advice service answered, or not.
+    /// The advice service answered, or the request failed.
     Advised {
-        /// The step.
+        /// Step that the request was about.
         step: StepId,
-        /// The answer.
+        /// Approved workers with their tickets, or the reason why there are none.
         answer: Result<advice::Answer, advice::Error>,
     },
-    /// The records of the last commit are kept.
+    /// The records of the last commit are durable.
     Committed,
-    /// VMs that are to become vacant.
+    /// The set of VMs that are to be vacated, replacing the previous set.
     Vacate(BTreeSet<Arc<str>>),
-    /// Data centres that are to get no new work.
+    /// The set of data centres that get no new work, replacing the previous set.
     Evacuated(Arc<BTreeSet<Arc<str>>>),
-    /// Whether it is known recently enough which data centres are evacuated.
+    /// Whether the set of evacuated data centres is recent enough to start tasks by it.
     MayStart(bool),
-    /// Whether orders may be given now.
+    /// Whether this owner may send orders to workers now.
     MayAct(bool),
-    /// The owner before says when what may run on workers has surely lapsed.
+    /// The previous owner reports the time by which everything that may run on each worker
+    /// incarnation has expired.
     LeasesHandedOver(BTreeMap<Arc<str>, Duration>),
-    /// Customers' maxima, by the newest configuration.
+    /// Maxima of the customers in the newest configuration.
     Limits(Limits),
-    /// Jobs a second that customers are owed by the newest configuration, and the part of them that comes here.
+    /// Weights of the customers in the newest configuration.
     Weights {
-        /// By customer, over all shards.
+        /// Weight of each customer over all shards, in jobs per second.
         weights: Weights,
-        /// Part of a customer's jobs that this shard gets.
+        /// Fraction of a customer's jobs that is routed to this shard.
         shard_fraction: f64,
     },
-    /// The ledger of all shards has answered the question with a number, or not.
+    /// The ledger answered a request for allotments, or the request failed.
     QuotaAnswered {
-        /// Number of the question.
+        /// Number of the request.
         number: u64,
-        /// The answer.
+        /// Allotments that the ledger granted; `None` if it did not answer.
         grant: Option<Grant>,
     },
     /// A later owner has claimed the shard.
     Superseded,
-    /// Time has passed.
+    /// Time has passed; sent periodically.
     Tick,
 }
--- a/crates/crosspath_schedule/src/incarnations.rs
+++ b/crates/crosspath_schedule/src/incarnations.rs
@@ -1,8 +1,9 @@
-//! Lives of a worker under one identifier.
+//! Incarnations of a worker under one identifier.
 //!
-//! A worker may begin again under the identifier that it had. It then holds nothing, and counts its ends from 1. What
-//! was known of the life before says nothing of it: orders reach the life that they are meant for or none, so what
-//! that one ran is over.
+//! A worker may restart under its previous identifier. The new incarnation has no runs, and numbers
+//! its reports of ended runs from 1. Nothing that was known of the previous incarnation applies to
+//! it. An order reaches the incarnation that it is meant for or none, so all runs of the previous
+//! incarnation have ended.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,10 +14,10 @@
 use crate::losses::Liveness;
 use crate::scheduler::Scheduler;
 
-/// Between a worker's identifier and when its life began, in the name of a life.
+/// Separates the worker's identifier from the start time in the name of an incarnation.
 const STARTED_SEPARATOR: char = '@';
 
-/// Name of a life: the worker's identifier, and when it began where that is told.
+/// Name of an incarnation: the worker's identifier, followed by the start time if it is known.
 pub(crate) fn name(id: &Arc<str>, started_ms: u64) -> Arc<str> {
     if started_ms == 0 {
         Arc::clone(id)
@@ -25,7 +26,8 @@
     }
 }
 
-/// The worker that a life is of, and when it began; 0 where its name does not tell.
+/// Worker identifier and start time in the name of an incarnation; the time is 0 if it is not
+/// given.
 pub(crate) fn parse(name: &str) -> (&str, u64) {
     let parts = name.rsplit_once(STARTED_SEPARATOR);
     let parts = parts.and_then(|(id, started_ms)| Some((id, started_ms.parse().ok()?)));
@@ -33,13 +35,14 @@
 }
 
 impl Scheduler {
-    /// Whether a life is the one that is known of its worker.
+    /// Whether the named incarnation is the current one of a known worker.
     pub(crate) fn is_current_incarnation(&self, name: &str) -> bool {
         let (id, started_ms) = parse(name);
         self.workers.get(id).is_some_and(|worker| worker.entry.started_ms == started_ms)
     }
 
-    /// Takes in an entry of a known worker; whether it is of the newest life that is known.
+    /// Switches to the incarnation in an entry of the worker list if it is newer than the current
+    /// one. Returns whether the entry then belongs to the current incarnation.
     pub(crate) fn accept_listed_incarnation(&mut self, now: Duration, entry: &Entry) -> bool {
         let Some(worker) = self.workers.get(&entry.id) else { return false };
         let known_ms = worker.entry.started_ms;
@@ -49,8 +52,10 @@
         entry.started_ms == 0 || entry.started_ms >= known_ms
     }
 
-    /// Takes in which life has answered a look that was sent at `sent`; whether it is the newest one that is known.
-    /// Of two the one that answers the later look is the later, also where its wall clock was set back.
+    /// Switches to the incarnation that answered a poll sent at `sent` if it is newer than the
+    /// current one. Returns whether the answer then comes from the current incarnation. Of two
+    /// incarnations, the one that answers the later poll is the newer, even if the wall clock was
+    /// set back between their starts.
     pub(crate) fn accept_answering_incarnation(
         &mut self,
         now: Duration,
@@ -74,14 +79,15 @@
         true
     }
 
-    /// Whether something that was sent to a worker at `sent` was meant for a life before the one that is known.
+    /// Whether a request sent at `sent` was meant for an incarnation before the current one.
     pub(crate) fn was_sent_to_earlier_incarnation(&self, id: &str, sent: Duration) -> bool {
         let worker = self.workers.get(id);
         worker.and_then(|worker| worker.incarnation_changed).is_some_and(|changed| sent <= changed)
     }
 
-    /// An order met another worker, so the life that it was meant for is over. `sent` is when it was sent, if that is
-    /// known still; else looks tell.
+    /// Ends the incarnation that an order sent at `sent` was meant for, because another one
+    /// answered. `None` means that the send time is no longer known; the next poll then shows the
+    /// change.
     pub(crate) fn other_incarnation_answered(
         &mut self,
         now: Duration,
@@ -93,7 +99,7 @@
         }
     }
 
-    /// Another life is there in the place of the one that was known.
+    /// Replaces the current incarnation of a worker by the one in `entry`, and polls that one.
     fn replace_incarnation(&mut self, now: Duration, id: &Arc<str>, entry: Entry) {
         let Some(worker) = self.workers.get(id) else { return };
         let (previous, target) = (worker.incarnation(), worker.target());
@@ -119,7 +125,8 @@
         self.end_earlier_incarnations(now, id);
     }
 
-    /// Lives under a worker's identifier that owners before knew are over if they began before the one that is known.
+    /// Ends incarnations of a worker that only the records of previous owners name, if they started
+    /// before the current one.
     pub(crate) fn end_earlier_incarnations(&mut self, now: Duration, id: &str) {
         let Some(worker) = self.workers.get(id) else { return };
         let started_ms = worker.entry.started_ms;
--- a/crates/crosspath_schedule/src/lease.rs
+++ b/crates/crosspath_schedule/src/lease.rs
@@ -1,39 +1,40 @@
-//! How long what an owner ordered may go on without it.
+//! Leases on workers: how long runs may continue without their shard owner.
 
 use std::time::Duration;
 
-/// Lengths of the leases that an owner gives, and what bounds their end.
+/// Lengths of the leases that a shard owner grants, and the bound on clock drift.
 #[derive(Debug, Clone, Copy)]
 pub struct Terms {
-    /// What a look extends everything on a worker to. Longer than a takeover takes (about 2 s), so
-    /// that none lapses meanwhile; short enough that tasks on a lost worker start elsewhere soon.
+    /// Length to which a poll extends all leases on a worker. Longer than a takeover (about 2 s),
+    /// so that no lease expires during one, and short enough for tasks of a lost worker to be
+    /// restarted elsewhere soon.
     pub extension: Duration,
-    /// What a start asks for by itself; looks extend it. A start that is carried out later than
-    /// this is refused by the worker, so a start without an answer is ruled out this soon.
+    /// Lease length that a start requests; polls extend it. A worker refuses to carry out a start
+    /// after this time, so a start without an answer can be ruled out once it has passed.
     pub initial: Duration,
-    /// Share by which a worker's clock may run slow.
+    /// Maximum fraction by which a worker's clock may run slow.
     pub clock_slack: f64,
 }
 
 impl Terms {
-    /// When a lease of length `length` that was ordered at `sent` has surely ended.
+    /// Latest time at which a lease of `length` that was requested at `sent` expires.
     #[must_use]
     pub fn latest_expiry(&self, sent: Duration, length: Duration) -> Duration {
         sent + length.mul_f64(1.0 + self.clock_slack)
     }
 }
 
-/// A worker's clock as last heard.
+/// Last reading of a worker's clock.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
-    /// What it showed, in ms.
+    /// Time on the worker's clock, in ms.
     pub reading_ms: u64,
-    /// When that was heard.
+    /// When the reading was received, on the local clock.
     pub received: Duration,
 }
 
 impl Clock {
-    /// Deadline on the worker's clock that gives about `length` from `now`.
+    /// Deadline on the worker's clock, in ms, that lies about `length` after `now`.
     #[must_use]
     pub fn deadline_ms(&self, now: Duration, length: Duration) -> u64 {
         let since = now.saturating_sub(self.received);
--- a/crates/crosspath_schedule/src/polls.rs
+++ b/crates/crosspath_schedule/src/polls.rs
@@ -1,4 +1,4 @@
-//! What the worker list and looks at workers tell.
+//! Processing of the worker list and of polls.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -15,15 +15,16 @@
 use crate::scheduler::Scheduler;
 use crate::worker::Worker;
 
-/// For which a late entry of a life that has ended is known as such. Writes are late by some seconds.
+/// Time for which an ended incarnation is remembered, so that its entries are ignored if they
+/// arrive late. Entries are written up to some seconds late.
 const ENDED_INCARNATION_RETENTION: Duration = Duration::from_secs(60);
 
-/// A life that is surely over.
+/// Incarnation of a worker that has certainly ended.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct EndedIncarnation {
-    /// When it began, in ms since 1970.
+    /// Start of the incarnation, in ms since 1970.
     started_ms: u64,
-    /// When it was known to be over.
+    /// When this owner learnt that it had ended.
     ended_at: Duration,
 }
 
@@ -58,13 +59,13 @@
             entry.started_ms
         );
         let (id, clock_ms) = (Arc::clone(&entry.id), entry.clock_ms);
-        let known = Arc::clone(&id);
+        let new_worker = Arc::clone(&id);
         let mut worker = Worker::new(entry);
-        // An owner before may have given leases there.
+        // Previous owners may have granted leases on this worker.
         worker.inherit_lease(self.recovery.pending_until());
         self.actions.push(Action::StartPolling { worker: worker.target(), clock_ms });
         self.workers.insert(id, worker);
-        self.end_earlier_incarnations(now, &known);
+        self.end_earlier_incarnations(now, &new_worker);
     }
 
     pub(crate) fn worker_unlisted(&mut self, now: Duration, id: &Arc<str>) {
@@ -75,8 +76,9 @@
         }
     }
 
-    /// A life has answered: those of the same VM that were last known to answer before are over. The
-    /// list cannot tell that, since an entry may be written late.
+    /// Ends the other incarnations on the VM of a worker that has answered a poll sent at `sent`,
+    /// if their own last answered poll was not sent later. The worker list cannot show this, since
+    /// entries may be written late.
     fn end_replaced_incarnations(&mut self, now: Duration, id: &Arc<str>, sent: Duration) {
         let Some(worker) = self.workers.get(id) else { return };
         let vm = &worker.entry.vm;
@@ -86,13 +88,14 @@
         let others = self.workers.values().filter(|other| {
             other.entry.vm == *vm && other.entry.id != *id && other.last_answered_poll <= sent
         });
-        let before: Vec<_> = others.map(|other| Arc::clone(&other.entry.id)).collect();
-        for other in before {
+        let replaced: Vec<_> = others.map(|other| Arc::clone(&other.entry.id)).collect();
+        for other in replaced {
             self.end_incarnation(now, &other, "replaced");
         }
     }
 
-    /// The worker's life is surely over, whatever the list may show of it yet.
+    /// Removes a worker whose incarnation has certainly ended, and ignores later entries of that
+    /// incarnation in the worker list.
     pub(crate) fn end_incarnation(&mut self, now: Duration, id: &Arc<str>, reason: &str) {
         if let Some(worker) = self.workers.get(id) {
             let ended = EndedIncarnation { started_ms: worker.entry.started_ms, ended_at: now };
@@ -101,13 +104,13 @@
         self.remove_worker(now, id, reason);
     }
 
-    /// Forgets ended lives of which no entry can come any more.
+    /// Removes the ended incarnations of which no entry can arrive any more.
     pub(crate) fn prune_ended_incarnations(&mut self, now: Duration) {
         self.ended_incarnations
             .retain(|_, ended| now < ended.ended_at + ENDED_INCARNATION_RETENTION);
     }
 
-    /// The worker's life is over, and with it all that ran there.
+    /// Removes a worker that has ended, and all runs on it. The log line gives `reason` as `why`.
     pub(crate) fn remove_worker(&mut self, now: Duration, id: &Arc<str>, reason: &str) {
         let Some(worker) = self.workers.get(id) else { return };
         log::info!("event=worker_over worker={id} why={reason} runs={}", worker.runs.len());
@@ -119,6 +122,7 @@
         self.enforce_loss_limits_on(now, &incarnation);
     }
 
+    /// Records all runs on a worker as lost, and queues their tasks.
     pub(crate) fn release_runs(&mut self, now: Duration, id: &Arc<str>, reason: &str) {
         let Some(worker) = self.workers.get(id) else { return };
         let runs: Vec<_> = worker.runs.keys().copied().collect();
@@ -129,13 +133,13 @@
         }
     }
 
-    /// Frees what ran on silent workers once their leases have surely ended.
+    /// Releases the runs on workers that do not answer, once all leases on them have expired.
     pub(crate) fn release_expired(&mut self, now: Duration) {
-        let lapsed = |worker: &&Worker| worker.failures > 0 && now > worker.lease_expiry;
+        let expired = |worker: &&Worker| worker.failures > 0 && now > worker.lease_expiry;
         let silent: Vec<_> = self
             .workers
             .values()
-            .filter(lapsed)
+            .filter(expired)
             .map(|worker| (Arc::clone(&worker.entry.id), worker.listed))
             .collect();
         for (id, listed) in silent {
@@ -217,12 +221,12 @@
         }
         self.reconcile(now, id, sent, &reply.running);
         self.account_for(now, &incarnation, Liveness::Answering);
-        // A record may not tell which life it means.
+        // A progress record may name the worker without the start of its incarnation.
         self.account_for(now, id, Liveness::Answering);
         self.end_replaced_incarnations(now, id, sent);
     }
 
-    /// A run that the worker lists.
+    /// Updates a run that the worker reports as running.
     pub(crate) fn update_running(&mut self, now: Duration, worker: &Arc<str>, listed: &Running) {
         let Running { task: id, run: number, .. } = *listed;
         if let Some(run) = self.run_mut(id, number) {
@@ -250,7 +254,7 @@
         self.adopt_or_stop(now, worker, listed);
     }
 
-    /// A run that this owner did not start: adopted if its task may run there, else stopped.
+    /// Adopts a run that this owner did not start if its task may have it, and stops it otherwise.
     pub(crate) fn adopt_or_stop(&mut self, now: Duration, worker: &Arc<str>, listed: &Running) {
         let Running { task: id, run: number, .. } = *listed;
         let wanted = self.jobs.get(&id.job).is_some_and(|job| {
@@ -297,7 +301,8 @@
         self.mark_running(now, id.job);
     }
 
-    /// Rules out runs that a look, sent at `sent`, should have shown.
+    /// Removes the runs that are missing from the answer to a poll sent at `sent` although the
+    /// worker would have reported them.
     pub(crate) fn reconcile(
         &mut self,
         now: Duration,
--- a/crates/crosspath_schedule/src/report.rs
+++ b/crates/crosspath_schedule/src/report.rs
@@ -1,4 +1,4 @@
-//! What a shard's owner tells the fleet's owner.
+//! Report of a shard owner to the owner of the fleet.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,58 +8,63 @@
 use crate::scheduler::Scheduler;
 use crate::worker::Worker;
 
-/// One VM of the pool.
+/// VM of the pool, with the load of its worker.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vm {
-    /// Its name.
+    /// Name of the VM that the worker runs on.
     pub name: Arc<str>,
-    /// Processor time that it has, in thousandths of a core.
+    /// Processor capacity, in thousandths of a core.
     pub cpu_millis: u64,
-    /// Processor time that is reserved.
+    /// Processor time reserved by runs, in thousandths of a core.
     pub used_millis: u64,
-    /// Tasks that run or may run there.
+    /// Number of runs that exist or may exist on the VM.
     pub tasks: u32,
-    /// Lasting tasks among them.
+    /// Number of those runs that belong to long-running tasks.
     #[serde(rename = "lasting")]
     pub long_running: u32,
-    /// Whether it takes work: listed, answering, not draining, its data centre not evacuated.
+    /// Whether the VM accepts new work: its worker is listed, answers, is neither draining nor in
+    /// cooldown, and its data centre is not evacuated.
     pub usable: bool,
-    /// Whether its worker has told this owner what runs there, and all ends that it told of are
-    /// kept; `tasks` says nothing otherwise.
+    /// Whether the worker has reported its runs to this owner, and all ended runs that it reported
+    /// are durable; `tasks` is meaningless otherwise.
     #[serde(rename = "known")]
     pub confirmed: bool,
 }
 
-/// A pool as its owner sees it.
+/// Load and VMs of a pool, as far as the shard owner knows them.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pool {
-    /// Reserved by what runs, in thousandths of a core.
+    /// Processor time reserved by runs, in thousandths of a core.
     pub running_millis: u64,
-    /// Wanted by tasks whose turn has come and that have no place.
+    /// Processor time required by unblocked tasks that have no run, in thousandths of a core.
     pub waiting_millis: u64,
-    /// Part of `running_millis` and `waiting_millis` that is of lasting tasks.
+    /// Part of `running_millis` and `waiting_millis` that belongs to long-running tasks.
     #[serde(default, rename = "lasting_millis")]
     pub long_running_millis: u64,
-    /// Wanted by tasks for which no worker was found, in thousandths of a core.
+    /// Processor time required by the tasks for which the last placement round found no worker, in
+    /// thousandths of a core.
     pub unplaced_millis: u64,
-    /// Lasting tasks among those.
+    /// Number of long-running tasks among those.
     #[serde(rename = "unplaced_lasting")]
     pub unplaced_long_running: u32,
-    /// Wanted by tasks that wait for others of their job.
+    /// Processor time required by tasks that wait for other steps of their job, in thousandths of a
+    /// core.
     pub blocked_millis: u64,
-    /// Largest single task that waits.
+    /// Largest processor time that a single waiting task requires, in thousandths of a core.
     pub largest_millis: u64,
-    /// Priority of the most urgent brief work there is; 0 goes first.
+    /// Priority of the most urgent job without long-running steps; 0 is the highest.
     pub priority: u32,
-    /// VMs over which some step must be spread.
+    /// Number of VMs that the steps with a limit of tasks per worker need at least: the maximum
+    /// over these steps; 0 if there are none.
     #[serde(rename = "spread")]
     pub min_vms: u32,
-    /// Its VMs.
+    /// VMs of the shard's workers, except those workers that another one on the same VM has
+    /// replaced.
     pub vms: Vec<Vm>,
 }
 
 impl Vm {
-    /// Whether surely nothing runs there.
+    /// Whether it is certain that the VM has no runs.
     #[must_use]
     pub fn is_vacant(&self) -> bool {
         self.confirmed && self.tasks == 0
@@ -67,7 +72,7 @@
 }
 
 impl Scheduler {
-    /// The pool for the fleet's owner.
+    /// Current load of the shard, for the owner of the fleet.
     #[must_use]
     pub fn report(&self, now: Duration) -> Pool {
         let mut pool = Pool::default();
@@ -86,7 +91,7 @@
                 tasks: u32::try_from(worker.runs.len()).unwrap_or(u32::MAX),
                 long_running: u32::try_from(long_running.len()).unwrap_or(u32::MAX),
                 usable: worker.is_usable(now) && !self.is_evacuated(worker),
-                // An end that is not kept yet would be lost with the worker.
+                // An ended run that is not durable yet would be lost with the worker.
                 confirmed: worker.is_answering() && worker.ends_seen == worker.ends_acknowledged,
             });
         }
@@ -96,7 +101,7 @@
             pool.long_running_millis += if key.is_long_running() { cpu } else { 0 };
             pool.largest_millis = pool.largest_millis.max(cpu);
         }
-        // What only a customer's maximum holds back needs no VM.
+        // Tasks that are blocked only by a customer's maximum need no VM.
         pool.waiting_millis = pool.waiting_millis.saturating_sub(self.quotas.quota_blocked_millis);
         pool.blocked_millis = self.blocked_millis();
         pool.unplaced_millis = if self.waiting.is_empty() { 0 } else { self.unplaced_millis };
@@ -107,7 +112,7 @@
         pool
     }
 
-    /// Whether a worker does not answer while another life of its VM does.
+    /// Whether a worker does not answer while another worker on the same VM does.
     fn is_superseded_incarnation(&self, worker: &Worker) -> bool {
         let same_vm = |other: &&Worker| {
             other.entry.vm == worker.entry.vm && other.entry.id != worker.entry.id
@@ -115,15 +120,15 @@
         !worker.is_answering() && self.workers.values().filter(same_vm).any(Worker::is_answering)
     }
 
-    /// Priority of the most urgent brief work.
+    /// Priority of the most urgent job without long-running steps; `u32::MAX` if there is none.
     fn priority(&self) -> u32 {
         let running = self.jobs.values().filter(|job| !job.state.is_terminal());
-        let brief =
+        let finite =
             running.filter(|job| !job.accepted.spec.steps.iter().any(|step| step.long_running));
-        brief.map(|job| job.accepted.policy.priority).min().unwrap_or(u32::MAX)
+        finite.map(|job| job.accepted.policy.priority).min().unwrap_or(u32::MAX)
     }
 
-    /// Workers over which some step must be spread.
+    /// Largest number of workers over which a step must be spread; 0 if no step must.
     fn min_vms(&self) -> u32 {
         let running = self.jobs.values().filter(|job| !job.state.is_terminal());
         let steps = running.flat_map(|job| &job.accepted.spec.steps);
--- a/crates/crosspath_schedule/src/runs.rs
+++ b/crates/crosspath_schedule/src/runs.rs
@@ -1,4 +1,4 @@
-//! The runs of tasks: finding, stopping and removing them.
+//! Lookup, stopping and removal of runs.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,29 +9,33 @@
 use crate::job::{Phase, Run, Task};
 use crate::scheduler::Scheduler;
 
-/// Runs of one task in one epoch at most; run numbers rise with the epoch by this much, so that they
-/// rise above those of owners before, whatever those have started unseen.
+/// Maximum number of runs of one task per epoch. Run numbers start at the epoch times this number,
+/// so that they exceed those of all previous owners, including runs that this owner does not know
+/// of.
 const RUNS_PER_EPOCH: u64 = 10_000;
-/// Between two stops for a run whose stop got no answer.
+/// Minimum time before the stop of a run is repeated.
 const STOP_RETRY_INTERVAL: Duration = Duration::from_millis(400);
 
-/// A stop that a worker has taken has ended its run by then: stops take up to 0.9 s. A run that is shown after
-/// that was not stopped, or was started after its stop.
+/// Time after which a run has ended whose stop the worker acknowledged; stops take up to 0.9 s. A
+/// run that is still reported then was not stopped, or was started after its stop.
 pub(crate) const STOP_COMPLETION: Duration = Duration::from_millis(1_500);
 
 impl Scheduler {
-    /// Whether a run may be ending by a stop of an owner before: it is shown as running until the stop is
-    /// through. A worker that has answered this owner takes no further stop of one before.
+    /// Whether a run may be about to end because a previous owner stopped it: the worker reports it
+    /// as running until the stop completes. Once a worker has answered this owner, it accepts no
+    /// further stops from previous ones.
     pub(crate) fn may_be_stopping_for_previous_owner(&self, now: Duration, run: &Run) -> bool {
         let adopted = run.number < self.epoch * RUNS_PER_EPOCH;
         adopted && now < run.answered + STOP_COMPLETION
     }
 
-    /// Next number for a run of a task.
+    /// Number for the next run of a task.
     pub(crate) fn next_run_number(epoch: u64, task: &Task) -> u64 {
         (task.last_run + 1).max(epoch * RUNS_PER_EPOCH + 1)
     }
 
+    /// Sends a stop for a run, or drops the run if its start was not sent yet. Does nothing if a
+    /// stop was acknowledged.
     pub(crate) fn stop_run(&mut self, now: Duration, id: TaskId, number: u64) {
         let Some(job) = self.jobs.get_mut(&id.job) else { return };
         let Some(task) = job.task_mut(id) else { return };
@@ -50,7 +54,7 @@
         self.actions.push(Action::Stop { worker: worker.target(), task: id, run: number });
     }
 
-    /// Gives up a run of which nothing was sent.
+    /// Abandons a planned run whose start was not sent.
     pub(crate) fn drop_planned(&mut self, now: Duration, id: TaskId, number: u64) {
         let Some(run) = self.run(id, number) else { return };
         if run.phase == Phase::Planned {
@@ -59,12 +63,13 @@
         }
     }
 
+    /// Repeats the stop of each run with an unanswered order, on workers whose last poll did not fail.
     pub(crate) fn retry_stops(&mut self, now: Duration) {
-        let mut again = Vec::new();
+        let mut unanswered = Vec::new();
         for worker in self.workers.values().filter(|worker| worker.failures == 0) {
-            again.extend(worker.unanswered.iter().copied());
+            unanswered.extend(worker.unanswered.iter().copied());
         }
-        for (task, run) in again {
+        for (task, run) in unanswered {
             let found = self.run(task, run);
             let due = found.is_some_and(|found| now >= found.stop_sent + STOP_RETRY_INTERVAL);
             if due {
@@ -83,7 +88,7 @@
         task.runs.iter_mut().find(|run| run.number == number)
     }
 
-    /// Removes a run that is not there any more.
+    /// Removes a run that does not exist any more, and releases what it reserved.
     pub(crate) fn drop_run(&mut self, worker: &str, id: TaskId, number: u64) -> Option<Run> {
         if let Some(worker) = self.workers.get_mut(worker) {
             worker.release(id, number);
@@ -94,6 +99,8 @@
         Some(task.runs.remove(at))
     }
 
+    /// Removes a run that does not exist any more, and queues its task if it needs another run. The
+    /// log line gives `reason` as `why`.
     pub(crate) fn drop_and_requeue(
         &mut self,
         now: Duration,
--- a/crates/crosspath_schedule/src/scheduler.rs
+++ b/crates/crosspath_schedule/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! The scheduler's state, and where each event goes.
+//! State of the scheduler, and dispatch of events.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -22,32 +22,33 @@
 use crate::tickets::Tickets;
 use crate::worker::Worker;
 
-/// Waiting tasks that make a backlog.
+/// Number of waiting tasks above which there is a backlog.
 const BACKLOG_TASKS: usize = 64;
-/// Between two rounds of placing with a backlog, where each end that is heard would set one off.
+/// Minimum time between two placement rounds while there is a backlog. Without it, every reported
+/// end of a run would trigger a round.
 const BACKLOG_PLACEMENT_INTERVAL: Duration = Duration::from_millis(4);
 
-/// What the scheduler is told once.
+/// Settings that stay the same while a daemon owns the shard.
 #[derive(Debug, Clone, Copy)]
 pub struct Settings {
-    /// The shard.
+    /// Number of the shard.
     pub shard: u32,
-    /// Lengths of leases.
+    /// Lengths of the leases that this owner grants.
     pub terms: Terms,
-    /// How long an ended job can be asked for.
+    /// Time for which an ended job can still be looked up.
     pub ended_job_retention: Duration,
-    /// Silence of membership after which an owner stops acting.
+    /// Time without renewal of its group membership after which an owner stops acting.
     pub membership_ttl: Duration,
 }
 
-/// The scheduler of one shard.
+/// Scheduler of one shard, on behalf of the shard's owner.
 #[derive(Debug)]
 pub struct Scheduler {
     pub(crate) settings: Settings,
     pub(crate) epoch: u64,
     pub(crate) jobs: BTreeMap<JobId, Job>,
     pub(crate) workers: BTreeMap<Arc<str>, Worker>,
-    /// Lives of VMs that are over, by their identifiers.
+    /// Incarnations that have ended, by worker identifier.
     pub(crate) ended_incarnations: BTreeMap<Arc<str>, EndedIncarnation>,
     pub(crate) waiting: BTreeSet<Key>,
     pub(crate) actions: Vec<Action>,
@@ -59,31 +60,36 @@
     pub(crate) vms_to_vacate: BTreeSet<Arc<str>>,
     /// Data centres that get no new work.
     pub(crate) evacuated: Arc<BTreeSet<Arc<str>>>,
-    /// Whether that is known recently enough to start anything.
+    /// Whether the set of evacuated data centres is recent enough to start tasks by it.
     pub(crate) may_start: bool,
-    /// Workers that take nothing but tasks that run alone.
+    /// Workers that accept only isolated tasks.
     pub(crate) reserved_for_isolation: BTreeSet<Arc<str>>,
-    /// Whether a task that runs alone waited in the last round of placing.
+    /// Whether an isolated task was waiting in the last placement round.
     pub(crate) isolation_pending: bool,
+    /// Whether this owner may send orders to workers.
     pub(crate) may_act: bool,
+    /// Whether something has changed that calls for a placement round.
     pub(crate) placement_due: bool,
-    /// What tasks want that the last round of placing found no worker for, in thousandths of a core.
+    /// Processor time required by the tasks for which the last placement round found no worker, in
+    /// thousandths of a core.
     pub(crate) unplaced_millis: u64,
-    /// Lasting tasks among those.
+    /// Number of long-running tasks among those.
     pub(crate) unplaced_long_running: u32,
-    /// Whether blame keeps work from workers in this round.
+    /// Whether workers with a high suspicion score get no new work in this round.
     pub(crate) quarantine_enabled: bool,
-    /// When tasks were last placed.
+    /// When the last placement round took place.
     last_placement: Duration,
-    /// Whether all workers are to be looked over.
+    /// Whether the runs on all workers are to be reviewed: stops to retry, workers to vacate,
+    /// stalled runs, throttling.
     review_due: bool,
-    /// Jobs that were cancelled before their record was read, and by whom.
+    /// Jobs that were cancelled before their acceptance record was read, and who cancelled them.
     pub(crate) early_cancellations: BTreeMap<JobId, Requester>,
+    /// Whether a later owner has claimed the shard.
     pub(crate) superseded: bool,
 }
 
 impl Scheduler {
-    /// An owner of a shard that has just claimed it in `epoch`.
+    /// Creates the scheduler of an owner that has just claimed its shard in `epoch`.
     #[must_use]
     pub fn new(settings: Settings, epoch: u64, now: Duration) -> Self {
         Self {
@@ -116,25 +122,27 @@
         }
     }
 
-    /// Whether a worker has told of a later owner.
+    /// Whether a later owner has claimed the shard, as far as workers, the store and its log have
+    /// shown.
     #[must_use]
     pub fn is_superseded(&self) -> bool {
         self.superseded
     }
 
-    /// Whether it is to decide again soon, without an event.
+    /// Whether [`Scheduler::decide`] should be called again soon even if no event arrives.
     #[must_use]
     pub fn decides_soon(&self) -> bool {
         self.commits.is_batching() || (self.placement_due && !self.waiting.is_empty())
     }
 
-    /// Whether some task waits for a worker with room.
+    /// Whether a task waits because no worker has the resources for it.
     #[must_use]
     pub fn lacks_workers(&self) -> bool {
         self.unplaced_millis > 0 && !self.waiting.is_empty()
     }
 
-    /// State of a job as it is kept; none when it is not known.
+    /// State of a job as reported to callers; `None` if the job is unknown. A job that has
+    /// completed or failed is reported as running until its state is durable.
     #[must_use]
     pub fn state(&self, job: JobId) -> Option<State> {
         let job = self.jobs.get(&job)?;
@@ -144,26 +152,27 @@
         Some(if not_durable { State::Running } else { job.state })
     }
 
-    /// What was accepted as a job; none when it is not known.
+    /// Acceptance of a job; `None` if the job is unknown.
     #[must_use]
     pub fn accepted(&self, job: JobId) -> Option<&Accepted> {
         self.jobs.get(&job).map(|job| job.accepted.as_ref())
     }
 
-    /// What the log is to keep of a job; none when it is not known.
+    /// Content of a job's progress record; `None` if the job is unknown. `wall_ms` is the time of
+    /// day in ms since 1970.
     #[must_use]
     pub fn progress(&self, job: JobId, wall_ms: u64) -> Option<Progress> {
         Some(self.jobs.get(&job)?.progress(wall_ms))
     }
 
-    /// Number of a queue's jobs of which no task has begun.
+    /// Number of jobs in a queue of which no task has started.
     #[must_use]
     pub fn queued_jobs(&self, queue: &str) -> u64 {
         let queued = |job: &&Job| job.state == State::Queued && *job.accepted.queue == *queue;
         self.jobs.values().filter(queued).count() as u64
     }
 
-    /// Takes in what has happened. `wall_ms` is the time of day in ms since 1970.
+    /// Applies an event to the state. `wall_ms` is the time of day in ms since 1970.
     pub fn handle(&mut self, now: Duration, wall_ms: u64, event: Event) {
         match event {
             Event::Accepted(id, accepted) => self.accept(now, wall_ms, id, accepted),
@@ -212,7 +221,8 @@
             Event::Superseded => self.superseded = true,
             Event::Tick => {
                 self.review_due = true;
-                // Time alone proves the runs beside which it may start.
+                // Runs leave probation as time passes, and an isolated task starts only beside runs
+                // that have left it.
                 self.placement_due |= self.isolation_pending;
                 self.unblock_due_steps(now, wall_ms);
                 self.release_expired(now);
@@ -222,7 +232,8 @@
         }
     }
 
-    /// Decides what to do now. Called after some events, and now and then without any.
+    /// Decides on the next actions. To be called after each batch of events, and from time to time
+    /// without any.
     pub fn decide(&mut self, now: Duration, wall_ms: u64) -> Vec<Action> {
         if self.may_act {
             if std::mem::take(&mut self.review_due) {
--- a/crates/crosspath_schedule/src/takeover.rs
+++ b/crates/crosspath_schedule/src/takeover.rs
@@ -1,14 +1,16 @@
-//! Taking a shard over: what the log kept, and what may still run unseen.
+//! Takeover of a shard: replay of its log, and runs that may exist although no worker has reported
+//! them yet.
 //!
-//! Where a run is started is written to the log before, so a new owner knows on which workers a
-//! task may run. A task that has no run by the answers of those workers is started at once; one that
-//! may be on a worker that does not answer waits until whatever was ordered there must have lapsed.
-//! No owner starts anything without that record, also while the store is away.
+//! The placement of a run is written to the log before the run is started, so a new owner knows on
+//! which workers a task may run. A task is started at once if those workers have answered and none
+//! of them has a run of it. If it may run on a worker that does not answer, it waits until every
+//! lease that a previous owner may have granted there has expired. No owner starts a run without
+//! that record, even while the store is unavailable.
 //!
-//! That wait is counted from the takeover, so with an owner after the other none ever ends: lasting
-//! tasks of a dark rack were away for 18 s while entry VMs were restarted in turn. So an owner that
-//! leaves a shard tells the next one, if that one asks, by when what may run on each worker has surely
-//! lapsed.
+//! The wait starts at the takeover, so it would never end while the shard changes owners in quick
+//! succession: long-running tasks of an unreachable rack were unavailable for 18 s while entry VMs
+//! were restarted one after another. Therefore an owner that leaves a shard reports to the next one,
+//! if that one asks, by when everything that may run on each worker has expired.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -24,26 +26,28 @@
 use crate::losses::Liveness;
 use crate::scheduler::{Scheduler, Settings};
 
-/// For orders of the owner before that were on their way.
+/// Allowance for orders of the previous owner that were in flight.
 const IN_FLIGHT_MARGIN: Duration = Duration::from_millis(500);
 
-/// What an owner knows of leases when it leaves a shard.
+/// Leases as known to an owner when it leaves a shard, for the next owner.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Handover {
-    /// Its epoch: the next owner may rely on the rest only if no other was between them.
+    /// Epoch of the leaving owner. The expiries are valid only for the owner of the next epoch: an
+    /// owner in between may have extended the leases.
     pub epoch: u64,
-    /// When what may run on each life of a worker has surely lapsed.
+    /// By worker incarnation, the time by which everything that may run on it has expired.
     pub expiries: BTreeMap<Arc<str>, Duration>,
 }
 
-/// Which inherited tasks may have runs that this owner has not seen.
+/// Worker incarnations that may have runs which this owner does not know of yet.
 #[derive(Debug)]
 pub(crate) struct Recovery {
-    /// Lives of workers that have not answered yet and are not over, and when what owners before ordered
-    /// there has surely lapsed.
+    /// Incarnations that the log names, that have not answered yet and are not known to have ended,
+    /// with the time by which every lease that previous owners granted there has expired.
     unaccounted: BTreeMap<Arc<str>, Duration>,
-    /// When everything unseen has lapsed.
+    /// Time by which every lease that previous owners granted on any worker has expired.
     deadline: Duration,
+    /// Whether no run can be left that this owner does not know of.
     complete: bool,
 }
 
@@ -54,28 +58,30 @@
         Self { unaccounted: BTreeMap::new(), deadline, complete: false }
     }
 
-    /// When everything that an owner before ordered has surely lapsed; 0 once that is so.
+    /// Time by which every lease that previous owners granted has expired; 0 once recovery is
+    /// complete.
     pub(crate) fn pending_until(&self) -> Duration {
         if self.complete { Duration::ZERO } else { self.deadline }
     }
 
-    /// Whether nothing unseen can be left.
+    /// Whether no run can be left that this owner does not know of.
     pub(crate) fn is_complete(&self) -> bool {
         self.complete
     }
 
-    /// Lives under a worker's identifier that have not answered and began before `started_ms`.
+    /// Incarnations with a worker's identifier that are unaccounted for and started before
+    /// `started_ms`. Those whose start is not known are left out.
     pub(crate) fn earlier_incarnations(&self, id: &str, started_ms: u64) -> Vec<Arc<str>> {
-        let named = self
+        let parsed = self
             .unaccounted
             .keys()
             .map(|incarnation| (incarnation, incarnations::parse(incarnation)));
-        let before =
-            named.filter(|(_, (of, started))| *of == id && (1..started_ms).contains(started));
+        let before = parsed
+            .filter(|(_, (worker, started))| *worker == id && (1..started_ms).contains(started));
         before.map(|(incarnation, _)| Arc::clone(incarnation)).collect()
     }
 
-    /// Whether time settles everything now.
+    /// Completes the recovery if its deadline has passed. Returns whether this call completed it.
     fn complete_at_deadline(&mut self, now: Duration) -> bool {
         let completes = !self.complete && now >= self.deadline;
         self.complete |= completes;
@@ -84,7 +90,8 @@
 }
 
 impl Scheduler {
-    /// Takes over what the log kept, newest record of each key, and the workers as listed.
+    /// Takes the shard over. `records` has the newest record of each key in the log, and `workers`
+    /// the entries of the worker list.
     pub fn take_over(
         &mut self,
         now: Duration,
@@ -117,7 +124,7 @@
             job.inherited = true;
         }
         self.recovery.unaccounted = progress_workers;
-        // An owner before could only start what is in the log.
+        // A previous owner can have started only runs that are recorded in the log.
         self.recovery.complete = self.jobs.values().all(|job| job.state.is_terminal());
         let (jobs, expected) = (self.jobs.len(), self.recovery.unaccounted.len());
         log::info!(
@@ -137,7 +144,8 @@
         }
     }
 
-    /// A life of a worker has answered, or is over: what it does not show is not there.
+    /// Accounts for an incarnation that has answered or ended: unreported runs on it do not exist, or
+    /// are lost.
     pub(crate) fn account_for(
         &mut self,
         now: Duration,
@@ -156,18 +164,19 @@
         }
     }
 
-    /// What was unseen on a life is over: it counts as lost, and its tasks are judged by that.
+    /// Accounts for an incarnation that has ended: its unreported runs count as lost, and tasks
+    /// that have lost too many runs fail their jobs.
     pub(crate) fn end_unaccounted(&mut self, now: Duration, incarnation: &Arc<str>) {
         self.account_for(now, incarnation, Liveness::Ended);
         self.enforce_loss_limits_on(now, incarnation);
     }
 
-    /// What this owner knows of leases, for the next one. A worker that it looked at may have heard a
-    /// look that extended them until just now, also where its last answer is older.
+    /// Lease expiries that this owner knows, for the next owner. A worker that this owner polls may
+    /// have received a poll that extended its leases just now, even if its last answer is older.
     #[must_use]
     pub fn handover(&self, now: Duration) -> Handover {
         let unaccounted = self.recovery.unaccounted.iter();
-        // Nothing was ordered there by this owner.
+        // This owner has sent no orders to these incarnations.
         let unaccounted =
             unaccounted.filter(|(incarnation, _)| !self.is_current_incarnation(incarnation));
         let unaccounted = unaccounted.map(|(incarnation, until)| (Arc::clone(incarnation), *until));
@@ -178,7 +187,7 @@
         Handover { epoch: self.epoch, expiries: unaccounted.chain(polled).collect() }
     }
 
-    /// Takes in what the owner before said of leases on workers that have not answered yet.
+    /// Applies the expiries of the previous owner to incarnations that have not answered yet.
     pub(crate) fn apply_handover(&mut self, leases: BTreeMap<Arc<str>, Duration>) {
         for (incarnation, expiry) in leases {
             let known = self.is_current_incarnation(&incarnation);
@@ -195,17 +204,17 @@
         }
     }
 
-    /// Frees what is unseen on each worker once it has surely lapsed there.
+    /// Releases unreported runs on each incarnation once all leases on it have expired.
     pub(crate) fn release_expired_unaccounted(&mut self, now: Duration) {
-        // While a first look at a worker is on its way, it may extend what runs there.
-        let lapsed = |incarnation: &Arc<str>| {
+        // The first poll of a worker may extend its leases while it is in flight.
+        let lease_expired = |incarnation: &Arc<str>| {
             let (worker, _) = incarnations::parse(incarnation);
             let worker = self.workers.get(worker);
             worker.is_none_or(|worker| worker.failures > 0 && now > worker.lease_expiry)
         };
         let unaccounted = self.recovery.unaccounted.iter();
         let expired =
-            unaccounted.filter(|(incarnation, until)| now >= **until && lapsed(incarnation));
+            unaccounted.filter(|(incarnation, until)| now >= **until && lease_expired(incarnation));
         let expired: Vec<_> = expired.map(|(incarnation, _)| Arc::clone(incarnation)).collect();
         for incarnation in expired {
             self.end_unaccounted(now, &incarnation);
@@ -222,7 +231,7 @@
         }
     }
 
-    /// Whether a task may be unseen on some worker.
+    /// Whether a previous owner may have started a run of the task that no worker has reported yet.
     pub(crate) fn may_have_unreported_run(&self, id: TaskId) -> bool {
         let Some(job) = self.jobs.get(&id.job) else { return false };
         job.inherited
--- a/crates/crosspath_schedule/src/worker.rs
+++ b/crates/crosspath_schedule/src/worker.rs
@@ -1,4 +1,4 @@
-//! One worker as its shard's owner knows it.
+//! State of a worker, as far as the shard owner knows it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -11,47 +11,49 @@
 use crate::incarnations;
 use crate::losses;
 
-/// A worker: one life of a VM.
+/// Worker: one incarnation of a VM.
 #[derive(Debug)]
 pub(crate) struct Worker {
+    /// Newest entry of the worker list, with the incarnation that answers polls.
     pub(crate) entry: Entry,
-    /// Whether the worker list still has it.
+    /// Whether the worker list still has an entry of the worker.
     pub(crate) listed: bool,
-    /// Whether a look under the own token was answered.
+    /// Whether the worker has answered a poll with this owner's fencing token.
     pub(crate) synced: bool,
-    /// When it was heard that another life has begun under the identifier.
+    /// When this owner learnt that a new incarnation has started under the identifier, if it has.
     pub(crate) incarnation_changed: Option<Duration>,
-    /// When the last look that it answered was sent.
+    /// Send time of the last poll that was answered.
     pub(crate) last_answered_poll: Duration,
-    /// Looks or orders that failed since the last answer.
+    /// Number of polls that failed since the last answer.
     pub(crate) failures: u32,
-    /// No new work before, after refusals and failures.
+    /// Time before which the worker gets no new work, after refused or unanswered orders.
     pub(crate) cooldown_until: Duration,
-    /// When everything there has surely lapsed without further orders.
+    /// Time by which all leases on the worker have expired if no further order extends them.
     pub(crate) lease_expiry: Duration,
-    /// The same of what this owner has ordered.
+    /// The same for leases that this owner has granted, leaving out those of previous owners.
     pub(crate) ordered_lease_expiry: Duration,
-    /// Reserved by runs.
+    /// Sum of the resources that the runs reserve.
     pub(crate) reserved: Resources,
-    /// Runs that are or may be there.
+    /// Runs that exist or may exist on the worker, with the resources that each reserves.
     pub(crate) runs: BTreeMap<(TaskId, u64), Resources>,
-    /// Highest number of an end that was taken in.
+    /// Highest sequence number of an ended run whose report was processed.
     pub(crate) ends_seen: u64,
-    /// Highest number of an end that was acknowledged.
+    /// Highest sequence number of an ended run that was acknowledged to the worker.
     pub(crate) ends_acknowledged: u64,
-    /// Score of late failures and stalls; decays.
+    /// Score of recent failures and stalls on the worker; decays over time.
     pub(crate) suspicion: f64,
-    /// When the score was last changed.
+    /// When the suspicion score last changed.
     pub(crate) suspicion_updated: Duration,
-    /// Runs there of tasks that keep apart and have not proved themselves, and whether each is to be alone.
+    /// Runs on probation of tasks that are to be separated, and whether each is to be isolated.
     pub(crate) suspect_runs: BTreeMap<(TaskId, u64), bool>,
-    /// Orders without an answer, until their effect is ruled out.
+    /// Runs with an order that got no answer, until its effect is ruled out.
     pub(crate) unanswered: BTreeSet<(TaskId, u64)>,
 }
 
-/// Score above which a worker gets no new work.
+/// Suspicion score from which on a worker gets no new work.
 pub(crate) const QUARANTINE_THRESHOLD: f64 = 2.5;
-/// Time in which the score halves; a worker is tried again a few seconds after it was bad.
+/// Time in which the suspicion score halves. A worker is used again a few seconds after its
+/// failures.
 const SUSPICION_HALF_LIFE: Duration = Duration::from_secs(3);
 
 impl Worker {
@@ -82,7 +84,7 @@
         Target { address, id: Arc::clone(id), started_ms }
     }
 
-    /// Name of its life.
+    /// Name of the worker's incarnation, see [`incarnations::name`].
     pub(crate) fn incarnation(&self) -> Arc<str> {
         incarnations::name(&self.entry.id, self.entry.started_ms)
     }
@@ -91,12 +93,12 @@
         self.entry.capacity.minus(&self.reserved)
     }
 
-    /// Whether it has answered this owner, and its last look too.
+    /// Whether the worker has answered this owner, and its last poll did not fail.
     pub(crate) fn is_answering(&self) -> bool {
         self.synced && self.failures == 0
     }
 
-    /// Whether it takes new work, room aside.
+    /// Whether the worker accepts new work, apart from the resources that it has left.
     pub(crate) fn is_usable(&self, now: Duration) -> bool {
         self.listed && self.is_answering() && !self.entry.draining && now >= self.cooldown_until
     }
@@ -115,26 +117,26 @@
         self.entry.labels.iter().any(|own| **own == *label)
     }
 
-    /// Adds a run that is or may be there.
+    /// Adds a run that exists or may exist on the worker, and reserves its resources.
     pub(crate) fn reserve(&mut self, task: TaskId, run: u64, resources: Resources) {
         if self.runs.insert((task, run), resources).is_none() {
             self.reserved.add(&resources);
         }
     }
 
-    /// Notes a run of a task with so many losses.
+    /// Marks a run as suspect if its task has lost enough runs to be separated from others.
     pub(crate) fn mark_suspect(&mut self, task: TaskId, run: u64, losses: usize) {
         if losses::needs_separation(losses) {
             self.suspect_runs.insert((task, run), losses::needs_isolation(losses));
         }
     }
 
-    /// Whether a run there is to be alone.
+    /// Whether a run on the worker is to be isolated.
     pub(crate) fn isolates(&self) -> bool {
         self.suspect_runs.values().any(|alone| *alone)
     }
 
-    /// Removes a run that is not there any more.
+    /// Removes a run that does not exist any more, and frees its resources.
     pub(crate) fn release(&mut self, task: TaskId, run: u64) {
         self.suspect_runs.remove(&(task, run));
         self.unanswered.remove(&(task, run));
@@ -143,13 +145,13 @@
         }
     }
 
-    /// An order that extends or gives leases was sent.
+    /// Notes that an order was sent which may extend leases on the worker up to `expiry`.
     pub(crate) fn extend_lease(&mut self, expiry: Duration) {
         self.ordered_lease_expiry = self.ordered_lease_expiry.max(expiry);
         self.lease_expiry = self.lease_expiry.max(expiry);
     }
 
-    /// Owners before may have given leases.
+    /// Notes that previous owners may have granted leases on the worker up to `expiry`.
     pub(crate) fn inherit_lease(&mut self, expiry: Duration) {
         self.lease_expiry = self.lease_expiry.max(expiry);
     }
