--- a/crates/crosspath_schedule/src/jobs.rs
+++ b/crates/crosspath_schedule/src/jobs.rs
@@ -12,6 +12,8 @@
 use crate::scheduler::Scheduler;
 
 impl Scheduler {
+    /// Adds a job whose acceptance record was read from the log. A job that is already known is
+    /// left as it is.
     pub(crate) fn accept(
         &mut self,
         now: Duration,
@@ -56,6 +58,8 @@
         self.jobs.insert(id, job);
     }
 
+    /// Cancels a job if it belongs to the requester. The cancellation of a job whose acceptance was
+    /// not read yet is remembered and applied once it is.
     pub(crate) fn cancel(&mut self, now: Duration, id: JobId, by: Requester) {
         let Some(job) = self.jobs.get(&id) else {
             self.early_cancellations.insert(id, by);
@@ -70,6 +74,7 @@
         }
     }
 
+    /// Unblocks the steps of all occurrences that have become due, in all jobs.
     pub(crate) fn unblock_due_steps(&mut self, now: Duration, wall_ms: u64) {
         let pending = |job: &&Job| {
             !job.state.is_terminal() && job.occurrences.iter().any(|occurrence| !occurrence.due)
@@ -152,6 +157,8 @@
         self.placement_due = true;
     }
 
+    /// Ends a job in the terminal state `state`: removes its tasks from the queue and stops its
+    /// runs.
     pub(crate) fn finish(&mut self, now: Duration, id: JobId, state: State) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         log::info!(
@@ -161,12 +168,12 @@
         );
         job.state = state;
         job.ended = now;
-        let running = job.active_runs();
+        let active = job.active_runs();
         let keys: Vec<_> = self.waiting.iter().filter(|key| key.task.job == id).copied().collect();
         for key in keys {
             self.waiting.remove(&key);
         }
-        for (task, run, _) in running {
+        for (task, run, _) in active {
             self.stop_run(now, task, run);
         }
         self.commits.mark_dirty(now, id);
--- a/crates/crosspath_schedule/src/limits.rs
+++ b/crates/crosspath_schedule/src/limits.rs
@@ -30,7 +30,9 @@
     /// Customers' maxima; `None` until a configuration was read. Until then no job of a customer
     /// starts.
     limits: Option<Limits>,
+    /// The shard's allotments, by customer, and the state of its requests to the ledger.
     allowance: Allowance,
+    /// Usage and unmet demand by customer; only customers with a maximum have an entry.
     usage: BTreeMap<Arc<str>, Usage>,
     /// Processor time required by the tasks that were blocked on quota in the last round of
     /// placement, in thousandths of a core.
@@ -95,8 +97,8 @@
         let mut usage: BTreeMap<Arc<str>, Usage> = BTreeMap::new();
         let runs = self.workers.values().flat_map(|worker| worker.runs.keys());
         let runs = runs.map(|(task, _)| *task);
-        let is_settling = !self.recovery.is_complete();
-        let inherited = self.jobs.values().filter(|job| is_settling && job.inherited);
+        let is_recovering = !self.recovery.is_complete();
+        let inherited = self.jobs.values().filter(|job| is_recovering && job.inherited);
         let unreported = inherited.flat_map(unreported_tasks);
         for task in runs.chain(unreported) {
             let Some(customer) = self.limited_customer(task.job) else { continue };
--- a/crates/crosspath_schedule/src/losses.rs
+++ b/crates/crosspath_schedule/src/losses.rs
@@ -172,6 +172,7 @@
         }
     }
 
+    /// Adds a loss to a task that is not done, unless the loss of that run is already counted.
     fn add_loss(&mut self, now: Duration, id: TaskId, loss: Loss) {
         let Some(task) = self.task_mut(id) else { return };
         let known = task.lost.iter().any(|known| known.run == loss.run);
@@ -215,6 +216,7 @@
         }
     }
 
+    /// Tasks of unfinished jobs that have a loss on a worker incarnation.
     fn tasks_lost_on(&self, incarnation: &str) -> Vec<TaskId> {
         let running = self.jobs.values().filter(|job| !job.state.is_terminal());
         let tasks = running.flat_map(Job::tasks);
@@ -230,6 +232,7 @@
         }
     }
 
+    /// Fails the job of a task if the task has too many losses.
     fn enforce_loss_limit(&mut self, now: Duration, id: TaskId) {
         let Some(job) = self.jobs.get(&id.job).filter(|job| !job.state.is_terminal()) else {
             return;
@@ -259,14 +262,14 @@
         }
         let max = (self.workers.len() as f64 * MAX_ISOLATING_SHARE).ceil();
         let isolating = self.workers.values().filter(|worker| worker.isolates()).count();
-        let mut left = max - isolating as f64;
+        let mut remaining = max - isolating as f64;
         for id in isolated {
-            if left < 1.0 {
+            if remaining < 1.0 {
                 return;
             }
             let Some(worker) = self.best_worker_to_isolate(now, id) else { continue };
             self.reserved_for_isolation.insert(worker);
-            left -= 1.0;
+            remaining -= 1.0;
         }
     }
 
--- a/crates/crosspath_schedule/src/place.rs
+++ b/crates/crosspath_schedule/src/place.rs
@@ -28,6 +28,7 @@
 /// tasks, then by latest start and identifier. The other fields do not affect this order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Key {
+    /// Priority from the job's policy; lower values go first.
     priority: u32,
     /// Whether the task ends by itself. Long-running tasks are placed first, as they are
     /// unavailable while they wait.
@@ -125,6 +126,9 @@
 }
 
 impl Scheduler {
+    /// Runs one round of placement. Tasks within their customers' shares that can meet their
+    /// deadline go first, then late ones, then those over the share. The round ends early after
+    /// [`MAX_CONSECUTIVE_UNPLACED`] tasks without a fitting worker.
     pub(crate) fn place(&mut self, now: Duration) {
         self.update_quarantine(now);
         self.recount_usage(now);
@@ -281,6 +285,8 @@
         });
     }
 
+    /// The eligible worker with enough free resources and the lowest cost; ties go to the lowest
+    /// identifier.
     fn best_worker(&self, now: Duration, id: TaskId) -> Option<Arc<str>> {
         let step = self.step_of(id)?;
         let resources = step.reserved();
@@ -325,6 +331,7 @@
             && self.tickets.allows(id, &worker.entry.id)
     }
 
+    /// Whether a worker gets no new tasks because of its suspicion score.
     fn is_quarantined(&self, now: Duration, worker: &Worker) -> bool {
         self.quarantine_enabled && worker.suspicion_at(now) >= QUARANTINE_THRESHOLD
     }
@@ -373,6 +380,7 @@
         })
     }
 
+    /// Places all members of the gang that the task belongs to, or none of them.
     fn place_gang(&mut self, now: Duration, id: TaskId) {
         let Some(job) = self.jobs.get(&id.job) else { return };
         let accepted = Arc::clone(&job.accepted);
--- a/crates/crosspath_schedule/src/shares.rs
+++ b/crates/crosspath_schedule/src/shares.rs
@@ -26,9 +26,11 @@
 /// Weights of the customers, and how much of their shares is unused.
 #[derive(Debug, Default)]
 pub(crate) struct Shares {
+    /// Jobs per second by customer, over all shards.
     weights: Weights,
     /// Fraction of each customer's jobs that comes to this shard.
     fraction: f64,
+    /// Token buckets by customer, each created full at the customer's first job.
     buckets: BTreeMap<Arc<str>, Bucket>,
 }
 
--- a/crates/crosspath_schedule/src/stall.rs
+++ b/crates/crosspath_schedule/src/stall.rs
@@ -18,6 +18,7 @@
 const STALL_PENALTY: f64 = 1.5;
 
 impl Scheduler {
+    /// Stops all stalled runs on workers that answer.
     pub(crate) fn stop_stalled(&mut self, now: Duration) {
         let mut stalled: Vec<(TaskId, u64)> = Vec::new();
         for worker in self.workers.values().filter(|worker| worker.failures == 0) {
--- a/crates/crosspath_schedule/src/throttle.rs
+++ b/crates/crosspath_schedule/src/throttle.rs
@@ -22,6 +22,7 @@
 const MIN_PERCENT: u32 = 5;
 
 impl Scheduler {
+    /// Adjusts the speed of best-effort runs on answering workers to the tail latencies there.
     pub(crate) fn throttle_best_effort(&mut self) {
         let mut orders = Vec::new();
         for worker in self.workers.values().filter(|worker| worker.failures == 0) {
@@ -55,6 +56,8 @@
     }
 }
 
+/// The next speed of a run that works at `percent` of its full speed. `pressure` is the highest
+/// ratio of a tail latency to its target on the worker; 0 if there is no target.
 fn adjusted_percent(percent: u32, pressure: f64) -> u32 {
     if pressure >= SLOW_DOWN_RATIO {
         let slower = percent * SLOW_DOWN_PERCENT / 100;
--- a/crates/crosspath_schedule/src/tickets.rs
+++ b/crates/crosspath_schedule/src/tickets.rs
@@ -51,8 +51,11 @@
 
 #[derive(Debug, Default)]
 struct Advice {
+    /// Tickets by worker; workers without one may not run the step.
     approved: BTreeMap<Arc<str>, Arc<str>>,
+    /// When the tickets are no longer used, with [`TICKET_MARGIN`] subtracted.
     valid_until: Duration,
+    /// When the last request was sent, or its failure became known; zero before the first.
     requested: Duration,
 }
 
@@ -75,6 +78,7 @@
         due
     }
 
+    /// Takes in the answer, or the failure, of the last request for the step.
     pub(crate) fn record_answer(
         &mut self,
         now: Duration,
@@ -101,11 +105,13 @@
         self.0.remove(&step_id(task));
     }
 
+    /// Whether the advice service lets the task run on a worker. Always true without advice.
     pub(crate) fn allows(&self, task: TaskId, worker: &Arc<str>) -> bool {
         let advice = self.0.get(&step_id(task));
         advice.is_none_or(|advice| advice.approved.contains_key(worker))
     }
 
+    /// The ticket with which the task may start on a worker; `None` without advice.
     pub(crate) fn ticket(&self, task: TaskId, worker: &Arc<str>) -> Option<Arc<str>> {
         self.0.get(&step_id(task))?.approved.get(worker).cloned()
     }
--- a/crates/crosspath_schedule/src/vacate.rs
+++ b/crates/crosspath_schedule/src/vacate.rs
@@ -20,6 +20,7 @@
 const MOVE_COST: Duration = Duration::from_millis(1_500);
 
 impl Scheduler {
+    /// Stops the runs that may be moved now from workers that drain or are to be vacated.
     pub(crate) fn stop_tasks_to_vacate(&mut self, now: Duration) {
         let leaving = |worker: &&Worker| {
             worker.failures == 0 && (worker.entry.draining || self.must_be_vacated(worker))
@@ -46,6 +47,7 @@
         self.vms_to_vacate.contains(&worker.entry.vm) || self.is_evacuated(worker)
     }
 
+    /// Whether a run on a worker that is to be vacated should be stopped now.
     fn should_stop(&self, now: Duration, id: TaskId, number: u64) -> bool {
         let Some(step) = self.step_of(id) else { return false };
         let Some(run) = self.run(id, number) else { return false };
@@ -76,6 +78,7 @@
         u32::try_from(unavailable.count()).unwrap_or(u32::MAX)
     }
 
+    /// Whether some eligible worker has enough free resources for the task.
     fn fits_elsewhere(&self, now: Duration, id: TaskId) -> bool {
         let Some(step) = self.step_of(id) else { return false };
         let resources = step.reserved();
