--- a/crates/crosspath_fleet/src/demand.rs
+++ b/crates/crosspath_fleet/src/demand.rs
@@ -49,9 +49,9 @@
 impl Demand {
     /// Takes in a report.
     pub(crate) fn sample(&mut self, now: Duration, pool: &report::Pool) {
-        let short_lived =
+        let finite =
             (pool.running_millis + pool.waiting_millis).saturating_sub(pool.long_running_millis);
-        let millis = short_lived as f64 + pool.blocked_millis as f64 * BLOCKED_SHARE;
+        let millis = finite as f64 + pool.blocked_millis as f64 * BLOCKED_SHARE;
         self.long_running_millis = pool.long_running_millis as f64;
         self.samples.push_back((now, millis));
         self.spread = pool.min_vms;
@@ -68,11 +68,11 @@
     /// Thousandths of a core that will be wanted when a move ordered now is through, at VMs of `vm_millis`
     /// each.
     pub(crate) fn forecast(&self, vm_millis: u64) -> f64 {
-        self.long_running_millis + self.short_lived_forecast(vm_millis)
+        self.long_running_millis + self.finite_forecast(vm_millis)
     }
 
     /// The same of brief work.
-    fn short_lived_forecast(&self, vm_millis: u64) -> f64 {
+    fn finite_forecast(&self, vm_millis: u64) -> f64 {
         let Some((last_at, last)) = self.samples.back() else { return 0.0 };
         let Some((first_at, first)) = self.samples.front() else { return 0.0 };
         let span = last_at.saturating_sub(*first_at).as_secs_f64();
@@ -105,10 +105,9 @@
     /// tasks that must be spread need a place to move to.
     pub(crate) fn target_vms(&self, vm_millis: u64, awaits_maintenance: bool) -> u32 {
         let vms = |millis: f64| millis / vm_millis.max(1) as f64;
-        let short_lived = vms(self.short_lived_forecast(vm_millis));
-        let headroom =
-            (short_lived * MAX_HEADROOM_SHARE).min(short_lived.sqrt() * HEADROOM_SQRT_FACTOR);
-        let target = vms(self.long_running_millis) + short_lived + headroom + RESERVE_VMS;
+        let finite = vms(self.finite_forecast(vm_millis));
+        let headroom = (finite * MAX_HEADROOM_SHARE).min(finite.sqrt() * HEADROOM_SQRT_FACTOR);
+        let target = vms(self.long_running_millis) + finite + headroom + RESERVE_VMS;
         #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "some VMs")]
         let target = target.ceil() as u32;
         let spread = self.spread + u32::from(awaits_maintenance);
--- a/crates/crosspath_node/tests/node/map.rs
+++ b/crates/crosspath_node/tests/node/map.rs
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn slices_with_long_running_tasks_of_other_pools_get_fewer_short_lived_jobs() {
+fn slices_with_long_running_tasks_of_other_pools_get_fewer_finite_jobs() {
     let mut map = Map::default();
     extend(&mut map, &pools(&["a", "b"]), 300);
     let mut jobs = vec![0; 5];
