--- a/crates/crosspath_fleet/src/allocation.rs
+++ b/crates/crosspath_fleet/src/allocation.rs
@@ -1,24 +1,24 @@
-//! Dividing the VMs among pools that want more than there are.
+//! Allocation of VMs to pools whose combined targets may exceed the number of VMs.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// How much more an unmet wish of the most urgent work counts than one of any other.
+/// Weight of the deficit of a pool with top-priority work, relative to 1 for any other pool.
 const TOP_PRIORITY_WEIGHT: f64 = 2.0;
 
-/// What a pool wants.
+/// Number of VMs that a pool asks for.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Request {
-    /// VMs that it keeps whatever others want.
+    /// VMs that the pool keeps regardless of the targets of others.
     pub(crate) minimum: u32,
-    /// VMs that it wants.
+    /// VMs that the pool should have; caps `minimum`.
     pub(crate) target: u32,
-    /// Priority of its most urgent work; 0 goes first.
+    /// Priority of the pool's most urgent work; 0 is the highest.
     pub(crate) priority: u32,
 }
 
 impl Request {
-    /// How much the pool lacks with `given` VMs.
+    /// Unmet share of the target with `allocated` VMs, weighted by priority.
     fn weighted_deficit(&self, allocated: u32) -> f64 {
         let missing = f64::from(self.target.saturating_sub(allocated));
         let weight = if self.priority == 0 { TOP_PRIORITY_WEIGHT } else { 1.0 };
@@ -26,7 +26,8 @@
     }
 }
 
-/// What each pool gets of `total` VMs: its base, then by turns to the one that lacks most.
+/// Allocates `total` VMs: each pool gets its minimum, then the rest goes one by one to the pool
+/// with the largest weighted deficit.
 pub(crate) fn allocate(
     requests: &BTreeMap<Arc<str>, Request>,
     total: u32,
--- a/crates/crosspath_fleet/src/donor.rs
+++ b/crates/crosspath_fleet/src/donor.rs
@@ -1,4 +1,4 @@
-//! Which VM is given to a pool that lacks some.
+//! Selection of the VM to move to a pool with a deficit.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,29 +8,30 @@
 
 use crate::index::Index;
 
-/// How willingly a VM is given away: the least first.
+/// Preference for giving a VM away: the lowest rank is taken first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank<'a> {
-    /// A VM that is idle while it awaits its upkeep can have it at once.
+    /// Such a VM is taken later: while it is idle, its maintenance can start at once.
     awaits_maintenance: bool,
     used_millis: u64,
     name: &'a str,
 }
 
-/// VMs that may be given away in this round, in the order in which they are. Ranked once a round: the
-/// next VM is then found by the pools, not by all VMs.
+/// VMs that may be moved in this round, in order of preference. They are ranked once a round, so
+/// that selecting one goes over the pools and not over all VMs.
 #[derive(Debug, Default)]
 pub(crate) struct Donors<'a> {
-    /// VMs of serving pools that have been idle for long, the best last.
+    /// VMs of serving pools that have been idle long enough, by pool, the best last.
     idle: BTreeMap<Arc<str>, Vec<(Rank<'a>, &'a Vm)>>,
-    /// VMs that are off, the best last.
+    /// VMs of the spare pool, the best last.
     spare: Vec<(Rank<'a>, &'a Vm)>,
-    /// Other VMs of serving pools without lasting tasks, the best last.
+    /// Other VMs of serving pools that run no long-running tasks, by pool, the best last.
     serving: BTreeMap<Arc<str>, Vec<(Rank<'a>, &'a Vm)>>,
 }
 
 impl<'a> Donors<'a> {
-    /// Ranks VMs that are free to be moved; `is_long_idle` tells of those that go off if they are not given away.
+    /// Ranks the `movable` VMs; `is_long_idle` selects those that would move to the spare pool if
+    /// not used here.
     pub(crate) fn new(
         index: &Index<'a>,
         movable: impl Iterator<Item = &'a Vm>,
@@ -60,9 +61,10 @@
         donors
     }
 
-    /// Takes a VM that has long been idle of the pools that have VMs `over` what they want, else one that is
-    /// off, else, where `lacks_much`, the least used of those pools. A VM that is idle for so long goes off
-    /// now, and to bring another in instead would be two moves where one will do.
+    /// Takes the best VM: a long-idle one of an `oversized` pool, else a spare one, else, if
+    /// `is_large_deficit`, the least used VM of an oversized pool. Long-idle VMs come first because
+    /// they move to the spare pool now, and bringing in another VM instead would take two moves
+    /// where one is enough.
     pub(crate) fn take(
         &mut self,
         oversized: &BTreeSet<&Arc<str>>,
@@ -78,7 +80,7 @@
     }
 }
 
-/// Takes the best VM of some pools.
+/// Takes the best VM among those of the `oversized` pools.
 fn pop_best<'a>(
     pools: &mut BTreeMap<Arc<str>, Vec<(Rank<'a>, &'a Vm)>>,
     oversized: &BTreeSet<&Arc<str>>,
--- a/crates/crosspath_fleet/src/intent.rs
+++ b/crates/crosspath_fleet/src/intent.rs
@@ -1,4 +1,4 @@
-//! What is planned for a VM.
+//! Planned orders and their progress.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -6,30 +6,30 @@
 
 use crosspath_border::vm::Order;
 
-/// How far a plan for a VM is.
+/// Progress of a planned order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Stage {
-    /// Its tasks end or are moved.
+    /// The VM's tasks end or are moved; the order has not been sent.
     Vacating,
-    /// The order was given and has no answer yet.
+    /// The order was sent and has not been answered.
     Ordered {
-        /// When it was last sent.
+        /// Time of the last attempt.
         at: Duration,
     },
-    /// The order was done.
+    /// The platform reported the order as done.
     Done {
-        /// When that was heard.
+        /// Time at which the answer arrived.
         at: Duration,
     },
 }
 
-/// A plan for a VM.
+/// An order that is planned for a VM.
 #[derive(Debug, Clone)]
 pub(crate) struct Intent {
     pub(crate) order: Order,
     pub(crate) stage: Stage,
     pub(crate) planned_at: Duration,
-    /// How long the lasting tasks that were there take to move elsewhere.
+    /// Estimated time to move the long-running tasks that the VM had when the order was planned.
     pub(crate) time_to_vacate: Duration,
 }
 
@@ -52,18 +52,19 @@
         }
     }
 
-    /// Whether the VM is to become vacant for its upkeep in a wave.
+    /// Whether the VM is being vacated for maintenance in the wave.
     pub(crate) fn is_vacating_for(&self, wave: u64) -> bool {
         self.maintenance_wave() == Some(wave) && self.stage == Stage::Vacating
     }
 
-    /// Whether upkeep in a wave was ordered, done or not.
+    /// Whether maintenance in the wave has been ordered, done or not.
     pub(crate) fn is_ordered_for(&self, wave: u64) -> bool {
         self.maintenance_wave() == Some(wave) && self.stage != Stage::Vacating
     }
 
-    /// Whether the order may be given by what is left of the upkeep orders of each wave; it is then
-    /// one fewer. An order that was given before is counted already.
+    /// Whether the order may be sent within the remaining maintenance budget of its wave, from
+    /// which it then takes one. Moves need no budget, and an order that was sent before is already
+    /// counted.
     pub(crate) fn consume_budget(&self, budgets: &mut BTreeMap<u64, usize>) -> bool {
         let Some(wave) = self.maintenance_wave() else { return true };
         if self.stage != Stage::Vacating {
--- a/crates/crosspath_fleet/src/lib.rs
+++ b/crates/crosspath_fleet/src/lib.rs
@@ -1,9 +1,10 @@
-//! Which VM is in which pool, and when a VM has its upkeep.
+//! Planner of the fleet: assigns VMs to pools and schedules their maintenance.
 //!
-//! The fleet's one owner calls [`Planner::plan`] some times a second with what it knows: the list of
-//! VMs, each pool as its owner reports it, the waves. The planner says which VMs are to become
-//! vacant and which orders to give. An order kills all that runs on a VM, so it is given only for a
-//! VM that its pool's owner has reported as vacant while it was to be.
+//! The single owner of the fleet calls [`Planner::plan`] several times a second with its current
+//! view: the list of VMs, the report of each pool's owner, and the maintenance waves. The planner
+//! returns the orders to send and decides which VMs have to be vacated. An order kills everything
+//! that runs on a VM, so it is sent only for a VM that its pool's owner has reported as vacant
+//! while the VM was marked for vacating.
 //!
 //! Nothing here does I/O or reads a clock; `now` is the time since the process started.
 
--- a/crates/crosspath_fleet/src/moves.rs
+++ b/crates/crosspath_fleet/src/moves.rs
@@ -1,4 +1,4 @@
-//! Which VM moves to which pool.
+//! Selection of VMs to move between pools.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,13 +12,13 @@
 use crate::intent::Intent;
 use crate::planner::{Planner, View};
 
-/// A pool that lacks less than this share of what it wants gets no VM that another pool uses: what
-/// is wanted changes all the time, and a move costs some seconds of a VM.
+/// A pool whose deficit is below this share of its target gets no VM that another pool uses:
+/// targets change all the time, and a move takes a VM out of service for some seconds.
 const MIN_DEFICIT_SHARE: f64 = 0.1;
-/// Between two lines on each pool.
+/// Time between two log lines on the same pool.
 const LOG_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// VMs that a pool has and wants.
+/// Current and target number of VMs of a pool.
 #[derive(Debug, Clone, Copy, Default)]
 struct Balance {
     size: u32,
@@ -36,11 +36,11 @@
 }
 
 impl Planner {
-    /// Plans at most `most` moves: to pools that lack VMs, and of idle VMs to the spare pool. VMs that pools lack
-    /// after that.
+    /// Plans at most `max_moves` moves: to pools with a deficit, and of idle VMs to the spare pool.
+    /// Returns the total deficit that remains.
     ///
-    /// Idle VMs go off at the rate at which the platform takes orders, too: what it refuses is a call and a record
-    /// for nothing, and holds up the orders that pools wait for.
+    /// Moves of idle VMs also keep to the platform's order rate: a refused order costs a call and a
+    /// record, and delays the orders that pools with a deficit wait for.
     pub(crate) fn plan_moves(&mut self, now: Duration, index: &Index<'_>, max_moves: usize) -> u32 {
         let view = index.view;
         let mut balances = self.balances(index);
@@ -53,7 +53,8 @@
                 break;
             }
             let oversized = balances.get(&vm.pool).is_some_and(|balance| balance.surplus() > 0);
-            // A VM that gets no work counts for no pool, so none is the poorer without it.
+            // A VM of an evacuated data centre gets no work and counts towards no pool, so no pool
+            // loses capacity.
             let unneeded = oversized || (view.is_evacuated(vm) && !view.is_spare(vm));
             if unneeded && self.is_free(now, vm) && self.is_long_idle(now, &vm.name) {
                 self.move_vm(now, vm, spare, view, &mut balances);
@@ -63,8 +64,8 @@
         total_deficit
     }
 
-    /// Gives VMs to the pools that lack most: long idle ones of pools that have more than they want, else
-    /// those that are off, else nearly idle ones. Moves that were planned.
+    /// Moves VMs to the pools with the largest deficits: long-idle VMs of oversized pools, else
+    /// spare VMs, else the least used VMs of oversized pools. Returns the number of planned moves.
     fn fill_deficits(
         &mut self,
         now: Duration,
@@ -100,7 +101,7 @@
         max_moves
     }
 
-    /// One line a pool, now and then.
+    /// Logs one line per pool every [`LOG_INTERVAL`].
     fn log_pools(&mut self, now: Duration, view: &View, balances: &BTreeMap<Arc<str>, Balance>) {
         if now < self.logged_at + LOG_INTERVAL {
             return;
@@ -159,7 +160,7 @@
         balances
     }
 
-    /// What each pool whose owner answers is to have.
+    /// Target size of each serving pool whose owner has reported; the current sizes are 0.
     fn target_sizes(&self, index: &Index<'_>) -> BTreeMap<Arc<str>, Balance> {
         let view = index.view;
         let largest = index.vms().iter().map(|vm| vm.capacity.cpu_millis).max().unwrap_or(1);
@@ -178,7 +179,9 @@
         allocated.map(|(pool, target)| (pool, Balance { size: 0, target })).collect()
     }
 
-    /// Whether a VM can be given to one of the pools now.
+    /// Whether the VM counts towards the total that is allocated: it is in a pool with a request or
+    /// in the spare pool, not down, not planned for maintenance, and not in an evacuated data
+    /// centre.
     fn is_assignable(&self, vm: &Vm, requests: &BTreeMap<Arc<str>, Request>, view: &View) -> bool {
         let in_known_pool = requests.contains_key(&vm.pool) || view.is_spare(vm);
         let intent = self.intents.get(&vm.name);
--- a/crates/crosspath_fleet/src/planner.rs
+++ b/crates/crosspath_fleet/src/planner.rs
@@ -1,4 +1,4 @@
-//! The planner's state, and one round of it.
+//! State of the planner and the planning round.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -12,114 +12,117 @@
 use crate::index::Index;
 use crate::intent::{Intent, Stage};
 
-/// An order without an answer is given again after this; it is the same order.
+/// Time after which an unanswered order is sent again; the repeated order is identical.
 const ORDER_RETRY_INTERVAL: Duration = Duration::from_millis(1_200);
-/// A VM whose order is done is back in the list within this; a move or upkeep takes about 2 s.
+/// Time after which a VM whose order was done is planned for again even if the list does not show
+/// the result. A move or maintenance takes about 2 s.
 const COMPLETION_TIMEOUT: Duration = Duration::from_secs(5);
-/// A list that was asked for so long after an order shows it.
+/// A list requested this long after an order shows its result.
 const LIST_LAG: Duration = Duration::from_millis(800);
-/// Before a VM that was refused is tried again.
+/// Time before a VM is ordered again after the platform answered that it is busy.
 const BUSY_COOLDOWN: Duration = Duration::from_millis(1_000);
-/// A longer time between two rounds gives no right to more orders.
+/// Longest time since the last round that counts towards the order budget.
 const MAX_ROUND_INTERVAL: Duration = Duration::from_millis(400);
-/// For which a VM that is to become vacant may take, beside the moves of its lasting tasks; after it
-/// another is chosen.
+/// Time that vacating a VM may take beyond the moves of its long-running tasks; then the plan is
+/// dropped and another VM is selected.
 const VACATE_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// What the planner is told once.
+/// Parameters of a planner.
 #[derive(Debug, Clone, Copy)]
 pub struct Settings {
-    /// Cost of a VM in a serving pool, a second; in one unit with `vm_move`.
+    /// Cost of a VM in a serving pool per second, in the unit of `vm_move`.
     pub vm_second: f64,
-    /// Cost of a move.
+    /// Cost of moving a VM from one pool to another.
     pub vm_move: f64,
-    /// Orders that the platform takes a second, of all slices together.
+    /// Orders per second that the platform accepts from all slices together.
     pub orders_per_s: f64,
 }
 
 impl Settings {
-    /// Idle time after which moving a VM out and back costs less than keeping it.
+    /// Idle time after which a VM moves to the spare pool: half the time in which keeping it costs
+    /// as much as moving it out and back, within 0.8 s and 30 s.
     pub(crate) fn idle_timeout(&self) -> Duration {
         let seconds = 2.0 * self.vm_move / self.vm_second.max(f64::MIN_POSITIVE);
-        // A VM that was wanted a moment ago is likely to be wanted again.
+        // A VM that was needed a moment ago is likely to be needed again.
         Duration::from_secs_f64((seconds * 0.5).clamp(0.8, 30.0))
     }
 }
 
-/// What is known at a moment.
+/// Input of a planning round.
 #[derive(Debug, Clone, Default)]
 pub struct View {
-    /// All VMs as listed.
+    /// VMs of the slice, from the platform's list.
     pub vms: Vec<Vm>,
-    /// When the list was asked for.
+    /// Time at which the list was requested.
     pub listed_at: Duration,
-    /// Pools whose owners answered just now, with the VMs that were to become vacant in force.
+    /// Reports of the pools whose owners answered in this round, made while
+    /// [`Planner::vms_to_vacate`] was in force.
     pub pools: BTreeMap<Arc<str>, report::Pool>,
-    /// Pools that serve.
+    /// Pools that run tasks.
     pub serving: Vec<Arc<str>>,
-    /// The pool whose VMs are off.
+    /// The pool of VMs that run nothing; none if there is no such pool.
     pub spare: Option<Arc<str>>,
-    /// Waves and when they were first seen.
+    /// Waves that are not completed, each with the time at which it was first seen.
     pub waves: Vec<(Arc<Wave>, Duration)>,
-    /// Slices of the fleet that have a planner each; 0 counts as 1.
+    /// Number of slices, each with a planner of its own; 0 counts as 1.
     pub slice_count: u32,
-    /// VMs of each wave in other slices that are, or may be, in their upkeep.
+    /// VMs in other slices that are, or may be, in maintenance, by wave.
     pub in_maintenance_elsewhere: BTreeMap<u64, usize>,
     /// Data centres that get no new work.
     pub evacuated: Arc<BTreeSet<Arc<str>>>,
 }
 
 impl View {
-    /// Whether a VM is off: in the spare pool, where nothing runs.
+    /// Whether a VM is in the spare pool, where nothing runs.
     pub(crate) fn is_spare(&self, vm: &Vm) -> bool {
         Some(&vm.pool) == self.spare.as_ref()
     }
 
-    /// Whether a pool serves.
+    /// Whether the pool runs tasks.
     fn serves(&self, pool: &Arc<str>) -> bool {
         self.serving.contains(pool)
     }
 
-    /// Whether a VM's data centre gets no new work.
+    /// Whether the VM's data centre gets no new work.
     pub(crate) fn is_evacuated(&self, vm: &Vm) -> bool {
         self.evacuated.contains(&vm.data_centre)
     }
 }
 
-/// What is to be done.
+/// Result of a planning round.
 #[derive(Debug, Clone, Default)]
 pub struct Plan {
-    /// Orders to give.
+    /// Orders to send, by VM.
     pub orders: Vec<(Arc<str>, Order)>,
-    /// Waves of which no VM is left.
+    /// Waves of which no VM is left to maintain.
     pub completed: Vec<u64>,
-    /// VMs that the round looked at, each as often as it did.
+    /// VMs examined in the round, counting repeats.
     pub vm_visits: u64,
 }
 
-/// How an order ended.
+/// Answer of the platform to an order.
 pub type Outcome = Result<Verdict, Error>;
 
-/// Plans for the fleet.
+/// Plans moves and maintenance for one slice of the fleet.
 #[derive(Debug)]
 pub struct Planner {
     pub(crate) settings: Settings,
     pub(crate) intents: BTreeMap<Arc<str>, Intent>,
     pub(crate) demands: BTreeMap<Arc<str>, Demand>,
     pub(crate) idle_since: BTreeMap<Arc<str>, Duration>,
-    /// VMs that have had their upkeep, by wave.
+    /// VMs that have been maintained, by wave.
     pub(crate) maintained: BTreeMap<u64, BTreeSet<Arc<str>>>,
     pub(crate) cooldown_until: BTreeMap<Arc<str>, Duration>,
     pub(crate) immovable: BTreeSet<Arc<str>>,
-    /// When pools were last told of in the log.
+    /// Time of the last log lines on the pools.
     pub(crate) logged_at: Duration,
-    /// When the last round was.
+    /// Time of the last planning round.
     last_round_at: Duration,
 }
 
 impl Planner {
-    /// A planner that knows which VMs have had their upkeep, and before when which VM must not be
-    /// ordered about.
+    /// Creates a planner from the history of previous owners: the VMs maintained in each wave, and
+    /// the time until which each VM must not be ordered.
     #[must_use]
     pub fn new(
         settings: Settings,
@@ -139,7 +142,8 @@
         }
     }
 
-    /// VMs that are to become vacant, by pool; to be in force when the pools report.
+    /// VMs to be vacated, by pool. The pools' owners must apply this before they report for the
+    /// next round.
     #[must_use]
     pub fn vms_to_vacate(&self, vms: &[Vm]) -> BTreeMap<Arc<str>, BTreeSet<Arc<str>>> {
         let mut vms_by_pool: BTreeMap<Arc<str>, BTreeSet<Arc<str>>> = BTreeMap::new();
@@ -149,18 +153,18 @@
         vms_by_pool
     }
 
-    /// A VM need not be left alone any more after an order of an owner before.
+    /// Ends the cooldown of a VM that a previous owner's order started.
     pub fn clear_cooldown(&mut self, vm: &Arc<str>) {
         self.cooldown_until.remove(vm);
     }
 
-    /// One round.
+    /// Runs one planning round.
     pub fn plan(&mut self, now: Duration, view: &View) -> Plan {
         let index = Index::new(view, &self.maintained);
         self.retire_intents(now, &index);
         self.sample(now, &index);
         let max_orders = self.order_budget(now, view);
-        // What pools lack comes before upkeep, which can wait for as long as its wave has time.
+        // Deficits are served before maintenance, which can wait until its wave runs out of time.
         let total_deficit = self.plan_moves(now, &index, max_orders);
         self.plan_maintenance(now, &index, total_deficit);
         self.last_round_at = now;
@@ -169,16 +173,21 @@
         Plan { orders, completed, vm_visits: index.vm_visits() }
     }
 
-    /// Orders that may be given in a round, by the time since the last one.
+    /// Number of orders that may be sent in this round, by the time since the last one; at least 1.
     fn order_budget(&self, now: Duration, view: &View) -> usize {
         let elapsed = now.saturating_sub(self.last_round_at).min(MAX_ROUND_INTERVAL);
         let rate = self.settings.orders_per_s / f64::from(view.slice_count.max(1));
-        #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "some orders")]
+        #[expect(
+            clippy::cast_possible_truncation,
+            clippy::cast_sign_loss,
+            reason = "the number of orders is small and not negative"
+        )]
         let orders = (rate * elapsed.as_secs_f64()) as usize;
         orders.max(1)
     }
 
-    /// Takes in how an order ended; whether upkeep of a wave is to be noted as had.
+    /// Records the answer to an order. Returns the wave for which the VM's maintenance is to be
+    /// recorded as done, if any.
     pub fn record_outcome(
         &mut self,
         now: Duration,
@@ -209,21 +218,22 @@
                 self.intents.remove(vm);
                 self.immovable.insert(Arc::clone(vm));
             }
-            // Given again; until it is answered the VM stays vacant.
+            // The order is sent again; the VM stays vacant until it is answered.
             Err(Error::NoAnswer) | Ok(Verdict::Fenced) => {}
             Err(Error::Refused) => intent.stage = Stage::Vacating,
         }
         None
     }
 
-    /// Ends plans that are through, and those that take too long.
+    /// Removes orders that are completed, timed out, or no longer useful.
     fn retire_intents(&mut self, now: Duration, index: &Index<'_>) {
         let view = index.view;
         self.intents.retain(|name, intent| {
             let Some(vm) = index.listed(name) else { return view.vms.is_empty() };
             match intent.stage {
                 Stage::Vacating => {
-                    // A lasting task came before the pool's owner knew; moving it costs more.
+                    // A long-running task was placed before the pool's owner learned of the plan;
+                    // moving the task would cost more than choosing another VM.
                     let would_disrupt = intent.target_pool().is_some()
                         && index.reported(vm).is_some_and(|reported| reported.long_running > 0);
                     let targets_serving_pool =
@@ -260,7 +270,7 @@
         }
     }
 
-    /// Orders for VMs that are vacant.
+    /// Orders that are to be sent now: those of vacant VMs, and unanswered ones to be retried.
     fn due_orders(&mut self, now: Duration, index: &Index<'_>) -> Vec<(Arc<str>, Order)> {
         let mut orders = Vec::new();
         let view = index.view;
@@ -270,8 +280,8 @@
         let mut budgets: BTreeMap<_, _> = view.waves.iter().map(budget).collect();
         for (name, intent) in &mut self.intents {
             let due = match intent.stage {
-                // Chosen in an earlier round, so that the pool's owner knew when it reported; a VM
-                // that is off has no owner.
+                // Requires that the VM was selected in an earlier round, so that its pool's owner
+                // knew of it when it reported. A spare VM has no pool owner.
                 Stage::Vacating => index.listed(name).is_some_and(|vm| {
                     index.is_spare(vm) || (intent.planned_at < now && index.is_vacant(vm))
                 }),
@@ -286,7 +296,8 @@
         orders
     }
 
-    /// Whether a VM is free to be planned for.
+    /// Whether an order may be planned for the VM: it is up, has no planned order, and is not in a
+    /// cooldown.
     pub(crate) fn is_free(&self, now: Duration, vm: &Vm) -> bool {
         vm.state == State::Up
             && !self.intents.contains_key(&vm.name)
@@ -294,7 +305,7 @@
     }
 }
 
-/// Waves of which no VM is left.
+/// Waves of which no VM is left to maintain; none while the list is empty.
 fn completed(index: &Index<'_>) -> Vec<u64> {
     if index.view.vms.is_empty() {
         return Vec::new();
--- a/crates/crosspath_fleet/src/wave.rs
+++ b/crates/crosspath_fleet/src/wave.rs
@@ -1,4 +1,4 @@
-//! Which VM has its upkeep next.
+//! Selection of VMs for maintenance.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,20 +11,20 @@
 use crate::intent::Intent;
 use crate::planner::{Planner, View};
 
-/// Time of one VM's upkeep with emptying it; a wave that has no more than this for each round of
-/// VMs left does not wait for quiet pools.
+/// Time to vacate and maintain one VM. A wave whose remaining time is less than this per batch of
+/// remaining VMs no longer waits for pools to have capacity to spare.
 const MAINTENANCE_DURATION: Duration = Duration::from_millis(6_000);
-/// VMs that stay ready in the spare pool for each that pools lack: a pool that lacks some is growing,
-/// and upkeep takes as long as it takes a peak to come.
+/// Spare VMs kept out of maintenance per VM that pools lack: a deficit means growing demand, and
+/// maintenance takes as long as a peak takes to build up.
 const SPARES_PER_MISSING_VM: usize = 3;
-/// From the stop of a lasting task to its being at work elsewhere, when the next may be stopped: a
-/// stop takes up to 0.9 s, and a start some 0.5 s.
+/// Time from stopping a long-running task until it runs elsewhere and the next one may be stopped:
+/// a stop takes up to 0.9 s, and a start about 0.5 s.
 const LONG_RUNNING_MOVE: Duration = Duration::from_millis(1_500);
-/// Capacity that a pool keeps for each unit of its forecast while VMs are taken out.
+/// Capacity that a pool keeps relative to its forecast while VMs are taken out for maintenance.
 const CAPACITY_MARGIN: f64 = 1.1;
 
 impl Planner {
-    /// Plans upkeep, while pools lack `lacking` VMs.
+    /// Plans maintenance, given the `total_deficit` of pools in VMs.
     pub(crate) fn plan_maintenance(
         &mut self,
         now: Duration,
@@ -53,7 +53,8 @@
                 let is_spare = view.is_spare(vm) && !evacuated;
                 let capacity_left = remaining_capacity.get(&vm.pool).copied().unwrap_or(0);
                 let capacity_left = capacity_left.saturating_sub(vm.capacity.cpu_millis);
-                // Where no work comes, upkeep takes nothing from anyone.
+                // A VM of an evacuated data centre gets no work, so its maintenance costs no pool
+                // any capacity.
                 let is_affordable = evacuated
                     || if is_spare {
                         spares_available > 0
@@ -79,7 +80,7 @@
         }
     }
 
-    /// VMs of a wave that may yet be chosen.
+    /// Number of VMs of a wave that may still be selected.
     fn slots(&self, now: Duration, wave: &Wave, index: &Index<'_>) -> Slots {
         let view = index.view;
         let chosen = |vm: &&Vm| {
@@ -93,7 +94,7 @@
         Slots { ready: orders.saturating_sub(ready), occupied, slow: occupied.div_ceil(2) }
     }
 
-    /// Upkeep orders that the wave's maximum allows now.
+    /// Maintenance orders that the wave's concurrency limit allows now.
     pub(crate) fn maintenance_budget(&self, now: Duration, wave: &Wave, view: &View) -> usize {
         let in_maintenance_elsewhere =
             view.in_maintenance_elsewhere.get(&wave.number).copied().unwrap_or(0);
@@ -101,7 +102,7 @@
         (wave.max_concurrent.max(1) as usize).saturating_sub(in_maintenance)
     }
 
-    /// VMs of a wave that can be taken out now, in the order in which they are wanted out.
+    /// VMs of a wave that can be selected now, in order of preference.
     fn candidates<'a>(&self, now: Duration, wave: &Wave, index: &Index<'a>) -> Vec<&'a Vm> {
         let mut found = index.pending_maintenance(wave).to_vec();
         found.retain(|vm| self.is_free(now, vm));
@@ -112,7 +113,8 @@
         found
     }
 
-    /// VMs of a wave that are, or may be, in their upkeep, also by orders of an owner before.
+    /// Number of VMs of a wave that are, or may be, in maintenance, including those ordered by a
+    /// previous owner.
     #[must_use]
     pub fn count_in_maintenance(&self, now: Duration, wave: &Wave, view: &View) -> usize {
         let of_wave = view.vms.iter().filter(|vm| wave.vms.contains(&vm.name));
@@ -125,7 +127,8 @@
         busy.count()
     }
 
-    /// Processor time of each pool's VMs that are up and stay, in thousandths of a core.
+    /// Processor time of the VMs that are up and not planned for, by pool, in thousandths of a
+    /// core.
     fn remaining_capacity(&self, index: &Index<'_>) -> BTreeMap<Arc<str>, u64> {
         let mut remaining_capacity: BTreeMap<Arc<str>, u64> = BTreeMap::new();
         let is_staying = |vm: &&Vm| {
@@ -139,7 +142,8 @@
         remaining_capacity
     }
 
-    /// Whether the pool of a VM has enough with `cpu_millis` thousandths of a core.
+    /// Whether `cpu_millis` thousandths of a core are enough for the forecast demand of the VM's
+    /// pool.
     fn is_sufficient(&self, vm: &Vm, cpu_millis: u64) -> bool {
         let vm_millis = vm.capacity.cpu_millis;
         let demand = self.demands.get(&vm.pool);
@@ -148,15 +152,16 @@
     }
 }
 
-/// VMs of a wave that may yet be chosen. Those that are being emptied do not keep idle ones from their
-/// upkeep: orders are counted when they are given.
+/// Number of VMs of a wave that may still be selected. VMs that are being vacated do not delay the
+/// maintenance of idle ones: the concurrency limit applies to orders when they are sent.
 #[derive(Debug)]
 struct Slots {
     /// VMs on which nothing runs.
     ready: usize,
-    /// VMs that must be emptied first.
+    /// VMs that must be vacated first.
     occupied: usize,
-    /// Those among them that take long: what takes long is begun with first, beside what is quick.
+    /// VMs among those that may be slow to vacate. Slow ones are started first, alongside quick
+    /// ones.
     slow: usize,
 }
 
@@ -179,29 +184,30 @@
     }
 }
 
-/// Whether a wave has no time left to wait for quiet pools.
+/// Whether a wave has no time left to wait for pools to have capacity to spare.
 fn is_behind_schedule(now: Duration, wave: &Wave, deadline: Duration, index: &Index<'_>) -> bool {
     let share = (wave.max_concurrent / index.view.slice_count.max(1)).max(1);
     let batches = index.pending_maintenance(wave).len().div_ceil(share as usize);
     now + MAINTENANCE_DURATION * u32::try_from(batches).unwrap_or(u32::MAX) > deadline
 }
 
-/// How long it takes to move the lasting tasks of a VM elsewhere, one by one.
+/// Time to move the long-running tasks of a VM elsewhere, one by one.
 fn time_to_vacate(vm: &Vm, index: &Index<'_>) -> Duration {
     LONG_RUNNING_MOVE * index.reported(vm).map_or(0, |vm| vm.long_running)
 }
 
-/// Whether a VM needs no emptying: its upkeep costs its pool 2 s of an idle VM.
+/// Whether the VM need not be vacated first: its maintenance costs the pool an idle VM for 2 s.
 fn is_ready(vm: &Vm, index: &Index<'_>) -> bool {
     index.is_spare(vm) || index.is_vacant(vm)
 }
 
-/// Whether emptying a VM takes as long as a whole round of upkeep.
+/// Whether vacating takes at least as long as a whole batch of maintenance.
 fn is_slow_to_vacate(time_to_vacate: Duration) -> bool {
     time_to_vacate >= MAINTENANCE_DURATION
 }
 
-/// Order in which VMs are taken out: idle ones first, those with lasting tasks last.
+/// Order of preference by disruption: spare VMs first, then by the number of long-running tasks and
+/// the processor time in use; VMs without a report last.
 fn disruption(vm: &Vm, index: &Index<'_>) -> (u32, u64) {
     if index.is_spare(vm) {
         return (0, 0);
--- a/crates/crosspath_fleet/tests/fleet/common.rs
+++ b/crates/crosspath_fleet/tests/fleet/common.rs
@@ -1,4 +1,4 @@
-//! A fleet that does what it is told, round by round.
+//! A simulated fleet that carries out the planner's orders, round by round.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use crosspath_schedule::report;
 
 pub(crate) const VM_MILLIS: u64 = 32_000;
-/// A VM is down so long for an order.
+/// Time for which an order takes a VM out of service.
 pub(crate) const ORDER_DURATION: Duration = Duration::from_millis(2_000);
 pub(crate) const ROUND: Duration = Duration::from_millis(200);
 
@@ -35,25 +35,25 @@
     }
 }
 
-/// A fleet and its planner.
+/// A simulated fleet and its planner.
 #[derive(Debug)]
 pub(crate) struct Harness {
     pub(crate) planner: Planner,
     pub(crate) view: View,
     pub(crate) now: Duration,
-    /// Tasks on VMs.
+    /// Number of tasks on each VM, of 1 core each.
     pub(crate) tasks: BTreeMap<Arc<str>, u32>,
-    /// Lasting tasks on VMs, among those.
+    /// Number of long-running tasks on each VM, included in `tasks`.
     pub(crate) long_running: BTreeMap<Arc<str>, u32>,
-    /// Demand of pools beyond what runs, in thousandths of a core.
+    /// Demand of each pool beyond its running tasks, in thousandths of a core.
     pub(crate) waiting: BTreeMap<Arc<str>, u64>,
-    /// Part of that which is of lasting tasks.
+    /// Part of that demand that is long-running.
     pub(crate) long_running_millis: BTreeMap<Arc<str>, u64>,
     down_until: BTreeMap<Arc<str>, Duration>,
     pub(crate) orders: Vec<(Duration, Arc<str>, Order)>,
-    /// Whether orders get no answer.
+    /// Whether orders are carried out but their answers are lost.
     pub(crate) drop_answers: bool,
-    /// VMs that the last round looked at.
+    /// VMs examined in the last round, counting repeats.
     pub(crate) vm_visits: u64,
 }
 
@@ -82,13 +82,13 @@
         }
     }
 
-    /// The platform takes so many orders a second.
+    /// Replaces the planner by one with another order rate.
     pub(crate) fn orders_per_s(&mut self, orders_per_s: f64) {
         let settings = Settings { orders_per_s, ..settings() };
         self.planner = Planner::new(settings, BTreeMap::new(), BTreeMap::new());
     }
 
-    /// VMs that were ordered to a pool.
+    /// Number of move orders to a pool so far.
     pub(crate) fn moves_ordered_to(&self, pool: &str) -> usize {
         let to = |order: &Order| matches!(order, Order::Move { pool: to } if &**to == pool);
         self.orders.iter().filter(|(_, _, order)| to(order)).count()
@@ -125,7 +125,7 @@
         }
     }
 
-    /// VMs that are in their upkeep.
+    /// Number of VMs in maintenance.
     pub(crate) fn in_maintenance(&self) -> usize {
         let under_way = self.orders.iter().filter(|(at, _, order)| {
             matches!(order, Order::Maintain { .. }) && self.now < *at + ORDER_DURATION
@@ -133,7 +133,7 @@
         under_way.count()
     }
 
-    /// One round; orders are carried out. Gives waves that are completed.
+    /// Runs one round and carries out its orders. Returns the waves that are completed.
     pub(crate) fn round(&mut self) -> Vec<u64> {
         self.now += ROUND;
         for vm in &mut self.view.vms {
--- a/crates/crosspath_fleet/tests/fleet/evacuation.rs
+++ b/crates/crosspath_fleet/tests/fleet/evacuation.rs
@@ -1,4 +1,5 @@
-//! A data centre that is evacuated: VMs elsewhere take over, those there go off and have their upkeep.
+//! Evacuation of a data centre: VMs of others take over, its own VMs move to the spare pool once
+//! vacant, and waves use the time to service them.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -11,7 +12,7 @@
     Vm { data_centre: data_centre.into(), ..vm(name, pool) }
 }
 
-/// A pool whose VMs are in one data centre, and VMs that are off in two.
+/// A pool with VMs in data centre a only, and spare VMs in a and b.
 fn harness() -> Harness {
     let mut vms: Vec<_> = (0..6).map(|n| vm_in("a", &format!("c{n}"), "counter")).collect();
     vms.extend((0..4).map(|n| vm_in("a", &format!("sa{n}"), "spare")));
@@ -43,7 +44,8 @@
     for _ in 0..3 {
         harness.round();
     }
-    // As many as the work of the six that count no more asks for: no task waits yet.
+    // The six VMs in a no longer count, so as many replacements are ordered as their work needs,
+    // before any task waits.
     let replacements = harness.moves_ordered_to("counter") - moves_before;
     assert!(replacements >= 5, "{replacements}");
     let in_b =
@@ -52,7 +54,7 @@
     let from_a = harness.orders[orders_before..].iter().filter(|(_, vm, order)| {
         matches!(order, Order::Move { pool } if &**pool == "counter") && vm.starts_with("sa")
     });
-    assert_eq!(from_a.count(), 0, "none of the data centre that is evacuated");
+    assert_eq!(from_a.count(), 0, "a VM of the evacuated data centre was moved in");
 }
 
 #[test]
@@ -64,7 +66,11 @@
         harness.round();
     }
     let in_evacuated = |vm: &&Vm| &*vm.data_centre == "a" && &*vm.pool == "counter";
-    assert_eq!(harness.view.vms.iter().filter(in_evacuated).count(), 6, "their tasks end there");
+    assert_eq!(
+        harness.view.vms.iter().filter(in_evacuated).count(),
+        6,
+        "busy VMs stay until their tasks end"
+    );
     harness.tasks.clear();
     for _ in 0..40 {
         harness.round();
@@ -75,10 +81,10 @@
     for _ in 0..20 {
         harness.round();
     }
-    assert_eq!(harness.orders.len(), orders_before, "nothing needs them");
+    assert_eq!(harness.orders.len(), orders_before, "no pool needs the VMs");
 }
 
-/// The pool wants all its VMs, but none that are in the evacuated data centre.
+/// The pool could use all its VMs, but gets no work on those in the evacuated data centre.
 #[test]
 fn a_wave_services_vms_of_an_evacuated_data_centre() {
     let mut harness = harness();
@@ -97,7 +103,8 @@
     assert!(["c0", "c1", "sa0"].iter().all(|vm| maintained.contains(*vm)), "{maintained:?}");
 }
 
-/// One data centre is evacuated and the other lost: there is nothing to fetch, and nothing is ordered in vain.
+/// One data centre is evacuated and the other is lost: there are no VMs to bring in, and no orders
+/// are wasted.
 #[test]
 fn no_moves_are_ordered_when_every_data_centre_is_evacuated() {
     let mut harness = harness();
--- a/crates/crosspath_fleet/tests/fleet/main.rs
+++ b/crates/crosspath_fleet/tests/fleet/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the planner by what it sees and orders.
+//! Tests of the planner through its public interface: views in, orders out.
 
 mod common;
 mod evacuation;
--- a/crates/crosspath_fleet/tests/fleet/moves.rs
+++ b/crates/crosspath_fleet/tests/fleet/moves.rs
@@ -1,4 +1,4 @@
-//! Pool sizes: where the work is, and off where there is none.
+//! Pool sizes follow demand, and VMs without work move to the spare pool.
 
 use std::time::Duration;
 
@@ -83,12 +83,12 @@
     for _ in 0..5 {
         harness.round();
     }
-    // 64 a second, at a round each 200 ms, after a first round of 400 ms at most.
+    // 64 orders a second in rounds of 200 ms, after a first round that counts as 400 ms.
     assert!(harness.orders.len() <= 25 + 4 * 12, "{} orders in a second", harness.orders.len());
     assert!(harness.orders.len() >= 40, "{} orders in a second", harness.orders.len());
 }
 
-/// VMs that a pool holds for steady work that fills `busy` VMs.
+/// Size of a pool whose steady work fills `busy` VMs.
 fn pool_size_for(busy: u32) -> usize {
     let mut harness =
         Harness::new((0..3 * busy).map(|n| vm(&format!("c{n:03}"), "counter")).collect());
@@ -101,15 +101,16 @@
     harness.pool_size("counter")
 }
 
-/// What independent jobs ask for strays by the root of it: with a quarter on top, 100 busy VMs held 126.
+/// The demand of independent jobs deviates by its square root, so headroom in proportion to the
+/// pool is too much for large ones: with a quarter on top, 100 busy VMs hold 126.
 #[test]
 fn headroom_shrinks_as_a_share_with_pool_size() {
     assert_eq!(pool_size_for(8), 11);
     assert_eq!(pool_size_for(100), 114);
 }
 
-/// Work of 100 VMs that strays by its root: what it gains by chance was carried forward twofold, and in 20 s
-/// it made 432 moves where what it wants makes 187.
+/// The work of 100 VMs fluctuates by its square root. If random growth is extrapolated, about twice
+/// as many moves follow: 432 in 20 s against 187 by the target alone.
 #[test]
 fn random_fluctuation_is_not_extrapolated() {
     let mut vms: Vec<_> = (0..130).map(|n| vm(&format!("c{n:03}"), "counter")).collect();
@@ -123,23 +124,23 @@
     }
     let orders_before = harness.orders.len();
     for round in 0..100 {
-        // In turns of 1.2 s, 95 and 105 VMs' worth.
+        // Alternates every 1.2 s between the work of 95 and of 105 VMs.
         let extra = if round / 6 % 2 == 0 { 10 * 32_000 } else { 0 };
         harness.waiting.insert("counter".into(), extra);
         harness.round();
     }
     let moves = harness.orders.len() - orders_before;
-    assert!(moves <= 200, "{moves} moves for chance");
+    assert!(moves <= 200, "{moves} moves for random fluctuation");
 }
 
-/// Bringing in a VM that is off while an idle one goes off makes two moves of one.
+/// Bringing in a spare VM while an idle one moves to the spare pool takes two moves instead of one.
 #[test]
 fn an_idle_vm_of_an_oversized_pool_is_preferred_to_a_spare_vm() {
     let mut harness = harness();
     for n in 0..5 {
         harness.tasks.insert(format!("m{n}").as_str().into(), 32);
     }
-    // They have been idle for 1 s: a round more, and they go off.
+    // The VMs have been idle for 1 s; they would move to the spare pool one round later.
     for _ in 0..6 {
         harness.round();
     }
@@ -158,8 +159,8 @@
     assert_eq!((to_meter('c'), to_meter('s')), (2, 0));
 }
 
-/// Lasting work of 12 VMs comes at once. Carried forward as if it went on to come, it brought 30 more VMs than
-/// it fills, and each went off again.
+/// Long-running work for 12 VMs arrives at once. Extrapolated as if it kept arriving, it would
+/// bring in 30 more VMs than it fills, all of which would move back.
 #[test]
 fn a_step_in_long_running_demand_is_not_extrapolated() {
     let mut vms: Vec<_> = (0..4).map(|n| vm(&format!("c{n:03}"), "counter")).collect();
@@ -176,7 +177,9 @@
     assert_eq!(harness.pool_size("counter"), 13);
 }
 
-/// The first jobs of a turn in a pool of two VMs: the rise is carried forward as it is, whatever its root.
+/// The first jobs of a busy period more than double the work of a small pool. Of that growth at
+/// most 12 % of the work counts as noise, however large its square root is; the rest is
+/// extrapolated.
 #[test]
 fn growth_of_a_small_pool_is_extrapolated() {
     let mut vms: Vec<_> = (0..3).map(|n| vm(&format!("c{n:03}"), "counter")).collect();
@@ -194,7 +197,8 @@
     assert_eq!(harness.pool_size("counter"), 15);
 }
 
-/// 400 idle VMs go off. What is ordered beyond the platform's rate is refused: all 396 in one round before.
+/// 400 idle VMs move to the spare pool. The platform refuses orders beyond its rate, and without a
+/// limit 396 would be sent in one round.
 #[test]
 fn moves_of_idle_vms_keep_to_the_platforms_rate() {
     let rate = 64.0;
@@ -210,6 +214,6 @@
     for at in &times {
         let second = *at + Duration::from_secs(1);
         let ordered = times.iter().filter(|other| *at <= **other && **other < second).count();
-        assert!(ordered as f64 <= rate, "{ordered} within a second of {at:?}");
+        assert!(ordered as f64 <= rate, "{ordered} orders within a second of {at:?}");
     }
 }
--- a/crates/crosspath_fleet/tests/fleet/wave.rs
+++ b/crates/crosspath_fleet/tests/fleet/wave.rs
@@ -1,4 +1,5 @@
-//! Waves: everyone in time, never too many at once, also across owners.
+//! Waves: every VM is serviced by the deadline and the concurrency limit holds, also across a
+//! change of owner.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -38,7 +39,7 @@
     let mut harness = harness();
     harness.tasks.insert("a".into(), 1);
     for _ in 0..50 {
-        assert!(harness.round().is_empty(), "a has not had its upkeep");
+        assert!(harness.round().is_empty(), "VM a has not been serviced");
     }
     assert!(harness.orders.iter().all(|(_, name, _)| &**name != "a"));
 }
@@ -46,7 +47,7 @@
 #[test]
 fn a_new_owner_counts_maintenance_ordered_by_the_previous_owner() {
     let mut harness = harness();
-    // Ordered a moment ago; the list does not show it yet.
+    // Ordered a moment ago by the previous owner; the list does not show it yet.
     let cooldowns: BTreeMap<Arc<str>, _> =
         [("a".into(), harness.now + ms(3_000)), ("b".into(), harness.now + ms(3_000))].into();
     harness.planner = Planner::new(settings(), BTreeMap::new(), cooldowns);
@@ -74,7 +75,7 @@
     for _ in 0..30 {
         harness.round();
     }
-    assert!(maintenance_orders(&harness) > 1, "given again");
+    assert!(maintenance_orders(&harness) > 1, "the order is retried");
     let maintenance =
         harness.orders.iter().filter(|(_, _, order)| matches!(order, Order::Maintain { .. }));
     let vms: BTreeSet<_> = maintenance.map(|(_, vm, _)| vm).collect();
@@ -94,7 +95,8 @@
     assert_eq!(maintenance.count(), 0, "{:?}", harness.orders);
 }
 
-/// Gives a VM lasting tasks, of which one can be moved in each `every`, and plays the wave.
+/// Runs the wave with one VM that has long-running tasks, of which one can be moved in each
+/// `move_interval`. Returns the time until that VM is ordered.
 fn maintenance_time_of_loaded_vm(long_running: u32, move_interval: Duration) -> Option<Duration> {
     let mut harness = harness();
     let started_at = harness.now;
@@ -119,7 +121,7 @@
 
 #[test]
 fn a_vm_that_is_slow_to_vacate_is_selected_early_and_not_abandoned() {
-    let at = maintenance_time_of_loaded_vm(9, ms(1_400)).expect("its upkeep");
+    let at = maintenance_time_of_loaded_vm(9, ms(1_400)).expect("a maintenance order");
     assert!(at < ms(16_000), "after {at:?}");
 }
 
@@ -137,11 +139,11 @@
     harness.round();
     let selected: usize =
         harness.planner.vms_to_vacate(&harness.view.vms).values().map(BTreeSet::len).sum();
-    assert_eq!(selected, 2, "as many as may be in maintenance");
+    assert_eq!(selected, 2, "the concurrency limit");
     for name in &NAMES[2..] {
         harness.tasks.remove(*name);
     }
-    // Before the first two are given up.
+    // The time-out on vacating the first two VMs has not passed yet.
     for _ in 0..35 {
         harness.round();
         assert!(harness.in_maintenance() <= 2, "{} in maintenance", harness.in_maintenance());
