--- a/crates/crosspath_http/src/client.rs
+++ b/crates/crosspath_http/src/client.rs
@@ -200,8 +200,8 @@
     ///
     /// # Errors
     ///
-    /// [`Error::NotSent`] if the request was not sent, [`Error::NoAnswer`] if no complete response
-    /// came in time.
+    /// [`Error::NotSent`] if the request was not sent, [`Error::NoAnswer`] if the connection failed
+    /// or no complete response came in time.
     pub async fn send(
         &self,
         request: http::request::Builder,
--- a/crates/crosspath_http/src/hedge.rs
+++ b/crates/crosspath_http/src/hedge.rs
@@ -3,9 +3,9 @@
 //! If the response does not arrive within a delay derived from the recent response times of the
 //! server, the request is sent again on a new connection while the first attempt continues. A lost
 //! response thus costs that delay instead of the whole timeout, and the first attempt can still
-//! succeed on a server that has become slow. Only responses that arrive, and
-//! calls that time out altogether, update the estimate of the response time: if lost responses
-//! counted as slow, the delay would grow with each of them.
+//! succeed on a server that has become slow. Only responses that arrive, and calls that time out
+//! altogether, update the estimate of the response time: if each lost response counted as a slow
+//! one, the delay would grow with every loss.
 
 use std::time::Duration;
 
