--- a/crates/crosspath_schedule/src/runs.rs
+++ b/crates/crosspath_schedule/src/runs.rs
@@ -63,7 +63,8 @@
         }
     }
 
-    /// Repeats the stop of each run with an unanswered order, on workers whose last poll did not fail.
+    /// Repeats the stop of each run with an unanswered order, on workers whose last poll did not
+    /// fail.
     pub(crate) fn retry_stops(&mut self, now: Duration) {
         let mut unanswered = Vec::new();
         for worker in self.workers.values().filter(|worker| worker.failures == 0) {
--- a/crates/crosspath_schedule/src/takeover.rs
+++ b/crates/crosspath_schedule/src/takeover.rs
@@ -9,8 +9,8 @@
 //!
 //! The wait starts at the takeover, so it would never end while the shard changes owners in quick
 //! succession: long-running tasks of an unreachable rack were unavailable for 18 s while entry VMs
-//! were restarted one after another. Therefore an owner that leaves a shard reports to the next one,
-//! if that one asks, by when everything that may run on each worker has expired.
+//! were restarted one after another. Therefore an owner that leaves a shard reports to the next
+//! one, if that one asks, by when everything that may run on each worker has expired.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -144,8 +144,8 @@
         }
     }
 
-    /// Accounts for an incarnation that has answered or ended: unreported runs on it do not exist, or
-    /// are lost.
+    /// Accounts for an incarnation that has answered or ended: unreported runs on it do not exist,
+    /// or are lost.
     pub(crate) fn account_for(
         &mut self,
         now: Duration,
