--- a/crates/crosspath_node/src/map.rs
+++ b/crates/crosspath_node/src/map.rs
@@ -279,10 +279,8 @@
     /// Another daemon is responsible for writing the records.
     #[snafu(display("another daemon is responsible for extending the map"))]
     NotResponsible,
-    /// There are fewer free shards than slices without one.
-    #[snafu(display(
-        "not enough free shards for {pools} pools; increase the number of partitions of the topics"
-    ))]
+    /// No shard is free for the slices that lack one.
+    #[snafu(display("no shard is free for {pools} pools; add partitions to the topics"))]
     NoShardLeft { pools: usize },
 }
 
