--- a/crates/crosspath_node/src/appender.rs
+++ b/crates/crosspath_node/src/appender.rs
@@ -1,11 +1,12 @@
-//! Appending what callers ask for, many at a time.
+//! Appends the records of callers' requests to shards, in batches.
 //!
-//! What arrives while an append to the shard is under way goes with the next, unless that takes long. A
-//! record whose append got no answer is appended again: it is the newest of its key either way.
+//! Records that arrive while an append to the shard is in flight form the next batch, which is sent
+//! when that append ends or takes too long. A record whose append got no answer is appended again:
+//! the log keeps the newest record of a key, so a duplicate does no harm.
 //!
-//! Records go to the shard's owner, who appends those of all daemons together: a partition takes its appends in
-//! turn, and a slow store would keep few of them if each daemon appended by itself. An owner that does not answer is
-//! passed by.
+//! Batches are relayed to the shard's owner, which appends the records of all daemons together. A
+//! partition executes its appends one after the other, so a slow store would complete few of them if
+//! each daemon appended by itself. An owner that does not answer is bypassed.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -26,41 +27,46 @@
 use crate::pending::{self, Deadlines, Outcome, Pending};
 use crate::rpc::{self, Failure, Question};
 
-/// Between tries of an append that was refused.
+/// Delay before a failed append is attempted again.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// After which an owner that has not answered is asked whether it lives: an append takes 10 ms, and an
-/// owner that is busy some 50 ms more.
+/// Interval at which an owner is probed while its answer to an append is outstanding. An append takes
+/// 10 ms, and some 50 ms more if the owner is busy.
 const OWNER_PROBE_INTERVAL: Duration = Duration::from_millis(300);
-/// For an append by the shard's owner while the store is slow: one under way, and the next.
+/// Timeout of an append through the shard's owner. While the store is slow, it covers the owner's
+/// append in flight and the next one.
 const OWNER_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// After which an owner takes records back that wait for a slow store: an append that takes 0.4 s is
-/// under way, and the one for them would end too late for the callers.
+/// Time after which the owner withdraws records that are still queued behind a slow store. With
+/// appends that take 0.4 s, the append for these records would end too late for the callers.
 const OWNER_QUEUE_TIMEOUT: Duration = Duration::from_millis(800);
-/// After which an owner says that records surely are not kept: some tries, and in time for the asking
-/// daemon to tell its caller when to come back.
+/// Time after which the owner stops retrying records that are certainly not stored. It allows for
+/// some attempts, and leaves the requesting daemon time to tell its caller when to retry.
 const OWNER_REFUSE_AFTER: Duration = Duration::from_millis(250);
-/// After which it says that it does not know; before the asking daemon stops waiting.
+/// Time after which the owner reports the outcome as unknown. Shorter than [`OWNER_TIMEOUT`], so that
+/// the requesting daemon still receives the answer.
 const OWNER_UNKNOWN_AFTER: Duration = Duration::from_millis(1_000);
-/// Other daemons that are asked to append in one try. Where the store turns away a third of the daemons,
-/// one in 27 tries fails and is repeated; where it turns away all, callers hear of it soon.
+/// Maximum number of other daemons that are asked to append in one attempt. If the store refuses a
+/// third of the daemons, one attempt in 27 fails and is retried; if it refuses all of them, callers
+/// learn of it soon.
 const MAX_RELAYS: usize = 2;
-/// After which an append under way holds up the next no longer. A quick store takes 5 to 10 ms, through the
-/// owner some 15; with one that is slow, a caller would wait for two such appends and its own, at its daemon and at
-/// the owner.
+/// Time after which the next batch is sent although an append is still in flight. A fast store takes
+/// 5 to 10 ms, and some 15 ms through the owner. With a slow store, a caller would otherwise wait for
+/// two appends besides its own, one at its daemon and one at the owner.
 const PIPELINE_DELAY: Duration = Duration::from_millis(30);
-/// Appends to a shard under way at most, where its owner makes them: a partition of a slow store takes one after the
-/// other, 17 a second where it is 57 times as slow, and those of its owner's commits too.
+/// Maximum number of appends in flight to a shard at its owner. A partition executes them one after the
+/// other, along with the owner's commits: 17 per second when the store is 57 times as slow.
 const MAX_IN_FLIGHT_AS_OWNER: usize = 3;
-/// The same where the owner is asked for them, who makes one of many.
+/// Maximum number of appends in flight to a shard at the other daemons. The owner combines them into
+/// fewer appends.
 const MAX_IN_FLIGHT_RELAYED: usize = 8;
-/// Records in one append at most; with a job of 4 KB far below the store's bound on a call.
+/// Maximum number of records in one append. With jobs of 4 KB this is far below the store's size limit.
 const MAX_RECORDS: usize = 128;
 
-/// One queue of records a shard.
+/// Queues of records to append, one for each shard number; created on first use.
 #[derive(Debug, Default)]
 pub(crate) struct Appenders(Mutex<HashMap<u32, mpsc::UnboundedSender<Pending>>>);
 
-/// Appends a record to a shard.
+/// Appends a record to a shard and returns its outcome. While the store is silent, there is a single
+/// attempt, which `deadlines` do not bound.
 pub(crate) async fn append(
     node: &Arc<Node>,
     shard: u32,
@@ -71,7 +77,7 @@
     if rpc::is_taken_here(node, shard, &record) {
         return Outcome::Taken;
     }
-    // What is under way may hold the queue up for long while the store is silent.
+    // While the store is silent, appends in flight may block the queue for long, so bypass it.
     if node.is_store_silent(clock::now()) {
         let records = [record];
         let appended = append_with_fallback(node, shard, &records).await;
@@ -99,12 +105,15 @@
     sender.clone()
 }
 
-/// Sends what waits, as few appends as can be while the store is quick: what comes while one is under way waits
-/// for it and goes together. One that is slow, or whose answer is lost, holds nothing up for long.
+/// Sends queued records in as few appends as possible while the store is fast: records that arrive
+/// during an append wait for it and are sent together. An append that is slow, or whose answer is
+/// lost, delays the next one by [`PIPELINE_DELAY`] at most, as long as there are fewer in flight than
+/// allowed.
 async fn run(node: Arc<Node>, shard: u32, mut receiver: mpsc::UnboundedReceiver<Pending>) {
     let mut queued: Vec<Pending> = Vec::new();
     let mut in_flight = FuturesUnordered::new();
-    // When the next may be sent beside others, and at all.
+    // `next_at`: when the next append may be sent beside those in flight.
+    // `retry_at`: until then nothing is sent, after a failure.
     let mut next_at = Instant::now();
     let mut retry_at = next_at;
     loop {
@@ -139,7 +148,7 @@
     }
 }
 
-/// Appends records until each has its outcome; whether the last try failed.
+/// Appends records until each has its outcome; returns whether the last attempt failed.
 async fn append_batch(node: &Arc<Node>, shard: u32, mut batch: Vec<Pending>) -> bool {
     loop {
         let records: Vec<NewRecord> = batch.iter().map(|pending| pending.record.clone()).collect();
@@ -172,8 +181,8 @@
     }
 }
 
-/// Answers those that are not tried again; the others. While the store is down one try by all ways is
-/// enough: a caller that waits through more only comes back later.
+/// Settles the records that are not attempted again and returns the others. While the store is down,
+/// one attempt over all routes is enough: more of them only delay the caller's own retry.
 fn settle_expired(node: &Node, batch: Vec<Pending>) -> Vec<Pending> {
     let now = clock::now();
     let is_down = node.store_down_for(now).is_some();
@@ -187,12 +196,13 @@
     remaining
 }
 
-/// What an append that failed says of its records.
+/// Outcome of a record whose append failed with `error`.
 pub(crate) fn outcome_of(error: Error) -> Outcome {
     if error.had_no_effect() { Outcome::NotKept } else { Outcome::Unknown }
 }
 
-/// Appends what another daemon was asked for, with what this one was asked for; one outcome for all.
+/// Appends records relayed by another daemon, batched with this daemon's own. Returns their common
+/// outcome, or [`Outcome::Unknown`] if they have different ones.
 pub(crate) async fn append_as_owner(
     node: &Arc<Node>,
     shard: u32,
@@ -214,7 +224,8 @@
     if outcomes.iter().all(|outcome| *outcome == first) { first } else { Outcome::Unknown }
 }
 
-/// Appends through the shard's owner, or else directly or through any daemon that the store serves.
+/// Appends through the shard's owner. If this daemon is the owner, none is known, or the owner fails
+/// or is unresponsive, appends without it.
 async fn append_with_fallback(
     node: &Arc<Node>,
     shard: u32,
@@ -227,7 +238,7 @@
     let via_owner = pin!(rpc::relay_append(node, owner, shard, records, OWNER_TIMEOUT));
     let via_owner = match select(via_owner, pin!(until_owner_unresponsive(node, owner))).await {
         Either::Left((Ok(taken), _)) => return Ok(Route::Owner { taken }),
-        // Appended by each daemon, they would hold the store up even more.
+        // The store is slow. Appends by each daemon would slow it down even more.
         Either::Left((Err(failure @ (Failure::Unsent | Failure::Unanswered)), _)) => {
             return Err(failure.into());
         }
@@ -237,7 +248,7 @@
         }
         Either::Right(((), via_owner)) => via_owner,
     };
-    // The owner may have it appended all the same; that twice is as good as once.
+    // The owner may still append the records. A duplicate append does no harm.
     match select(via_owner, pin!(without_owner())).await {
         Either::Left((Ok(taken), _)) => Ok(Route::Owner { taken }),
         Either::Right((Ok(route), _)) => Ok(route),
@@ -251,19 +262,19 @@
     }
 }
 
-/// Who has appended a record.
+/// Route by which records were appended.
 #[derive(Debug, Clone)]
 enum Route {
-    /// The shard's owner, who knows of it; not of records with these keys, whose identifiers other
-    /// customers' jobs have.
+    /// Through the shard's owner, which knows of them. It did not append the records whose keys are in
+    /// `taken`: their identifiers belong to other customers' jobs.
     Owner { taken: Vec<String> },
-    /// This daemon, or one that the store serves.
+    /// By this daemon, or through another one that is not known to be the owner.
     WithoutOwner,
 }
 
 impl Route {
-    /// Has the owner hear of records sooner than by the log, if it does not know of them; nobody waits
-    /// for that.
+    /// Notifies the owner of records that were appended without it, in the background, so that it need
+    /// not wait until it reads them from the log.
     fn notify_owner(&self, node: &Arc<Node>, shard: u32, records: &[NewRecord]) {
         if matches!(self, Self::Owner { .. }) {
             return;
@@ -276,7 +287,7 @@
 }
 
 impl Route {
-    /// What became of the record with a key.
+    /// Outcome of the record with the given key.
     fn outcome(&self, key: &str) -> Outcome {
         match self {
             Self::Owner { taken } if taken.iter().any(|other| other == key) => Outcome::Taken,
@@ -285,8 +296,8 @@
     }
 }
 
-/// Ends when an owner that was asked to append turns out to be silent; one that answers other questions
-/// waits for the store.
+/// Returns once the owner fails to answer a probe. An owner that answers probes but not the append is
+/// waiting for the store.
 async fn until_owner_unresponsive(node: &Node, owner: SocketAddr) {
     loop {
         tokio::time::sleep(OWNER_PROBE_INTERVAL).await;
@@ -297,11 +308,12 @@
     }
 }
 
-/// What two failed ways say together: what is in doubt by one of them is in doubt.
+/// Combines the errors of two routes: if either append may have taken effect, returns an error that says so.
 fn combine_errors(one: Error, other: Error) -> Error {
     if one.had_no_effect() { other } else { one }
 }
 
+/// Appends directly, or else through up to [`MAX_RELAYS`] other daemons, chosen at random.
 async fn append_without_owner(
     node: &Arc<Node>,
     shard: u32,
--- a/crates/crosspath_node/src/backoff.rs
+++ b/crates/crosspath_node/src/backoff.rs
@@ -1,54 +1,55 @@
-//! Pauses between tries of a call that fails.
+//! Exponential backoff with jitter for calls that fail.
 //!
-//! All daemons meet an outage of the store at one moment. With one fixed pause their tries come together, and by
-//! their number alone could keep the store refusing when it is back. So pauses double up to a bound and are
-//! spread by chance, and a call that many daemons make, or that can wait, has a longer bound than one that
-//! only a shard's owner makes.
+//! An outage of the store hits all daemons at the same moment. With a fixed pause their retries would
+//! coincide, and their number alone could overload the store when it returns. So pauses double up to a
+//! maximum and are shortened at random. Calls that many daemons make, or that can wait, have a higher
+//! maximum than calls that only a shard's owner makes.
 
 use std::time::Duration;
 
-/// Pauses after failures in a row.
+/// Pauses after consecutive failures of one call.
 #[derive(Debug, Clone, Copy)]
 pub struct Backoff {
     policy: Policy,
     next: Duration,
 }
 
-/// The first pause and the longest.
+/// Range of the pauses, before jitter is taken off.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Policy {
-    /// After the first failure, at most.
+    /// Pause after the first failure.
     pub initial: Duration,
-    /// After any, at most.
+    /// Upper bound of all pauses.
     pub max: Duration,
 }
 
-/// Of what the group's members alone call, and callers wait for: claims, owners' appends, records of shards.
+/// Calls that only members of the group make and that callers wait for: claims, owners' appends, and
+/// reads of shards.
 pub const OWNER_CALLS: Policy =
     Policy { initial: Duration::from_millis(100), max: Duration::from_millis(200) };
-/// Of the configuration and evacuations, which have a bound in which they must be in force.
+/// Reads of the configuration and of evacuations, which must be in force within a bounded time.
 pub const CONFIG_READS: Policy =
     Policy { initial: Duration::from_millis(150), max: Duration::from_millis(600) };
-/// Of lists that another daemon knows too: who owns what, workers, the map.
+/// Reads of lists that other daemons know too: the holders of shards, workers, and the map.
 pub const LIST_READS: Policy =
     Policy { initial: Duration::from_millis(150), max: Duration::from_millis(900) };
 
-/// Share of a pause that chance may take off.
+/// Largest fraction of a pause that jitter takes off.
 const JITTER: f64 = 0.5;
 
 impl Backoff {
-    /// No call has failed yet.
+    /// Creates a backoff whose next pause is the initial one.
     #[must_use]
     pub fn new(policy: Policy) -> Self {
         Self { policy, next: policy.initial }
     }
 
-    /// A call has succeeded.
+    /// Starts again from the initial pause, after a call that succeeded.
     pub fn reset(&mut self) {
         self.next = self.policy.initial;
     }
 
-    /// The pause after a call that failed; `random` is from 0 to 1.
+    /// Returns the pause after a failed call. `random`, from 0 to 1, determines the jitter.
     #[must_use]
     pub fn pause(&mut self, random: f64) -> Duration {
         let pause = self.next.mul_f64(1.0 - JITTER * random);
--- a/crates/crosspath_node/src/claim.rs
+++ b/crates/crosspath_node/src/claim.rs
@@ -1,26 +1,26 @@
-//! Claiming a shard: from then on nobody with an earlier claim can append as its owner.
+//! Claims a shard, which fences the appends of all owners with earlier claims.
 
 use crosspath_border::store::{Error, NewRecord, Partition, Precondition, Store};
 use crosspath_job::record;
 
 use crate::backoff::{self, Backoff};
 
-/// The first append of a claim has a number of its own out of this many, so that the store does not
-/// take it for a repetition of another daemon's claim with the same epoch.
+/// Bound of the random sequence number of a claim. Two daemons that claim a shard with the same epoch
+/// use different numbers, so that the store does not take one claim for a repetition of the other.
 const SEQUENCE_RANGE: u64 = 1 << 40;
 
-/// A claim that the store has taken.
+/// A claim that the store has accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Claim {
-    /// Epoch of the owner's appends.
+    /// Epoch under which the owner appends.
     pub epoch: u64,
-    /// Number of the claim among the appends of the epoch; the next append has the next number.
+    /// Sequence number of the claim; the owner's next append in the epoch has the next number.
     pub sequence: u64,
-    /// Fencing token towards workers and the platform: the claim's place in the log.
+    /// Fencing token in orders to workers and the platform, derived from the claim's offset in the log.
     pub token: u64,
 }
 
-/// Claims a shard with an epoch higher than any before, however long that takes.
+/// Claims a shard with a higher epoch than any earlier claim, and retries until that succeeds.
 pub async fn claim(store: &dyn Store, shard: Partition, owner: &str) -> Claim {
     let mut epoch = 1;
     let mut backoff = Backoff::new(backoff::OWNER_CALLS);
@@ -38,14 +38,14 @@
                 return Claim { epoch, sequence, token };
             }
             Err(Error::Fenced { epoch: current }) => epoch = current.max(epoch) + 1,
-            // The epoch is another owner's, or that of an own claim without an answer.
+            // The epoch is used by another owner, or by an own claim that got no answer.
             Err(Error::Sequence { .. }) => epoch += 1,
             Err(error) => {
                 log::info!(
                     "event=claim_failed shard={} epoch={epoch} error=\"{error}\"",
                     shard.number
                 );
-                // The claim may yet be carried out, so the next one has a higher epoch.
+                // The claim may still take effect, so the next attempt uses a higher epoch.
                 epoch += u64::from(!error.had_no_effect());
                 tokio::time::sleep(backoff.pause(rand::random())).await;
             }
--- a/crates/crosspath_node/src/directory.rs
+++ b/crates/crosspath_node/src/directory.rs
@@ -1,10 +1,11 @@
-//! The worker list as far as this daemon needs it.
+//! The part of the worker list that this daemon needs.
 //!
-//! Two daemons read the list, and each owner of shards is told of the workers of its slices: workers write there
-//! every 1.5 s, and were it read by every daemon, what the store has to send would grow with the square of the fleet.
+//! Two daemons read the whole list from the store and send each owner of shards the workers of its
+//! slices. Workers write to the list every 1.5 s; if every daemon read it, the traffic of the store
+//! would grow with the square of the fleet.
 //!
-//! Anyone may have written an entry. One that cannot be read names no worker to use, also where the same key named
-//! one before; that worker's own next entry brings it back. The other entries hold.
+//! Other programs can write entries too. An entry that cannot be decoded is ignored and removes the
+//! worker that had the same key, until that worker writes its next entry. Other entries are unaffected.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -17,60 +18,60 @@
 use crate::change_log::ChangeLog;
 use crate::map::{Map, PoolSlice};
 
-/// The part of the list that is known.
+/// The part of the worker list that is known here.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 enum Coverage {
-    /// Nothing.
+    /// No workers are followed.
     #[default]
     Nothing,
-    /// Workers of these slices.
+    /// All workers of these slices.
     Slices(BTreeSet<PoolSlice>),
-    /// All workers.
+    /// All workers of all slices.
     Whole,
 }
 
-/// How far a daemon has been told of another's list.
+/// Position in a reader's changes up to which another daemon has received updates.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cursor {
-    /// The other daemon, in this life.
+    /// The reader: the daemon, in its current incarnation, that reads the list and serves updates.
     pub reader: Arc<str>,
-    /// Which of its readings of the whole list this is.
+    /// Number of the reader's latest read of the whole list; changes are not continuous across two of them.
     pub reading: u64,
-    /// Number of the last change that was told.
+    /// Number of the last change that the update covers.
     pub change: u64,
 }
 
-/// What has changed of the workers of some slices.
+/// Changes among the workers of some slices, as sent by a reader.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Update {
-    /// How far that tells.
+    /// Position after this update, to be sent with the next request.
     pub cursor: Cursor,
-    /// Whether `entries` are all there are.
+    /// Whether `entries` are all workers of the slices, replacing what was known.
     pub whole: bool,
-    /// Entries that are new or have changed.
+    /// Entries that were added or have changed since the cursor of the request.
     pub entries: Vec<Entry>,
-    /// Identifiers of entries that are gone, of other slices too.
+    /// Identifiers of workers that are no longer listed, including workers of other slices.
     pub gone: Vec<Arc<str>>,
 }
 
-/// The worker list as far as this daemon needs it.
+/// Entries of the worker list that this daemon follows, and their latest changes.
 #[derive(Debug, Default)]
 pub struct Directory {
     pub(crate) entries: BTreeMap<Arc<str>, Entry>,
     coverage: Coverage,
     changes: ChangeLog,
-    /// Readings of the whole list.
+    /// Number of times that the whole list was read anew.
     full_reads: u64,
 }
 
-/// A change of one entry, for the owner of the VM's shard.
+/// Change of one entry, to be passed to the owner of the VM's shard.
 #[derive(Debug)]
 pub struct Change {
-    /// The worker's pool.
+    /// Pool that the worker belongs to.
     pub pool: Arc<str>,
-    /// Its VM.
+    /// Identifier of the VM that the worker runs on.
     pub vm: Arc<str>,
-    /// What its shard's owner hears.
+    /// Event for the shard's scheduler.
     pub event: Event,
 }
 
@@ -81,7 +82,7 @@
 }
 
 impl Directory {
-    /// Whether all workers are known.
+    /// Whether all workers of all slices are known.
     #[must_use]
     pub fn is_whole(&self) -> bool {
         self.coverage == Coverage::Whole
@@ -97,13 +98,14 @@
         }
     }
 
-    /// Nothing is followed from now on.
+    /// Forgets all workers; none are followed until records or an update are applied.
     pub fn clear(&mut self) {
         self.entries.clear();
         self.coverage = Coverage::Nothing;
     }
 
-    /// Takes in records of the list, `whole` if they are all there are, and tells what has changed.
+    /// Applies records read from the list and returns the changes. `whole` says that they are all of the
+    /// list's records, so that workers without a record are removed.
     pub fn apply_records(
         &mut self,
         records: &[Stored],
@@ -132,8 +134,9 @@
         changes
     }
 
-    /// What another daemon is told of the workers of `pool_slices`, where it was told up to `cursor`; nothing while
-    /// not all workers are known here.
+    /// Returns the update for another daemon that follows `pool_slices` and has received updates up to
+    /// `cursor`. The update holds all of their workers if the cursor is missing, from another reader or
+    /// an earlier read of the list, or too old. `None` while not all workers are known here.
     #[must_use]
     pub fn update_since(
         &self,
@@ -166,7 +169,7 @@
         Some(Update { cursor: current, whole: false, entries, gone })
     }
 
-    /// Takes in what was told of the workers of `pool_slices`, and tells what has changed.
+    /// Applies a reader's update on the workers of `pool_slices` and returns the changes.
     pub fn apply_update(
         &mut self,
         update: Update,
@@ -206,7 +209,7 @@
     }
 }
 
-/// The slice of a worker.
+/// Pool slice to which the workers of a VM in `pool` belong.
 pub(crate) fn pool_slice_of(map: &Map, pool: &Arc<str>, vm: &str) -> PoolSlice {
     PoolSlice { pool: Arc::clone(pool), slice: map.slice_of_vm(vm) }
 }
--- a/crates/crosspath_node/src/inputs.rs
+++ b/crates/crosspath_node/src/inputs.rs
@@ -1,4 +1,4 @@
-//! What a shard's scheduler was last told of what its daemon knows, and what of that has changed.
+//! Daemon-wide inputs of a shard's scheduler, and events for those that have changed.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -9,20 +9,20 @@
 use crate::map::PoolSlice;
 use crate::node::Node;
 
-/// What the scheduler was last told.
+/// Inputs last passed to the scheduler.
 #[derive(Debug)]
 pub(crate) struct Inputs {
-    /// Version of the configuration.
+    /// Version of the configuration; `None` before the first one.
     version: Option<u64>,
     evacuated: Arc<BTreeSet<Arc<str>>>,
     may_start: bool,
     may_act: bool,
-    /// Whether the store is away for all.
+    /// Whether this daemon acts as owner only because of an outage of the store. It is only logged.
     outage: bool,
 }
 
 impl Default for Inputs {
-    /// As a scheduler begins.
+    /// Inputs that a new scheduler assumes.
     fn default() -> Self {
         Self {
             version: None,
@@ -35,7 +35,7 @@
 }
 
 impl Inputs {
-    /// What the scheduler of a slice's shard is to hear at `now`.
+    /// Returns events for the inputs that have changed by `now`, for the scheduler of a pool slice's shard.
     pub(crate) fn changes(
         &mut self,
         node: &Node,
--- a/crates/crosspath_node/src/member.rs
+++ b/crates/crosspath_node/src/member.rs
@@ -1,4 +1,4 @@
-//! The text by which a daemon is known in the group of owners.
+//! Text form under which a daemon joins the group of owners.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -7,22 +7,22 @@
 
 use snafu::{OptionExt as _, Snafu};
 
-/// One life of a daemon: where peers reach it, who it is, and what its VM can carry.
+/// One incarnation of a daemon: its address for peers, its name, and the size of its VM.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Member {
-    /// Where other daemons connect.
+    /// Address on which other daemons connect.
     pub address: SocketAddr,
-    /// Name of its VM.
+    /// Name of the daemon's VM.
     pub name: Arc<str>,
-    /// Differs between two lives of one daemon.
+    /// Identifier of the process's current incarnation; differs between two starts of one daemon.
     pub incarnation: Arc<str>,
-    /// Processor time of its VM, in thousandths of a core.
+    /// Processor time of the daemon's VM, in thousandths of a core.
     pub millicores: u32,
 }
 
-/// A text that names no member.
+/// Error for a text that is not the text form of a member.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
-#[snafu(display("\"{text}\" is not ADDRESS/NAME/INCARNATION/MILLICORES"))]
+#[snafu(display("invalid member \"{text}\": expected ADDRESS/NAME/INCARNATION/MILLICORES"))]
 pub struct ParseError {
     text: String,
 }
--- a/crates/crosspath_node/src/membership.rs
+++ b/crates/crosspath_node/src/membership.rs
@@ -1,6 +1,6 @@
-//! Staying a member of the group of owners, and owning the shards that it deals.
+//! Keeps this daemon a member of the group of owners, and owns the shards that the group assigns to it.
 //!
-//! A daemon that does not stand for ownership only follows who owns what.
+//! A daemon that is no candidate for ownership only follows which daemon holds which shard.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -19,29 +19,33 @@
 use crate::rpc::{Answer, Question};
 use crate::shard::Handle;
 
-/// Silence after which the group deals this daemon's shards to others. Short, since nothing new
-/// starts in an owner's shards meanwhile; long enough for some joins to be lost.
+/// Time without a join after which the group assigns this daemon's shards to others. Short, since
+/// nothing new starts in these shards meanwhile; long enough that some joins may be lost.
 pub(crate) const TTL: Duration = Duration::from_millis(1_200);
-/// Between joins. Some fit into the silence that is allowed; and since the group deals a shard in
-/// two steps, each seen at a join, this bounds how long a shard has no owner when members change.
+/// Interval between joins. Several fit into [`TTL`]. The group reassigns a shard in two steps, and
+/// members see each of them at a join, so the interval also bounds how long a shard has no owner when
+/// members change.
 const JOIN_INTERVAL: Duration = Duration::from_millis(150);
-/// A join without an answer is sent again after this.
+/// Timeout of calls to the store; a join without an answer is then sent again.
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
-/// The same while the store is away for all: the others must be asked again soon.
+/// Timeout of a join during an outage of the store. Short, since the other daemons must be asked again
+/// soon.
 const OUTAGE_JOIN_TIMEOUT: Duration = Duration::from_millis(250);
-/// This daemon counts itself out so much earlier than the group does.
+/// Time by which this daemon considers its membership expired earlier than the group does.
 const EXPIRY_MARGIN: Duration = Duration::from_millis(50);
-/// For which the others' word holds that the store is away. The store deals no shard sooner after
-/// its return than a member's silence may last.
+/// Time for which this daemon goes on acting as owner after the others confirmed an outage. After it
+/// returns, the store assigns no shard to another daemon before a member's TTL has passed.
 const OUTAGE_LEASE: Duration = Duration::from_millis(900);
-/// Between readings of who holds what, besides those after changes.
+/// Interval between reads of the holders of shards, besides the reads after each change of the group.
 const HOLDERS_INTERVAL: Duration = Duration::from_millis(1_500);
 
-/// Between readings of who holds what while this daemon does not stand for ownership. Long, since there are many
-/// such daemons: a holder that is none any more says so, or is silent, and is doubted then.
+/// Interval between reads of the holders of shards by a daemon that is no candidate. Long, since there
+/// are many such daemons. A former holder says that it is not the owner, or does not answer, and
+/// either triggers a read.
 const STANDBY_INTERVAL: Duration = Duration::from_millis(3_000);
 
-/// Stays in the group while this daemon stands for ownership; follows who owns what in any case.
+/// Stays in the group while this daemon is a candidate for ownership. Follows the holders of shards in
+/// either case.
 pub(crate) async fn run(node: Arc<Node>) {
     let mut candidacy = Candidacy::new(node.settings.millicores);
     node.set_standing(|standing| standing.candidate = candidacy.is_candidate());
@@ -71,8 +75,8 @@
     }
 }
 
-/// Takes earlier lives of this daemon out of the group: they are over, since this one has their
-/// addresses, and their shards need not wait until the group has missed them for [`TTL`].
+/// Removes earlier incarnations of this daemon from the group. They have ended, since this one uses their
+/// addresses, and their shards need not wait until the group expires them after [`TTL`].
 async fn end_earlier_incarnations(node: Arc<Node>) {
     refresh_holders(Arc::clone(&node)).await;
     let Ok(own) = node.member.parse::<Member>() else { return };
@@ -87,22 +91,22 @@
     }
 }
 
-/// What is kept from one round to the next.
+/// State that is kept between joins or reads of the holders.
 #[derive(Debug)]
 struct Session {
     node: Arc<Node>,
     ttl: Duration,
     generation: u64,
-    /// When who holds what was last read.
+    /// Time at which the last read of the holders was started by a join.
     holders_read_at: Duration,
-    /// Of readings of who holds what that failed, while this daemon does not stand for ownership.
+    /// Backoff after failed reads of the holders, while this daemon is no candidate.
     backoff: Backoff,
-    /// The same of holders that were doubted one after the other.
+    /// Backoff between reads triggered by holders that did not answer as owners, one after the other.
     suspect_backoff: Backoff,
 }
 
 impl Session {
-    /// Joins, and starts and ends ownership as the group deals.
+    /// Joins the group, and starts and ends ownership of shards as assigned.
     async fn join(&mut self) {
         let node = Arc::clone(&self.node);
         let mut pause = JOIN_INTERVAL;
@@ -117,7 +121,7 @@
                 node.set_standing(|standing| standing.until = sent + ttl - EXPIRY_MARGIN);
                 let changed = membership.generation != generation;
                 self.generation = membership.generation;
-                // The next join tells the group that dealt-away shards are free.
+                // The next join tells the group that shards assigned to others are free.
                 if apply_membership(&node, &membership) {
                     pause = Duration::ZERO;
                 }
@@ -127,7 +131,7 @@
                 }
             }
             Ok(Err(error)) => log::info!("event=join_failed error=\"{error}\""),
-            Err(_) => log::info!("event=join_failed error=\"timed out\""),
+            Err(_) => log::info!("event=join_failed error=\"no answer within {timeout:?}\""),
         }
         if clock::now() >= node.standing().until {
             survey_peers(&node).await;
@@ -135,17 +139,17 @@
         if !pause.is_zero() {
             let mut stopping = node.stopping.subscribe();
             let stop = stopping.wait_for(|stopping| *stopping);
-            // Either way the loop looks at what it is to do next.
+            // The caller's loop checks whether the daemon is stopping.
             drop(tokio::time::timeout(pause, stop).await);
         }
     }
 
-    /// Reads who owns what, and waits a while.
+    /// Reads the holders of shards, then waits until the next read is due or a holder is in doubt.
     async fn follow_holders(&mut self) {
         let reading = refresh_holders(Arc::clone(&self.node));
         let read = tokio::time::timeout(CALL_TIMEOUT, reading).await;
         if read.is_err() {
-            log::info!("event=holders_unread error=\"timed out\"");
+            log::info!("event=holders_unread error=\"no answer within {CALL_TIMEOUT:?}\"");
         }
         if read != Ok(true) {
             return tokio::time::sleep(self.backoff.pause(rand::random())).await;
@@ -153,14 +157,14 @@
         self.backoff.reset();
         let doubted = self.node.holders_doubted.notified();
         if tokio::time::timeout(STANDBY_INTERVAL, doubted).await.is_ok() {
-            // Many daemons find out at once that a holder is gone, and for as long as a takeover takes.
+            // Many daemons notice a lost holder at once, and go on doing so until the takeover is done.
             tokio::time::sleep(self.suspect_backoff.pause(rand::random())).await;
         } else {
             self.suspect_backoff.reset();
         }
     }
 
-    /// Leaves what this daemon owned to the others.
+    /// Leaves the group, so that others take over the shards that this daemon owned.
     async fn resign(&mut self) {
         self.node.set_standing(|standing| standing.until = Duration::ZERO);
         self.generation = 0;
@@ -168,8 +172,8 @@
     }
 }
 
-/// Ends ownership of shards that were dealt away, before the next join tells the group so; begins
-/// that of new ones. Whether any was dealt away.
+/// Ends ownership of shards that are no longer assigned to this daemon, before the next join tells the
+/// group so, and begins ownership of new ones. Returns whether any shard was released.
 fn apply_membership(node: &Arc<Node>, membership: &Membership) -> bool {
     let assigned: BTreeSet<u32> = membership.shards.iter().copied().collect();
     let units = node.map().by_shard();
@@ -196,7 +200,7 @@
     released
 }
 
-/// Asks the other daemons whether the store answers them.
+/// Asks the other daemons when the store last answered them, and extends ownership if there is an outage.
 async fn survey_peers(node: &Arc<Node>) {
     let others = node.other_daemons();
     let asked_at = clock::now();
@@ -222,7 +226,7 @@
     }
 }
 
-/// Reads who holds what; whether that was read.
+/// Reads the holders of shards; returns whether the read succeeded.
 async fn refresh_holders(node: Arc<Node>) -> bool {
     node.store_asked(clock::now());
     match node.store.holders().await {
@@ -246,7 +250,7 @@
     }
 }
 
-/// Leaves the group on a planned stop, so that others own at once what this daemon owned.
+/// Ends ownership of all shards and leaves the group, so that others can own them at once.
 pub(crate) async fn leave(node: &Node) {
     for (number, handle) in std::mem::take(&mut *node.owned()) {
         node.leave_shard(number, &handle);
@@ -254,6 +258,6 @@
     match tokio::time::timeout(CALL_TIMEOUT, node.store.leave(&node.member)).await {
         Ok(Ok(())) => log::info!("event=left_group"),
         Ok(Err(error)) => log::info!("event=leave_failed error=\"{error}\""),
-        Err(_) => log::info!("event=leave_failed error=\"timed out\""),
+        Err(_) => log::info!("event=leave_failed error=\"no answer within {CALL_TIMEOUT:?}\""),
     }
 }
--- a/crates/crosspath_node/src/order.rs
+++ b/crates/crosspath_node/src/order.rs
@@ -1,4 +1,4 @@
-//! One order to a worker on its way, and what became of it.
+//! Sends one order to a worker and reports the result to the shard's scheduler.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,10 +13,10 @@
 use crate::node::Node;
 use crate::watch::Watch;
 
-/// A start that could not be sent within this since it was decided_at is given up.
+/// Time after the scheduler's decision within which a start must be sent; after that it is abandoned.
 const START_EXPIRY: Duration = Duration::from_millis(250);
 
-/// An order to a worker on its way.
+/// An order that is about to be sent to a worker.
 #[derive(Debug)]
 pub(crate) struct Order {
     node: Arc<Node>,
@@ -56,7 +56,8 @@
         let permit = self.watch.orders.acquire().await;
         let Ok(_permit) = permit else { return Err(Error::NotReached) };
         let now = clock::now();
-        // Too late, or by now another daemon may be the owner, or the data centre evacuated: it is not sent.
+        // The start is not sent if it is too late, or if another daemon may by now be the owner or the
+        // data centre be evacuated.
         let is_late = now > self.decided_at + START_EXPIRY;
         if is_late || !self.node.may_act(now) || !self.node.may_start(now) {
             return Err(Error::NotReached);
@@ -87,7 +88,7 @@
                 self.watch.update_clock(reply.clock_ms);
                 self.events.send(Event::Polled { worker, sent, extended: false, reply }).ok();
             }
-            // The worker's own looks tell whether it is silent.
+            // The worker's regular polls detect whether it is silent.
             Err(error) => log::info!("event=look_failed worker={worker} error=\"{error}\""),
         }
     }
--- a/crates/crosspath_node/src/outage.rs
+++ b/crates/crosspath_node/src/outage.rs
@@ -1,31 +1,32 @@
-//! Whether the store is away for all daemons, or just for this one.
+//! Detects whether the store is unavailable to all daemons or only to this one.
 //!
-//! Another daemon can own this one's shards only once the store has counted this one out and has
-//! then answered that other. While the store answers nobody, this daemon may go on acting.
+//! Another daemon can become owner of this daemon's shards only after the store has expired this
+//! daemon's membership and has then answered that other daemon. While the store answers no daemon,
+//! this one may go on acting as owner.
 
 use std::time::Duration;
 
-/// Silence of the store towards a daemon after which that daemon's word counts. Each calls it about
-/// every 150 ms, and a slow store takes some 250 ms.
+/// Minimum time without an answer after which a daemon counts as cut off from the store. Each daemon
+/// calls the store about every 150 ms, and a slow store takes some 250 ms to answer.
 const MIN_SILENCE: Duration = Duration::from_millis(600);
 
-/// What the other daemons say of the store.
+/// Replies of the other daemons on when the store last answered them.
 #[derive(Debug, Clone)]
 pub struct Survey {
-    /// When they were asked.
+    /// Time at which the other daemons were asked.
     pub asked_at: Duration,
-    /// Until when the group surely counted this daemon in.
+    /// Time until which this daemon was certainly a member of the group.
     pub member_until: Duration,
-    /// Other daemons last known.
+    /// Number of other daemons that were last known.
     pub others: usize,
-    /// How long ago the store answered each that replied.
+    /// Time since the store's last answer to each daemon that replied.
     pub answered_ago: Vec<Duration>,
 }
 
 impl Survey {
-    /// Whether the store surely has dealt nobody this daemon's shards: it has been silent towards
-    /// a majority, this daemon included, since it would have counted this daemon out, and no daemon
-    /// says the contrary.
+    /// Whether the store has certainly not assigned this daemon's shards to another one: a majority of
+    /// the daemons, this one included, has had no answer since this daemon's membership may have
+    /// expired, and no reply contradicts that.
     #[must_use]
     pub fn shows_outage(&self) -> bool {
         let silent = |ago: &Duration| {
--- a/crates/crosspath_node/src/pending.rs
+++ b/crates/crosspath_node/src/pending.rs
@@ -1,8 +1,9 @@
-//! A record that is to be appended, and the caller that waits for what becomes of it.
+//! A record that is queued for an append, and the caller that waits for its outcome.
 //!
-//! An append may take longer than the caller waits, most of all behind others while the store is slow.
-//! The caller takes back a record that was not sent yet:
-//! it is then never sent, and the refusal is true. What was sent stays in doubt.
+//! An append may take longer than the caller waits, especially behind others while the store is slow.
+//! The caller withdraws a record that has not been sent by then. Such a record is never sent, so the
+//! caller can be told for certain that it is not stored. The outcome of a record that was sent is
+//! unknown until it is answered.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -12,45 +13,48 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-/// For how long a record is tried; times of the process's clock.
+/// Deadlines of a record, as times of the process's clock.
 #[derive(Debug, Clone, Copy)]
 pub struct Deadlines {
-    /// While it waits for others to be sent; then it is taken back.
+    /// Time until which the record may be queued; if it has not been sent by then, it is withdrawn.
     pub send_by: Duration,
-    /// While it surely is not kept: the caller is better off being told so.
+    /// Time until which attempts are repeated while the record is certainly not stored. Earlier than
+    /// `unknown_at`, since a definite refusal lets the caller try again.
     pub refuse_at: Duration,
-    /// While it may be kept: repeating it may yet tell.
+    /// Time until which attempts are repeated while the record may be stored, since a further attempt may
+    /// settle that.
     pub unknown_at: Duration,
 }
 
-/// What became of a record.
+/// What is known about whether a record was stored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// It is kept.
+    /// The record is stored.
     Kept,
-    /// It surely is not: another customer's job has the identifier.
+    /// The record is not stored: its job's identifier belongs to another customer's job.
     Taken,
-    /// It surely is not, and never will be.
+    /// The record is not stored and never will be.
     NotKept,
-    /// The same, since it was taken back before it was sent: the store is slow.
+    /// The record is not stored: it was withdrawn before it was sent, since the store is slow.
     Unsent,
-    /// That is not known.
+    /// The record may be stored, now or later.
     Unknown,
 }
 
-/// The queue's side of a record.
+/// Sender's side of a queued record.
 #[derive(Debug)]
 pub struct Pending {
-    /// What is to be kept.
+    /// Record to append.
     pub record: NewRecord,
     deadlines: Deadlines,
-    /// Whether an append of it got no answer.
+    /// Whether some attempt got no answer, so that the record may be stored.
     unconfirmed: bool,
+    /// Whether the record was sent or withdrawn, whichever came first.
     decided: Arc<AtomicBool>,
     answer: oneshot::Sender<Outcome>,
 }
 
-/// The caller's side of a record.
+/// Caller's side of a queued record.
 #[derive(Debug)]
 pub struct Waiter {
     deadlines: Deadlines,
@@ -58,7 +62,7 @@
     outcome: oneshot::Receiver<Outcome>,
 }
 
-/// Both sides of a record.
+/// Creates the sender's and the caller's side of a record.
 #[must_use]
 pub fn pair(record: NewRecord, deadlines: Deadlines) -> (Pending, Waiter) {
     let (answer, outcome) = oneshot::channel();
@@ -68,19 +72,19 @@
 }
 
 impl Pending {
-    /// Takes the record for sending, once; false when the caller has taken it back.
+    /// Marks the record as sent; returns false if the caller has withdrawn it. To be called once.
     #[must_use]
     pub fn begin_send(&self) -> bool {
         !self.decided.swap(true, Ordering::AcqRel)
     }
 
-    /// An append of it failed; whether it may be kept all the same.
+    /// Records that an attempt failed; `unconfirmed` says that the record may be stored all the same.
     pub fn attempt_failed(&mut self, unconfirmed: bool) {
         self.unconfirmed |= unconfirmed;
     }
 
-    /// What it ends with when it is not tried again; none while it is worth more tries, of which there
-    /// are none for a record that surely is not kept while the store `is_down`.
+    /// Outcome of the record if it is not attempted again; `None` if it is. A record that is certainly
+    /// not stored is not attempted again while the store `is_down`.
     #[must_use]
     pub fn final_outcome(&self, now: Duration, is_down: bool) -> Option<Outcome> {
         if is_down && !self.unconfirmed {
@@ -94,14 +98,15 @@
         (until <= now).then_some(outcome)
     }
 
-    /// Tells the caller, who may have stopped waiting.
+    /// Reports the outcome to the caller, who may have stopped waiting.
     pub fn settle(self, outcome: Outcome) {
         self.answer.send(outcome).ok();
     }
 }
 
 impl Waiter {
-    /// What becomes of the record, by the end of the caller's patience.
+    /// Waits for the outcome, until the last deadline at most. Withdraws the record if it has not been
+    /// sent by `send_by`.
     pub async fn outcome(mut self, now: Duration) -> Outcome {
         let Deadlines { send_by, unknown_at, .. } = self.deadlines;
         let until_send = send_by.saturating_sub(now);
--- a/crates/crosspath_node/src/routing.rs
+++ b/crates/crosspath_node/src/routing.rs
@@ -1,4 +1,4 @@
-//! Which queue a request belongs to.
+//! Maps requests to queues and customers by the newest configuration.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -7,28 +7,28 @@
 use crosspath_job::spec::Resources;
 use crosspath_quota::{Limits, Weights};
 
-/// Queues of the newest configuration, and pools that queues had before.
+/// Queues of the newest configuration, and the pools that queues had in earlier ones.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Table {
     pub(crate) version: u64,
     pub(crate) config: Arc<Config>,
     /// Queues by host, longest prefix first.
     by_host: HashMap<Arc<str>, Vec<Arc<Queue>>>,
-    /// Every pool that a queue ever had in this process's life.
+    /// Every pool that each queue has had since the process started, by name of the queue.
     known_pools: BTreeMap<Arc<str>, BTreeSet<Arc<str>>>,
 }
 
-/// For whom a call is.
+/// Party on whose behalf a call is made.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Caller {
-    /// The queue needs no key.
+    /// No customer: the call needs no key.
     Anyone,
-    /// The customer whose key it carries.
+    /// Customer whose key the call carries.
     Customer(Arc<str>),
 }
 
 impl Caller {
-    /// Name of the customer; none where no key is needed.
+    /// Name of the customer; `None` where no key is needed.
     pub(crate) fn customer(self) -> Option<Arc<str>> {
         match self {
             Self::Anyone => None,
@@ -38,7 +38,7 @@
 }
 
 impl Table {
-    /// The table after a configuration, which must be newer.
+    /// Returns the table for a configuration, which must be newer than this table's.
     pub(crate) fn with_config(&self, config: Config) -> Self {
         let mut by_host: HashMap<Arc<str>, Vec<Arc<Queue>>> = HashMap::new();
         let mut known_pools = self.known_pools.clone();
@@ -54,14 +54,14 @@
         Self { version: config.version, config: Arc::new(config), by_host, known_pools }
     }
 
-    /// The queue with the longest prefix of `path`, and the rest of the path.
+    /// Returns the queue of `host` with the longest prefix of `path`, and the path after that prefix.
     pub(crate) fn resolve(&self, host: &str, path: &str) -> Option<(Arc<Queue>, String)> {
         let queues = self.by_host.get(host)?;
         let queue = queues.iter().find(|queue| path.starts_with(&*queue.prefix))?;
         Some((Arc::clone(queue), path[queue.prefix.len()..].to_owned()))
     }
 
-    /// Whether a call with `key` may use a queue, and for which customer; none when it may not.
+    /// Returns on whose behalf a call with `key` uses a queue; `None` if it may not use the queue.
     pub(crate) fn authorize(&self, queue: &Queue, key: Option<&str>) -> Option<Caller> {
         if queue.open || self.config.customers.is_empty() {
             return Some(Caller::Anyone);
@@ -70,20 +70,20 @@
         Some(Caller::Customer(Arc::clone(customer)))
     }
 
-    /// Maximum of each customer that has one.
+    /// Maximum resources of each customer that has a limit.
     pub(crate) fn limits(&self) -> Limits {
         let customers = self.config.customers.iter();
         let limited = customers.filter(|customer| customer.maximum != Resources::UNLIMITED);
         limited.map(|customer| (Arc::clone(&customer.name), customer.maximum)).collect()
     }
 
-    /// Jobs a second that each customer is owed.
+    /// Rate in jobs per second that each customer is entitled to when capacity is exhausted.
     pub(crate) fn weights(&self) -> Weights {
         let customers = self.config.customers.iter();
         customers.map(|customer| (Arc::clone(&customer.name), customer.weight)).collect()
     }
 
-    /// Pools where jobs of the queue may be.
+    /// Pools in which jobs of the queue may be: its current one and those it had before.
     pub(crate) fn pools_of(&self, queue: &Queue) -> BTreeSet<Arc<str>> {
         let mut pools = self.known_pools.get(&queue.name).cloned().unwrap_or_default();
         pools.insert(Arc::clone(&queue.pool));
--- a/crates/crosspath_node/src/shard.rs
+++ b/crates/crosspath_node/src/shard.rs
@@ -1,4 +1,4 @@
-//! Owning a shard: claiming it, following its records, carrying out what its scheduler decides.
+//! Owns a shard: claims it, follows its records, and executes the actions of its scheduler.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -30,22 +30,22 @@
 use crate::shard_log::{append_owned, ask_previous_owner, decode, follow, request_event};
 use crate::watch::{self, Watch};
 
-/// What a look extends leases to; see [`Terms::extension`].
+/// Lease length that a poll extends to; see [`Terms::extension`].
 const LEASE_EXTENSION: Duration = Duration::from_millis(5_000);
-/// What a start asks for; see [`Terms::initial`].
+/// Lease length that a start asks for; see [`Terms::initial`].
 const INITIAL_LEASE: Duration = Duration::from_millis(2_000);
-/// A worker's clock may run 2 % slow; as much again for ours.
+/// Allowance for clock drift: 2 % for a worker's clock that runs slow, and 2 % for this daemon's clock.
 const CLOCK_SLACK: f64 = 0.04;
-/// Between decisions when nothing happens.
+/// Interval between decisions when there are no events.
 const TICK: Duration = Duration::from_millis(50);
-/// Between decisions while changes gather for a commit.
+/// Interval between decisions while changes are collected for a commit.
 const GATHER_TICK: Duration = Duration::from_millis(12);
-/// Events taken in before the next decision.
+/// Maximum number of received events that are handled before the next decision.
 const MAX_EVENTS: usize = 64;
 
 type SharedScheduler = Arc<Mutex<Option<Scheduler>>>;
 
-/// A shard that this daemon holds.
+/// A shard assigned to this daemon. Dropping the handle ends its ownership.
 #[derive(Debug)]
 pub(crate) struct Handle {
     pool_slice: Option<PoolSlice>,
@@ -59,7 +59,7 @@
 }
 
 impl Handle {
-    /// Begins to own a shard: that of a slice of a pool, or the fleet's.
+    /// Starts ownership of a shard: that of a pool slice, or the fleet's shard if `pool_slice` is `None`.
     pub(crate) fn start(node: &Arc<Node>, number: u32, pool_slice: Option<PoolSlice>) -> Self {
         let (events, receiver) = mpsc::unbounded_channel();
         let shared = SharedScheduler::default();
@@ -81,24 +81,25 @@
         Self { pool_slice, events, scheduler: shared, task }
     }
 
-    /// The slice of a pool; none for the fleet.
+    /// Pool slice of the shard; `None` for the fleet's shard.
     pub(crate) fn pool_slice(&self) -> Option<&PoolSlice> {
         self.pool_slice.as_ref()
     }
 
     pub(crate) fn send(&self, event: Event) {
-        // An owner that has ended needs no events.
+        // The owner's task may have ended; it needs no events then.
         self.events.send(event).ok();
     }
 
-    /// Passes on a record that a caller's request has added to the shard.
+    /// Passes on a record that was appended to the shard for a caller's request.
     pub(crate) fn notify(&self, record: Record) {
         if let Some(event) = request_event(record) {
             self.send(event);
         }
     }
 
-    /// State of a job that belongs to the asker, none within when there is none; none while taking over.
+    /// State of a job of the requester. The inner value is `None` if the requester has no such job, the
+    /// outer one while the shard is being taken over.
     pub(crate) fn state(&self, job: JobId, requester: &Requester) -> Option<Option<State>> {
         let shared = scheduler(&self.scheduler);
         let scheduler = shared.as_ref()?;
@@ -106,7 +107,7 @@
         Some(scheduler.state(job).filter(|_| own))
     }
 
-    /// Whether a record is of a job whose identifier another customer's job has.
+    /// Whether the record submits a job under an identifier that belongs to another customer's job.
     pub(crate) fn is_taken(&self, record: &Record) -> bool {
         let Record::Accepted(job, accepted) = record else { return false };
         let shared = scheduler(&self.scheduler);
@@ -118,7 +119,7 @@
         scheduler(&self.scheduler).as_ref().map(|scheduler| scheduler.queued_jobs(queue))
     }
 
-    /// Whether some task waits for a worker with room.
+    /// Whether some task waits for a worker with enough free resources.
     pub(crate) fn lacks_workers(&self) -> bool {
         scheduler(&self.scheduler).as_ref().is_some_and(Scheduler::lacks_workers)
     }
@@ -127,7 +128,7 @@
         let mut shared = scheduler(&self.scheduler);
         let scheduler = shared.as_mut()?;
         let now = clock::now();
-        // In force before the report, so that a VM reported as vacant stays so.
+        // Takes effect before the report, so that no task is placed on a VM reported as vacant.
         scheduler.handle(now, clock::wall_ms(), Event::Vacate(vacate));
         Some(scheduler.report(now))
     }
@@ -136,7 +137,8 @@
         self.task.is_finished()
     }
 
-    /// Ends at once: nothing is ordered or kept after this. The scheduler, if there was one.
+    /// Ends ownership at once: no order is sent and nothing is committed after this. Returns the
+    /// scheduler, if it has been created.
     pub(crate) fn stop(&self) -> Option<Scheduler> {
         self.task.abort();
         scheduler(&self.scheduler).take()
@@ -149,26 +151,26 @@
     }
 }
 
-/// The owner of a pool's shard.
+/// Owner of a pool slice's shard.
 #[derive(Debug)]
 struct Owner {
     node: Arc<Node>,
     number: u32,
     pool_slice: PoolSlice,
     shared: SharedScheduler,
-    /// Address of the daemon that held the shard before, as far as is known.
+    /// Address of the daemon that last held the shard; `None` if unknown or this daemon.
     previous_owner: Option<SocketAddr>,
     events: mpsc::UnboundedSender<Event>,
 }
 
-/// What the owner keeps beside its scheduler.
+/// State of the owner besides its scheduler.
 #[derive(Debug)]
 struct Ownership {
     claimed: Claim,
     sequence: u64,
     terms: Terms,
     watches: HashMap<Arc<str>, Arc<Watch>>,
-    /// The append under way.
+    /// Append in flight.
     commit: Option<AbortOnDrop>,
 }
 
@@ -244,7 +246,7 @@
         }
     }
 
-    /// The slice's workers.
+    /// Workers of the pool slice that are listed now.
     fn workers(&self) -> Vec<Entry> {
         let map = self.node.map();
         let directory = self.node.directory();
@@ -279,7 +281,7 @@
         }
     }
 
-    /// Feeds the scheduler; none when the shard has another owner.
+    /// Passes events to the scheduler and returns its actions; `None` if the shard has another owner.
     fn decide(
         &self,
         now: Duration,
@@ -301,7 +303,7 @@
         Some(actions)
     }
 
-    /// An order to a worker under the shard's token.
+    /// Creates an order to a worker under the fencing token of the shard's claim.
     fn order(&self, watch: &Arc<Watch>, ownership: &Ownership) -> Order {
         Order::new(&self.node, watch, &self.events, ownership.terms, ownership.claimed.token)
     }
--- a/crates/crosspath_node/src/shard_log.rs
+++ b/crates/crosspath_node/src/shard_log.rs
@@ -1,4 +1,5 @@
-//! An owner's side of the log: its records, those of others, and what the owner before knows.
+//! Access of a shard's owner to the log: its own commits, the records of callers' requests, and what
+//! the previous owner knows of leases.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,13 +16,14 @@
 use crate::node::{Node, shard_partition};
 use crate::rpc::{Answer, Question};
 
-/// For which a read of the shard waits for a record.
+/// Time for which a read of the shard waits for a new record.
 const POLL_WAIT: Duration = Duration::from_millis(1_500);
-/// After records were read: what comes meanwhile, the own commits too, is read by one call. Daemons
-/// that append for callers tell the owner so, and this is only for when they cannot.
+/// Pause after records were read, so that those of the meantime, own commits included, are read by one
+/// call. Daemons that append for callers notify the owner directly; this read only covers the cases in
+/// which they cannot.
 const FOLLOW_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What a record means that anyone may write; none for those of owners.
+/// Event for a record of a caller's request, which any daemon may append; `None` for records of owners.
 pub(crate) fn request_event(record: Record) -> Option<Event> {
     match record {
         Record::Accepted(job, accepted) => Some(Event::Accepted(job, accepted)),
@@ -38,7 +40,8 @@
     decoded.collect()
 }
 
-/// Appends as owner until the store has answered; whether the shard is still owned.
+/// Appends as owner and retries until the store accepts or refuses; returns whether the shard is still
+/// owned.
 pub(crate) async fn append_owned(
     node: &Node,
     partition: Partition,
@@ -64,7 +67,7 @@
     }
 }
 
-/// Passes on what others append to the shard; ends when a later owner claims it.
+/// Passes on the requests that other daemons append to the shard. Ends when a later owner claims it.
 pub(crate) async fn follow(
     node: Arc<Node>,
     number: u32,
@@ -106,7 +109,7 @@
     }
 }
 
-/// Asks the owner before, who may live on, what it knew of leases as owner in `epoch`.
+/// Asks the previous owner, whose process may still run, which leases it knew of as owner in `epoch`.
 pub(crate) async fn ask_previous_owner(
     node: Arc<Node>,
     shard: u32,
@@ -119,7 +122,7 @@
         Ok(Answer::Left(leases)) => {
             let now = clock::now();
             let expiry = |(worker, left_ms)| (worker, now + Duration::from_millis(left_ms));
-            // An owner that has ended needs no events.
+            // The owner's task may have ended; it needs no events then.
             events.send(Event::LeasesHandedOver(leases.into_iter().map(expiry).collect())).ok();
         }
         Ok(_) => log::info!("event=owner_before_left_nothing shard={shard} peer={previous_owner}"),
--- a/crates/crosspath_node/src/watch.rs
+++ b/crates/crosspath_node/src/watch.rs
@@ -1,4 +1,4 @@
-//! Looking at one worker, again and again: extends leases, hears of ends, acknowledges them.
+//! Polls one worker continuously: extends its leases, learns of ended runs and acknowledges them.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -12,22 +12,23 @@
 use crate::clock;
 use crate::node::Node;
 
-/// For which a worker waits for an end. Leases are extended this often.
+/// Time for which a poll waits at the worker for a run to end. Leases are extended at this interval.
 const POLL_WAIT: Duration = Duration::from_millis(1_000);
-/// For which the next look waits for ends to be kept, so that it can acknowledge them.
+/// Time for which the next poll waits until reported ends are stored, so that it can acknowledge them.
 const STORE_TIMEOUT: Duration = Duration::from_millis(120);
-/// Between looks while ends cannot be kept: the worker would answer at once, over and over.
+/// Extra pause before the next poll while ends cannot be stored: the worker would answer each poll at
+/// once.
 const UNSTORED_PAUSE: Duration = Duration::from_millis(200);
-/// After a look that failed.
+/// Pause after a failed poll.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
-/// Orders to one worker at a time: each has a connection of its own.
+/// Maximum number of concurrent starts to one worker, since each has a connection of its own.
 const MAX_ORDERS: usize = 2;
 
-/// What the looks and the shard's owner share of one worker.
+/// State of one worker that its polls share with the shard's owner.
 #[derive(Debug)]
 pub(crate) struct Watch {
     pub(crate) target: Target,
-    /// Orders under way.
+    /// Limits the starts in flight.
     pub(crate) orders: Semaphore,
     clock: Mutex<Clock>,
     acknowledged: AtomicU64,
@@ -52,19 +53,19 @@
         self.clock.lock().unwrap_or_else(PoisonError::into_inner).deadline_ms(now, length)
     }
 
-    /// Takes in what the worker's clock showed.
+    /// Updates the worker's clock from a reading that was just received.
     pub(crate) fn update_clock(&self, reading_ms: u64) {
         let clock = Clock { reading_ms, received: clock::now() };
         *self.clock.lock().unwrap_or_else(PoisonError::into_inner) = clock;
     }
 
-    /// Ends up to a number are kept.
+    /// Records that ends up to `number` are stored.
     pub(crate) fn acknowledge(&self, number: u64) {
         self.acknowledged.fetch_max(number, Ordering::Relaxed);
         self.stored.notify_one();
     }
 
-    /// Number up to which ends are kept.
+    /// Number up to which ends are stored and may be acknowledged.
     pub(crate) fn acknowledged(&self) -> u64 {
         self.acknowledged.load(Ordering::Relaxed)
     }
@@ -79,7 +80,7 @@
     }
 }
 
-/// Looks at a worker until the watch ends.
+/// Polls a worker until the watch ends.
 pub(crate) async fn run(
     node: Arc<Node>,
     watch: Arc<Watch>,
@@ -88,13 +89,13 @@
     events: mpsc::UnboundedSender<Event>,
 ) {
     let mut is_failing = false;
-    // The first look tells at once what runs there.
+    // The first poll does not wait, so that it tells at once what runs on the worker.
     let mut is_first = true;
     let mut last_ended = 0;
     while !watch.has_ended() {
         let sent = clock::now();
         let acknowledged = watch.acknowledged();
-        // A worker that did not answer may still hear: its leases must be able to run out.
+        // A worker that did not answer may still receive polls. Its leases must be allowed to expire.
         let extended = !is_failing && node.may_act(sent);
         let wait = if is_first || is_failing || last_ended > acknowledged {
             Duration::ZERO
@@ -131,7 +132,7 @@
     }
 }
 
-/// Waits until ends up to `number` are kept, but not for long.
+/// Waits until ends up to `number` are stored, for [`STORE_TIMEOUT`] at most, and pauses if they are not.
 async fn wait_until_stored(watch: &Watch, number: u64) {
     let is_stored = || watch.acknowledged() >= number || watch.has_ended();
     let stored = async {
--- a/crates/crosspath_node/src/workers.rs
+++ b/crates/crosspath_node/src/workers.rs
@@ -1,9 +1,10 @@
-//! Following the workers: two daemons read the list, the others are told of their own.
+//! Follows the worker list: two daemons read it, the others receive updates on their own workers.
 //!
-//! The owners of the fleet and of one more shard read the list in the store; an owner of other shards asks one of them
-//! for what has changed of the workers of its slices, and the other when that one does not answer, so that it goes
-//! on hearing while the fleet is taken over. A daemon that owns nothing follows none. Where both have been silent
-//! for longer than a takeover takes, an owner reads the list by itself until one answers again.
+//! The readers are the owners of the fleet's shard and of one more shard; they read the list from the
+//! store. The owner of other shards polls one of them for changes among the workers of its slices, and
+//! the other one if the first does not answer, so that updates continue while the fleet's shard is
+//! taken over. A daemon that owns nothing follows no workers. If both readers have been silent for
+//! longer than a takeover takes, an owner reads the list itself until one of them answers again.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -20,31 +21,32 @@
 use crate::rpc::{self, Answer, Question};
 use crate::shard::Handle;
 
-/// Between reads of the list by its reader: some dozens of workers write at a time, and reading each record as
-/// it comes would cost a call for each.
+/// Pause between reads of the list. Dozens of workers write at the same time, and reading each record
+/// as it arrives would cost a call each.
 const READ_INTERVAL: Duration = Duration::from_millis(100);
-/// Between questions to a reader.
+/// Interval between polls of a reader.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// The same while an owned slice has work and no worker with room: VMs are on their way to it, and wait for this
-/// once they are there.
+/// Interval between polls while an owned slice has tasks that wait for a worker with enough free
+/// resources. VMs are then being moved to its pool, and are used only after the next poll.
 const SHORT_POLL_INTERVAL: Duration = Duration::from_millis(60);
-/// Silence of the readers after which an owner reads the list by itself: a takeover of the fleet takes less.
+/// Time without an answer from any reader after which an owner reads the list itself. A takeover of the
+/// fleet's shard takes less.
 const READER_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Between questions to readers meanwhile.
+/// Minimum interval between polls of the readers while the owner reads the list itself.
 const READER_RETRY_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Where a daemon hears of workers.
+/// Source from which a daemon learns of workers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Source {
-    /// It needs none.
+    /// None: the daemon owns no shards.
     Nobody,
-    /// The list in the store.
+    /// The worker list in the store.
     Store,
-    /// A daemon that reads the list.
+    /// A daemon that reads the list from the store.
     Reader,
 }
 
-/// Shards whose owners read the list.
+/// Numbers of the shards whose owners read the list.
 fn reader_shards(node: &Node) -> [u32; 2] {
     let fleet = node.fleet_shard();
     [fleet, fleet - 1]
@@ -56,8 +58,9 @@
     reader_shards(node).iter().any(|shard| owned.contains_key(shard))
 }
 
-/// Where to hear of workers at `now`, for a daemon that owns `shards` shards, one whose owner reads the list among
-/// them or not, and heard from a reader at `last_answer`, or has needed one since then.
+/// Selects the source at `now` for a daemon that owns `shards` shards. `is_reader` says that the owner of
+/// one of them reads the list. `last_answer` is the time of the last answer from a reader, or since
+/// when the daemon has needed one.
 #[must_use]
 pub fn source(shards: usize, is_reader: bool, last_answer: Duration, now: Duration) -> Source {
     match (shards, is_reader) {
@@ -68,7 +71,7 @@
     }
 }
 
-/// Follows the workers of what this daemon owns.
+/// Follows the workers of the pool slices that this daemon owns.
 pub(crate) async fn follow(node: Arc<Node>) {
     let mut follower = Follower {
         feed: Feed::new(only_partition(Topic::Workers)),
@@ -91,17 +94,17 @@
     node: Arc<Node>,
     feed: Feed,
     backoff: Backoff,
-    /// How far the reader has told.
+    /// Position up to which the reader has sent updates.
     cursor: Option<Cursor>,
-    /// Slices of which the reader tells.
+    /// Pool slices that the reader's updates cover.
     pool_slices: BTreeSet<PoolSlice>,
-    /// When a reader last answered, or since when one is needed.
+    /// Time of the last answer from a reader, or since when one is needed.
     last_answer: Duration,
-    /// When one was last asked.
+    /// Time at which a reader was last polled.
     polled_at: Duration,
-    /// Which of the reader shards' owners last answered.
+    /// Index in [`reader_shards`] of the shard whose owner is polled first.
     preferred_reader: usize,
-    /// Where it heard of workers in the step before.
+    /// Source that was used in the previous step.
     previous_source: Source,
 }
 
@@ -149,7 +152,7 @@
         if lacks_workers { SHORT_POLL_INTERVAL } else { POLL_INTERVAL }
     }
 
-    /// Reads what is new in the list.
+    /// Reads new records of the list from the store.
     async fn read(&mut self) {
         let whole = !self.feed.is_started();
         match self.feed.read(&self.node, Duration::ZERO).await {
@@ -169,7 +172,7 @@
         }
     }
 
-    /// Asks a reader for what is new, and the other one when that has no answer; whether one had.
+    /// Polls a reader for changes, and the other one if it has no answer; returns whether one had.
     async fn poll_reader(&mut self) -> bool {
         let pool_slices = self.owned_pool_slices();
         if pool_slices != self.pool_slices {
@@ -190,7 +193,7 @@
         false
     }
 
-    /// Takes in what a reader has told of the workers of `pool_slices`.
+    /// Applies a reader's update on the workers of `pool_slices`.
     fn apply(&mut self, update: Update, pool_slices: BTreeSet<PoolSlice>) {
         self.last_answer = clock::now();
         self.cursor = Some(update.cursor.clone());
@@ -204,7 +207,7 @@
     }
 }
 
-/// Tells owners of slices here of changes.
+/// Passes changes to the owners of the pool slices in this process.
 fn forward_changes(node: &Node, changes: Vec<Change>) {
     let owned = node.owned();
     let map = node.map();
@@ -216,7 +219,8 @@
     }
 }
 
-/// What another daemon is told of the workers of `pool_slices`; nothing from a daemon that does not read the list.
+/// Answers another daemon's poll for the workers of `pool_slices`; [`Answer::NotOwner`] if this daemon does
+/// not read the list or may not act as owner.
 pub(crate) fn answer(
     node: &Node,
     pool_slices: &BTreeSet<PoolSlice>,
--- a/crates/crosspath_node/tests/node/appends.rs
+++ b/crates/crosspath_node/tests/node/appends.rs
@@ -1,10 +1,10 @@
-//! Who appends what callers ask for: two daemons on one log in memory.
+//! Routes by which callers' records are appended, with two daemons on one log in memory.
 
 use crosspath_border::ingress::Submitted;
 
 use crate::common::{Daemon, SETTLED, log_of_one_pool};
 
-/// Two daemons, the one that owns the pool's shard first.
+/// Starts two daemons; the first one returned owns the pool's shard.
 async fn owner_and_other() -> (Daemon, Daemon) {
     let log = log_of_one_pool().await;
     let one = Daemon::start("entry-1", &log).await;
@@ -58,9 +58,9 @@
     let answer = other.submit(50).await;
     assert!(matches!(answer, Submitted::NotTaken { .. }), "{answer:?}");
     let tries = owner.refused() + other.refused() - before;
-    assert!(tries <= 4, "{tries} tries for a caller who was to be refused at once");
+    assert!(tries <= 4, "{tries} refused appends for a submission that should be refused at once");
     for daemon in [&owner, &other] {
         daemon.take_log_down(false);
     }
-    assert_eq!(other.submit(50).await, Submitted::Accepted, "the log is back");
+    assert_eq!(other.submit(50).await, Submitted::Accepted, "the log is up again");
 }
--- a/crates/crosspath_node/tests/node/candidacy.rs
+++ b/crates/crosspath_node/tests/node/candidacy.rs
@@ -1,4 +1,4 @@
-//! Which daemons stand for ownership.
+//! Which daemons are candidates for ownership, by the size of their VM and of the owners' VMs.
 
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
     (0..count).map(member).collect()
 }
 
-/// Whether it stands at each of some moments, seeing the same owners at all of them.
+/// Whether the daemon is a candidate at each of the times `at`, with the same owners at all of them.
 fn observe(candidacy: &mut Candidacy, at: &[u64], seen: &[Member]) -> Vec<bool> {
     let mut candidate = Vec::new();
     for at in at {
@@ -53,7 +53,7 @@
     let mut candidacy = Candidacy::new(SMALL);
     let few = owners(LARGE, 1);
     assert_eq!(observe(&mut candidacy, &[0, 1_400], &few), [false, false]);
-    // A restart of the large ones ends the count.
+    // The return of the large VMs restarts the delay.
     candidacy.observe(ms(1_450), &owners(LARGE, 8));
     assert_eq!(observe(&mut candidacy, &[1_500, 2_900, 3_000], &few), [false, false, true]);
 }
@@ -84,6 +84,7 @@
 fn a_member_round_trips_through_its_text() {
     let member = owners(LARGE, 1).remove(0);
     assert_eq!(member.to_string().parse(), Ok(member));
-    let error = "10.0.0.1:7000/edge".parse::<Member>().expect_err("half a text");
+    let error =
+        "10.0.0.1:7000/edge".parse::<Member>().expect_err("the text lacks two of four parts");
     assert!(error.to_string().contains("10.0.0.1:7000/edge"), "{error}");
 }
--- a/crates/crosspath_node/tests/node/claim.rs
+++ b/crates/crosspath_node/tests/node/claim.rs
@@ -1,4 +1,4 @@
-//! Claims: one epoch and one token for each, whatever answers are lost.
+//! Guards against two claims with the same epoch or token, also when answers of the store are lost.
 
 use crosspath_border::store::{Error, NewRecord, Partition, Precondition, Store as _, Topic};
 use crosspath_fakes::memory_store::MemoryStore;
@@ -48,6 +48,6 @@
     let precondition = Precondition::Owner { epoch: owner.epoch, sequence: owner.sequence + 1 };
     store.lose_answers(1);
     assert_eq!(store.append(SHARD, &record(), precondition).await, Err(Error::NoAnswer));
-    store.append(SHARD, &record(), precondition).await.expect("the first answer again");
-    assert_eq!(store.records(SHARD).len(), 2, "the claim and the record");
+    store.append(SHARD, &record(), precondition).await.expect("the store repeats the first answer");
+    assert_eq!(store.records(SHARD).len(), 2, "one claim and one record");
 }
--- a/crates/crosspath_node/tests/node/directory.rs
+++ b/crates/crosspath_node/tests/node/directory.rs
@@ -1,4 +1,5 @@
-//! Entries of the worker list that another wrote, and what the others are worth then.
+//! Guards against an entry of the worker list that another program wrote: it must not name a worker to
+//! use, and must not affect the other entries.
 
 use std::sync::Arc;
 
@@ -18,7 +19,7 @@
 fn read(record: &Stored) -> Result<Entry, DecodeError> {
     let Stored { key, offset, value } = record;
     if value != SOUND {
-        let detail = "another wrote it".to_owned();
+        let detail = "written by another program".to_owned();
         return Err(DecodeError { key: key.clone(), offset: *offset, detail });
     }
     Ok(Entry {
@@ -26,7 +27,7 @@
         pool: "counter".into(),
         vm: Arc::from(format!("vm-{key}")),
         data_centre: "a".into(),
-        address: "127.0.0.1:9".parse().expect("an address"),
+        address: "127.0.0.1:9".parse().expect("valid address"),
         draining: false,
         remaining_ms: 0,
         capacity: Resources { cpu_millis: 32_000, mem_mb: 128_000, gpus: 0 },
--- a/crates/crosspath_node/tests/node/outage.rs
+++ b/crates/crosspath_node/tests/node/outage.rs
@@ -1,4 +1,5 @@
-//! When the store counts as away for all.
+//! Guards against taking a lost connection of this daemon for an outage of the store: the daemon would
+//! go on acting as owner of shards that were assigned to another one.
 
 use std::time::Duration;
 
--- a/crates/crosspath_node/tests/node/pending.rs
+++ b/crates/crosspath_node/tests/node/pending.rs
@@ -1,4 +1,4 @@
-//! What a caller is told of a record, and when.
+//! Which outcome of a record its caller is told, and when.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
     pending::pair(record, DEADLINES)
 }
 
-/// The outcome and after how long it came, in ms.
+/// Waits for the outcome; returns it and the time that it took, in ms.
 async fn outcome(waiter: Waiter) -> (Outcome, u128) {
     let began = Instant::now();
     let outcome = waiter.outcome(Duration::ZERO).await;
@@ -30,7 +30,10 @@
     let (outcome, after) = outcome(waiter).await;
     assert_eq!(outcome, Outcome::Unsent);
     assert!((900..910).contains(&after), "after {after} ms");
-    assert!(!pending.begin_send(), "it would be sent after its caller was told that it was not");
+    assert!(
+        !pending.begin_send(),
+        "the record would be sent after its caller was told that it was not"
+    );
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/crosspath_node/tests/node/workers.rs
+++ b/crates/crosspath_node/tests/node/workers.rs
@@ -1,4 +1,4 @@
-//! The worker list: read by two daemons, told to the owners of slices as changes.
+//! The worker list: two daemons read it and send changes to the owners of pool slices.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -17,17 +17,17 @@
     Stored { offset: 9, key: key.to_owned(), value: value.to_owned().into() }
 }
 
-/// An entry whose value is its pool and its room, as "POOL CORES".
+/// Decodes an entry whose value is its pool and capacity, as "POOL CORES".
 fn read(record: &Stored) -> Entry {
     let text = String::from_utf8_lossy(&record.value);
-    let (pool, cores) = text.split_once(' ').expect("a pool and cores");
-    let cores: u64 = cores.parse().expect("cores");
+    let (pool, cores) = text.split_once(' ').expect("value of the form POOL CORES");
+    let cores: u64 = cores.parse().expect("a number of cores");
     Entry {
         id: record.key.as_str().into(),
         pool: pool.into(),
         vm: Arc::from(format!("vm-{}", record.key)),
         data_centre: "a".into(),
-        address: "127.0.0.1:9".parse().expect("an address"),
+        address: "127.0.0.1:9".parse().expect("valid address"),
         draining: false,
         remaining_ms: 0,
         capacity: Resources { cpu_millis: cores * 1_000, mem_mb: 128_000, gpus: 0 },
@@ -41,7 +41,7 @@
     drop(directory.apply_records(records, whole, |record| Ok(read(record))));
 }
 
-/// A map of one slice a pool.
+/// Returns a map with one slice for each pool.
 fn map() -> Map {
     let mut map = Map::default();
     map.apply(&stored("slices", "1"));
@@ -60,12 +60,12 @@
     directory
 }
 
-/// What the reader tells of the counter's workers, and of what it has told before.
+/// Returns the reader's update on the counter pool's workers, after the update `before` if there was one.
 fn update_since(directory: &Directory, before: Option<&Update>) -> Update {
     let cursor = before.map(|update| &update.cursor);
     directory
         .update_since(&"reader".into(), &map(), &pool_slices(&["counter"]), cursor)
-        .expect("all are known")
+        .expect("the reader knows all workers")
 }
 
 fn ids(update: &Update) -> Vec<&str> {
@@ -78,7 +78,7 @@
     let first = update_since(&directory, None);
     assert!(first.whole);
     assert_eq!(ids(&first), ["i-1", "i-2"]);
-    // Most records say the same as the one before.
+    // Most records repeat the previous one, so they are no changes.
     apply(&mut directory, &[stored("i-1", "counter 32"), stored("i-3", "meter 16")], false);
     let second = update_since(&directory, Some(&first));
     assert!(!second.whole);
@@ -105,13 +105,14 @@
     apply(&mut directory, &[stored("i-2", ""), stored("i-4", "counter 32")], false);
     let second = update_since(&directory, Some(&first));
     assert_eq!(own.apply_update(second.clone(), &pool_slices(&["counter"])).len(), 2);
-    // Told again, it changes nothing.
+    // The same update again changes nothing.
     assert_eq!(own.apply_update(second, &pool_slices(&["counter"])).len(), 0);
     let whole = update_since(&directory, None);
     assert_eq!(own.apply_update(whole, &pool_slices(&["counter"])).len(), 0);
 }
 
-/// Another daemon reads the list now, or the same one has begun anew, or has forgotten what was gone.
+/// A cursor is unknown if another daemon is the reader now, if the reader has read the list anew, or if it no
+/// longer has the changes since the cursor. Changes alone would then leave out some workers.
 #[test]
 fn an_unknown_cursor_gets_a_full_update() {
     let mut directory = reader();
@@ -122,7 +123,7 @@
         &pool_slices(&["counter"]),
         Some(&first.cursor),
     );
-    assert!(other.expect("all are known").whole);
+    assert!(other.expect("the reader knows all workers").whole);
     for number in 0..5_000 {
         let key = format!("m-{number}");
         apply(&mut directory, &[stored(&key, "meter 32")], false);
@@ -149,7 +150,7 @@
     assert_eq!(source(3, false, second, second * 5), Source::Store);
 }
 
-/// What the store has to send must not grow with the number of daemons: all four read before.
+/// The traffic of the store must not grow with the number of daemons, as it would if all four read the list.
 #[tokio::test]
 async fn only_two_daemons_read_the_list() {
     let log = log_of_one_pool().await;
