--- a/crates/crosspath_node/src/membership.rs
+++ b/crates/crosspath_node/src/membership.rs
@@ -155,8 +155,8 @@
             return tokio::time::sleep(self.backoff.pause(rand::random())).await;
         }
         self.backoff.reset();
-        let doubted = self.node.holders_doubted.notified();
-        if tokio::time::timeout(STANDBY_INTERVAL, doubted).await.is_ok() {
+        let suspected = self.node.holders_doubted.notified();
+        if tokio::time::timeout(STANDBY_INTERVAL, suspected).await.is_ok() {
             // Many daemons notice a lost holder at once, and go on doing so until the takeover is done.
             tokio::time::sleep(self.suspect_backoff.pause(rand::random())).await;
         } else {
--- a/crates/crosspath_node/src/shard.rs
+++ b/crates/crosspath_node/src/shard.rs
@@ -39,7 +39,7 @@
 /// Interval between decisions when there are no events.
 const TICK: Duration = Duration::from_millis(50);
 /// Interval between decisions while changes are collected for a commit.
-const GATHER_TICK: Duration = Duration::from_millis(12);
+const COMMIT_TICK: Duration = Duration::from_millis(12);
 /// Maximum number of received events that are handled before the next decision.
 const MAX_EVENTS: usize = 64;
 
@@ -200,9 +200,9 @@
             membership_ttl: TTL,
         };
         let now = clock::now();
-        let mut scheduler_state = Scheduler::new(settings, claimed.epoch, now);
-        scheduler_state.take_over(now, clock::wall_ms(), decode(&records), self.workers());
-        *scheduler(&self.shared) = Some(scheduler_state);
+        let mut new_scheduler = Scheduler::new(settings, claimed.epoch, now);
+        new_scheduler.take_over(now, clock::wall_ms(), decode(&records), self.workers());
+        *scheduler(&self.shared) = Some(new_scheduler);
         let _handover_request = AbortOnDrop(tokio::spawn(ask_previous_owner(
             Arc::clone(&self.node),
             self.number,
@@ -260,21 +260,21 @@
     async fn serve(&self, mut ownership: Ownership, receiver: &mut mpsc::UnboundedReceiver<Event>) {
         let mut events = Vec::new();
         let mut inputs = Inputs::default();
-        let mut gathers = false;
-        let mut ticked = Duration::ZERO;
+        let mut decides_soon = false;
+        let mut last_tick = Duration::ZERO;
         loop {
-            let pause = if gathers { GATHER_TICK } else { TICK };
+            let pause = if decides_soon { COMMIT_TICK } else { TICK };
             let received = tokio::time::timeout(pause, receiver.recv_many(&mut events, MAX_EVENTS));
             if matches!(received.await, Ok(0)) {
                 return;
             }
             let now = clock::now();
-            if now >= ticked + TICK {
-                ticked = now;
+            if now >= last_tick + TICK {
+                last_tick = now;
                 events.push(Event::Tick);
             }
             events.extend(inputs.changes(&self.node, now, self.number, &self.pool_slice));
-            let Some(actions) = self.decide(now, &mut events, &mut gathers) else { return };
+            let Some(actions) = self.decide(now, &mut events, &mut decides_soon) else { return };
             for action in actions {
                 self.execute(&mut ownership, action);
             }
@@ -286,7 +286,7 @@
         &self,
         now: Duration,
         events: &mut Vec<Event>,
-        gathers: &mut bool,
+        decides_soon: &mut bool,
     ) -> Option<Vec<Action>> {
         let mut shared = scheduler(&self.shared);
         let scheduler = shared.as_mut()?;
@@ -299,7 +299,7 @@
             return None;
         }
         let actions = scheduler.decide(now, wall_ms);
-        *gathers = scheduler.decides_soon();
+        *decides_soon = scheduler.decides_soon();
         Some(actions)
     }
 
