--- a/crates/crosspath_node/src/appender.rs
+++ b/crates/crosspath_node/src/appender.rs
@@ -5,8 +5,8 @@
 //! the log keeps the newest record of a key, so a duplicate does no harm.
 //!
 //! Batches are relayed to the shard's owner, which appends the records of all daemons together. A
-//! partition executes its appends one after the other, so a slow store would complete few of them if
-//! each daemon appended by itself. An owner that does not answer is bypassed.
+//! partition executes its appends one after the other, so a slow store would complete few of them
+//! if each daemon appended by itself. An owner that does not answer is bypassed.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -29,8 +29,8 @@
 
 /// Delay before a failed append is attempted again.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// Interval at which an owner is probed while its answer to an append is outstanding. An append takes
-/// 10 ms, and some 50 ms more if the owner is busy.
+/// Interval at which an owner is probed while its answer to an append is outstanding. An append
+/// takes 10 ms, and some 50 ms more if the owner is busy.
 const OWNER_PROBE_INTERVAL: Duration = Duration::from_millis(300);
 /// Timeout of an append through the shard's owner. While the store is slow, it covers the owner's
 /// append in flight and the next one.
@@ -41,32 +41,33 @@
 /// Time after which the owner stops retrying records that are certainly not stored. It allows for
 /// some attempts, and leaves the requesting daemon time to tell its caller when to retry.
 const OWNER_REFUSE_AFTER: Duration = Duration::from_millis(250);
-/// Time after which the owner reports the outcome as unknown. Shorter than [`OWNER_TIMEOUT`], so that
-/// the requesting daemon still receives the answer.
+/// Time after which the owner reports the outcome as unknown. Shorter than [`OWNER_TIMEOUT`], so
+/// that the requesting daemon still receives the answer.
 const OWNER_UNKNOWN_AFTER: Duration = Duration::from_millis(1_000);
 /// Maximum number of other daemons that are asked to append in one attempt. If the store refuses a
 /// third of the daemons, one attempt in 27 fails and is retried; if it refuses all of them, callers
 /// learn of it soon.
 const MAX_RELAYS: usize = 2;
-/// Time after which the next batch is sent although an append is still in flight. A fast store takes
-/// 5 to 10 ms, and some 15 ms through the owner. With a slow store, a caller would otherwise wait for
-/// two appends besides its own, one at its daemon and one at the owner.
+/// Time after which the next batch is sent although an append is still in flight. A fast store
+/// takes 5 to 10 ms, and some 15 ms through the owner. With a slow store, a caller would otherwise
+/// wait for two appends besides its own, one at its daemon and one at the owner.
 const PIPELINE_DELAY: Duration = Duration::from_millis(30);
-/// Maximum number of appends in flight to a shard at its owner. A partition executes them one after the
-/// other, along with the owner's commits: 17 per second when the store is 57 times as slow.
+/// Maximum number of appends in flight to a shard at its owner. A partition executes them one after
+/// the other, along with the owner's commits: 17 per second when the store is 57 times as slow.
 const MAX_IN_FLIGHT_AS_OWNER: usize = 3;
-/// Maximum number of appends in flight to a shard at the other daemons. The owner combines them into
-/// fewer appends.
+/// Maximum number of appends in flight to a shard at the other daemons. The owner combines them
+/// into fewer appends.
 const MAX_IN_FLIGHT_RELAYED: usize = 8;
-/// Maximum number of records in one append. With jobs of 4 KB this is far below the store's size limit.
+/// Maximum number of records in one append. With jobs of 4 KB this is far below the store's size
+/// limit.
 const MAX_RECORDS: usize = 128;
 
 /// Queues of records to append, one for each shard number; created on first use.
 #[derive(Debug, Default)]
 pub(crate) struct Appenders(Mutex<HashMap<u32, mpsc::UnboundedSender<Pending>>>);
 
-/// Appends a record to a shard and returns its outcome. While the store is silent, there is a single
-/// attempt, which `deadlines` do not bound.
+/// Appends a record to a shard and returns its outcome. While the store is silent, there is a
+/// single attempt, which `deadlines` do not bound.
 pub(crate) async fn append(
     node: &Arc<Node>,
     shard: u32,
@@ -107,8 +108,8 @@
 
 /// Sends queued records in as few appends as possible while the store is fast: records that arrive
 /// during an append wait for it and are sent together. An append that is slow, or whose answer is
-/// lost, delays the next one by [`PIPELINE_DELAY`] at most, as long as there are fewer in flight than
-/// allowed.
+/// lost, delays the next one by [`PIPELINE_DELAY`] at most, as long as there are fewer in flight
+/// than allowed.
 async fn run(node: Arc<Node>, shard: u32, mut receiver: mpsc::UnboundedReceiver<Pending>) {
     let mut queued: Vec<Pending> = Vec::new();
     let mut in_flight = FuturesUnordered::new();
@@ -181,8 +182,8 @@
     }
 }
 
-/// Settles the records that are not attempted again and returns the others. While the store is down,
-/// one attempt over all routes is enough: more of them only delay the caller's own retry.
+/// Settles the records that are not attempted again and returns the others. While the store is
+/// down, one attempt over all routes is enough: more of them only delay the caller's own retry.
 fn settle_expired(node: &Node, batch: Vec<Pending>) -> Vec<Pending> {
     let now = clock::now();
     let is_down = node.store_down_for(now).is_some();
@@ -224,8 +225,8 @@
     if outcomes.iter().all(|outcome| *outcome == first) { first } else { Outcome::Unknown }
 }
 
-/// Appends through the shard's owner. If this daemon is the owner, none is known, or the owner fails
-/// or is unresponsive, appends without it.
+/// Appends through the shard's owner. If this daemon is the owner, none is known, or the owner
+/// fails or is unresponsive, appends without it.
 async fn append_with_fallback(
     node: &Arc<Node>,
     shard: u32,
@@ -265,16 +266,16 @@
 /// Route by which records were appended.
 #[derive(Debug, Clone)]
 enum Route {
-    /// Through the shard's owner, which knows of them. It did not append the records whose keys are in
-    /// `taken`: their identifiers belong to other customers' jobs.
+    /// Through the shard's owner, which knows of them. It did not append the records whose keys are
+    /// in `taken`: their identifiers belong to other customers' jobs.
     Owner { taken: Vec<String> },
     /// By this daemon, or through another one that is not known to be the owner.
     WithoutOwner,
 }
 
 impl Route {
-    /// Notifies the owner of records that were appended without it, in the background, so that it need
-    /// not wait until it reads them from the log.
+    /// Notifies the owner of records that were appended without it, in the background, so that it
+    /// need not wait until it reads them from the log.
     fn notify_owner(&self, node: &Arc<Node>, shard: u32, records: &[NewRecord]) {
         if matches!(self, Self::Owner { .. }) {
             return;
@@ -296,8 +297,8 @@
     }
 }
 
-/// Returns once the owner fails to answer a probe. An owner that answers probes but not the append is
-/// waiting for the store.
+/// Returns once the owner fails to answer a probe. An owner that answers probes but not the append
+/// is waiting for the store.
 async fn until_owner_unresponsive(node: &Node, owner: SocketAddr) {
     loop {
         tokio::time::sleep(OWNER_PROBE_INTERVAL).await;
@@ -308,7 +309,8 @@
     }
 }
 
-/// Combines the errors of two routes: if either append may have taken effect, returns an error that says so.
+/// Combines the errors of two routes: if either append may have taken effect, returns an error that
+/// says so.
 fn combine_errors(one: Error, other: Error) -> Error {
     if one.had_no_effect() { other } else { one }
 }
--- a/crates/crosspath_node/src/backoff.rs
+++ b/crates/crosspath_node/src/backoff.rs
@@ -1,9 +1,9 @@
 //! Exponential backoff with jitter for calls that fail.
 //!
-//! An outage of the store hits all daemons at the same moment. With a fixed pause their retries would
-//! coincide, and their number alone could overload the store when it returns. So pauses double up to a
-//! maximum and are shortened at random. Calls that many daemons make, or that can wait, have a higher
-//! maximum than calls that only a shard's owner makes.
+//! An outage of the store hits all daemons at the same moment. With a fixed pause their retries
+//! would coincide, and their number alone could overload the store when it returns. So pauses
+//! double up to a maximum and are shortened at random. Calls that many daemons make, or that can
+//! wait, have a higher maximum than calls that only a shard's owner makes.
 
 use std::time::Duration;
 
@@ -23,8 +23,8 @@
     pub max: Duration,
 }
 
-/// Calls that only members of the group make and that callers wait for: claims, owners' appends, and
-/// reads of shards.
+/// Calls that only members of the group make and that callers wait for: claims, owners' appends,
+/// and reads of shards.
 pub const OWNER_CALLS: Policy =
     Policy { initial: Duration::from_millis(100), max: Duration::from_millis(200) };
 /// Reads of the configuration and of evacuations, which must be in force within a bounded time.
--- a/crates/crosspath_node/src/candidacy.rs
+++ b/crates/crosspath_node/src/candidacy.rs
@@ -1,8 +1,8 @@
 //! Decides whether this daemon is a candidate for ownership of shards.
 //!
-//! Every daemon serves callers, and any daemon can own shards. Where entry VMs differ in size, owners
-//! should run on VMs that can carry a shard's peak load. So daemons on small VMs stay out of the group
-//! of owners while enough daemons on large VMs are in it, and join when too few are left.
+//! Every daemon serves callers, and any daemon can own shards. Where entry VMs differ in size,
+//! owners should run on VMs that can carry a shard's peak load. So daemons on small VMs stay out of
+//! the group of owners while enough daemons on large VMs are in it, and join when too few are left.
 
 use std::time::Duration;
 
@@ -16,8 +16,8 @@
 /// [`MIN_LARGE_OWNERS`], so that the loss and return of one VM does not move shards back and forth.
 const SUFFICIENT_LARGE_OWNERS: usize = 4;
 /// Time for which there must be too few large owners before a small VM joins. Longer than the group
-/// takes to expire a silent member, so that the large VMs take their shards again after a restart of
-/// all daemons.
+/// takes to expire a silent member, so that the large VMs take their shards again after a restart
+/// of all daemons.
 const STEP_IN_DELAY: Duration = Duration::from_millis(1_500);
 /// Time for which there must be enough large owners before a small VM withdraws.
 const STEP_BACK_DELAY: Duration = Duration::from_secs(4);
@@ -27,13 +27,14 @@
 pub struct Candidacy {
     is_large: bool,
     is_candidate: bool,
-    /// Since when the observed owners have called for the opposite of `is_candidate`, without a break.
+    /// Since when the observed owners have called for the opposite of `is_candidate`, without a
+    /// break.
     change_due_since: Option<Duration>,
 }
 
 impl Candidacy {
-    /// Creates the state of a daemon on a VM of `millicores` thousandths of a core. Only a large VM is a
-    /// candidate from the start.
+    /// Creates the state of a daemon on a VM of `millicores` thousandths of a core. Only a large VM
+    /// is a candidate from the start.
     #[must_use]
     pub fn new(millicores: u32) -> Self {
         let is_large = millicores >= LARGE_MILLICORES;
--- a/crates/crosspath_node/src/claim.rs
+++ b/crates/crosspath_node/src/claim.rs
@@ -5,8 +5,9 @@
 
 use crate::backoff::{self, Backoff};
 
-/// Bound of the random sequence number of a claim. Two daemons that claim a shard with the same epoch
-/// use different numbers, so that the store does not take one claim for a repetition of the other.
+/// Bound of the random sequence number of a claim. Two daemons that claim a shard with the same
+/// epoch use different numbers, so that the store does not take one claim for a repetition of the
+/// other.
 const SEQUENCE_RANGE: u64 = 1 << 40;
 
 /// A claim that the store has accepted.
@@ -16,7 +17,8 @@
     pub epoch: u64,
     /// Sequence number of the claim; the owner's next append in the epoch has the next number.
     pub sequence: u64,
-    /// Fencing token in orders to workers and the platform, derived from the claim's offset in the log.
+    /// Fencing token in orders to workers and the platform, derived from the claim's offset in the
+    /// log.
     pub token: u64,
 }
 
--- a/crates/crosspath_node/src/directory.rs
+++ b/crates/crosspath_node/src/directory.rs
@@ -5,7 +5,8 @@
 //! would grow with the square of the fleet.
 //!
 //! Other programs can write entries too. An entry that cannot be decoded is ignored and removes the
-//! worker that had the same key, until that worker writes its next entry. Other entries are unaffected.
+//! worker that had the same key, until that worker writes its next entry. Other entries are
+//! unaffected.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -35,7 +36,8 @@
 pub struct Cursor {
     /// The reader: the daemon, in its current incarnation, that reads the list and serves updates.
     pub reader: Arc<str>,
-    /// Number of the reader's latest read of the whole list; changes are not continuous across two of them.
+    /// Number of the reader's latest read of the whole list; changes are not continuous across two
+    /// of them.
     pub reading: u64,
     /// Number of the last change that the update covers.
     pub change: u64,
@@ -104,8 +106,8 @@
         self.coverage = Coverage::Nothing;
     }
 
-    /// Applies records read from the list and returns the changes. `whole` says that they are all of the
-    /// list's records, so that workers without a record are removed.
+    /// Applies records read from the list and returns the changes. `whole` says that they are all
+    /// of the list's records, so that workers without a record are removed.
     pub fn apply_records(
         &mut self,
         records: &[Stored],
@@ -134,9 +136,10 @@
         changes
     }
 
-    /// Returns the update for another daemon that follows `pool_slices` and has received updates up to
-    /// `cursor`. The update holds all of their workers if the cursor is missing, from another reader or
-    /// an earlier read of the list, or too old. `None` while not all workers are known here.
+    /// Returns the update for another daemon that follows `pool_slices` and has received updates up
+    /// to `cursor`. The update holds all of their workers if the cursor is missing, from another
+    /// reader or an earlier read of the list, or too old. `None` while not all workers are known
+    /// here.
     #[must_use]
     pub fn update_since(
         &self,
--- a/crates/crosspath_node/src/inputs.rs
+++ b/crates/crosspath_node/src/inputs.rs
@@ -35,7 +35,8 @@
 }
 
 impl Inputs {
-    /// Returns events for the inputs that have changed by `now`, for the scheduler of a pool slice's shard.
+    /// Returns events for the inputs that have changed by `now`, for the scheduler of a pool
+    /// slice's shard.
     pub(crate) fn changes(
         &mut self,
         node: &Node,
--- a/crates/crosspath_node/src/membership.rs
+++ b/crates/crosspath_node/src/membership.rs
@@ -1,4 +1,5 @@
-//! Keeps this daemon a member of the group of owners, and owns the shards that the group assigns to it.
+//! Keeps this daemon a member of the group of owners, and owns the shards that the group assigns to
+//! it.
 //!
 //! A daemon that is no candidate for ownership only follows which daemon holds which shard.
 
@@ -23,29 +24,30 @@
 /// nothing new starts in these shards meanwhile; long enough that some joins may be lost.
 pub(crate) const TTL: Duration = Duration::from_millis(1_200);
 /// Interval between joins. Several fit into [`TTL`]. The group reassigns a shard in two steps, and
-/// members see each of them at a join, so the interval also bounds how long a shard has no owner when
-/// members change.
+/// members see each of them at a join, so the interval also bounds how long a shard has no owner
+/// when members change.
 const JOIN_INTERVAL: Duration = Duration::from_millis(150);
 /// Timeout of calls to the store; a join without an answer is then sent again.
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
-/// Timeout of a join during an outage of the store. Short, since the other daemons must be asked again
-/// soon.
+/// Timeout of a join during an outage of the store. Short, since the other daemons must be asked
+/// again soon.
 const OUTAGE_JOIN_TIMEOUT: Duration = Duration::from_millis(250);
 /// Time by which this daemon considers its membership expired earlier than the group does.
 const EXPIRY_MARGIN: Duration = Duration::from_millis(50);
-/// Time for which this daemon goes on acting as owner after the others confirmed an outage. After it
-/// returns, the store assigns no shard to another daemon before a member's TTL has passed.
+/// Time for which this daemon goes on acting as owner after the others confirmed an outage. After
+/// it returns, the store assigns no shard to another daemon before a member's TTL has passed.
 const OUTAGE_LEASE: Duration = Duration::from_millis(900);
-/// Interval between reads of the holders of shards, besides the reads after each change of the group.
+/// Interval between reads of the holders of shards, besides the reads after each change of the
+/// group.
 const HOLDERS_INTERVAL: Duration = Duration::from_millis(1_500);
 
-/// Interval between reads of the holders of shards by a daemon that is no candidate. Long, since there
-/// are many such daemons. A former holder says that it is not the owner, or does not answer, and
-/// either triggers a read.
+/// Interval between reads of the holders of shards by a daemon that is no candidate. Long, since
+/// there are many such daemons. A former holder says that it is not the owner, or does not answer,
+/// and either triggers a read.
 const STANDBY_INTERVAL: Duration = Duration::from_millis(3_000);
 
-/// Stays in the group while this daemon is a candidate for ownership. Follows the holders of shards in
-/// either case.
+/// Stays in the group while this daemon is a candidate for ownership. Follows the holders of shards
+/// in either case.
 pub(crate) async fn run(node: Arc<Node>) {
     let mut candidacy = Candidacy::new(node.settings.millicores);
     node.set_standing(|standing| standing.candidate = candidacy.is_candidate());
@@ -75,8 +77,8 @@
     }
 }
 
-/// Removes earlier incarnations of this daemon from the group. They have ended, since this one uses their
-/// addresses, and their shards need not wait until the group expires them after [`TTL`].
+/// Removes earlier incarnations of this daemon from the group. They have ended, since this one uses
+/// their addresses, and their shards need not wait until the group expires them after [`TTL`].
 async fn end_earlier_incarnations(node: Arc<Node>) {
     refresh_holders(Arc::clone(&node)).await;
     let Ok(own) = node.member.parse::<Member>() else { return };
@@ -101,7 +103,8 @@
     holders_read_at: Duration,
     /// Backoff after failed reads of the holders, while this daemon is no candidate.
     backoff: Backoff,
-    /// Backoff between reads triggered by holders that did not answer as owners, one after the other.
+    /// Backoff between reads triggered by holders that did not answer as owners, one after the
+    /// other.
     suspect_backoff: Backoff,
 }
 
@@ -157,7 +160,8 @@
         self.backoff.reset();
         let suspected = self.node.holders_doubted.notified();
         if tokio::time::timeout(STANDBY_INTERVAL, suspected).await.is_ok() {
-            // Many daemons notice a lost holder at once, and go on doing so until the takeover is done.
+            // Many daemons notice a lost holder at once, and go on doing so until the takeover is
+            // done.
             tokio::time::sleep(self.suspect_backoff.pause(rand::random())).await;
         } else {
             self.suspect_backoff.reset();
@@ -172,8 +176,8 @@
     }
 }
 
-/// Ends ownership of shards that are no longer assigned to this daemon, before the next join tells the
-/// group so, and begins ownership of new ones. Returns whether any shard was released.
+/// Ends ownership of shards that are no longer assigned to this daemon, before the next join tells
+/// the group so, and begins ownership of new ones. Returns whether any shard was released.
 fn apply_membership(node: &Arc<Node>, membership: &Membership) -> bool {
     let assigned: BTreeSet<u32> = membership.shards.iter().copied().collect();
     let units = node.map().by_shard();
@@ -200,7 +204,8 @@
     released
 }
 
-/// Asks the other daemons when the store last answered them, and extends ownership if there is an outage.
+/// Asks the other daemons when the store last answered them, and extends ownership if there is an
+/// outage.
 async fn survey_peers(node: &Arc<Node>) {
     let others = node.other_daemons();
     let asked_at = clock::now();
--- a/crates/crosspath_node/src/order.rs
+++ b/crates/crosspath_node/src/order.rs
@@ -13,7 +13,8 @@
 use crate::node::Node;
 use crate::watch::Watch;
 
-/// Time after the scheduler's decision within which a start must be sent; after that it is abandoned.
+/// Time after the scheduler's decision within which a start must be sent; after that it is
+/// abandoned.
 const START_EXPIRY: Duration = Duration::from_millis(250);
 
 /// An order that is about to be sent to a worker.
@@ -56,8 +57,8 @@
         let permit = self.watch.orders.acquire().await;
         let Ok(_permit) = permit else { return Err(Error::NotReached) };
         let now = clock::now();
-        // The start is not sent if it is too late, or if another daemon may by now be the owner or the
-        // data centre be evacuated.
+        // The start is not sent if it is too late, or if another daemon may by now be the owner or
+        // the data centre be evacuated.
         let is_late = now > self.decided_at + START_EXPIRY;
         if is_late || !self.node.may_act(now) || !self.node.may_start(now) {
             return Err(Error::NotReached);
--- a/crates/crosspath_node/src/outage.rs
+++ b/crates/crosspath_node/src/outage.rs
@@ -6,8 +6,8 @@
 
 use std::time::Duration;
 
-/// Minimum time without an answer after which a daemon counts as cut off from the store. Each daemon
-/// calls the store about every 150 ms, and a slow store takes some 250 ms to answer.
+/// Minimum time without an answer after which a daemon counts as cut off from the store. Each
+/// daemon calls the store about every 150 ms, and a slow store takes some 250 ms to answer.
 const MIN_SILENCE: Duration = Duration::from_millis(600);
 
 /// Replies of the other daemons on when the store last answered them.
@@ -24,8 +24,8 @@
 }
 
 impl Survey {
-    /// Whether the store has certainly not assigned this daemon's shards to another one: a majority of
-    /// the daemons, this one included, has had no answer since this daemon's membership may have
+    /// Whether the store has certainly not assigned this daemon's shards to another one: a majority
+    /// of the daemons, this one included, has had no answer since this daemon's membership may have
     /// expired, and no reply contradicts that.
     #[must_use]
     pub fn shows_outage(&self) -> bool {
--- a/crates/crosspath_node/src/pending.rs
+++ b/crates/crosspath_node/src/pending.rs
@@ -1,9 +1,9 @@
 //! A record that is queued for an append, and the caller that waits for its outcome.
 //!
-//! An append may take longer than the caller waits, especially behind others while the store is slow.
-//! The caller withdraws a record that has not been sent by then. Such a record is never sent, so the
-//! caller can be told for certain that it is not stored. The outcome of a record that was sent is
-//! unknown until it is answered.
+//! An append may take longer than the caller waits, especially behind others while the store is
+//! slow. The caller withdraws a record that has not been sent by then. Such a record is never sent,
+//! so the caller can be told for certain that it is not stored. The outcome of a record that was
+//! sent is unknown until it is answered.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -18,11 +18,11 @@
 pub struct Deadlines {
     /// Time until which the record may be queued; if it has not been sent by then, it is withdrawn.
     pub send_by: Duration,
-    /// Time until which attempts are repeated while the record is certainly not stored. Earlier than
-    /// `unknown_at`, since a definite refusal lets the caller try again.
+    /// Time until which attempts are repeated while the record is certainly not stored. Earlier
+    /// than `unknown_at`, since a definite refusal lets the caller try again.
     pub refuse_at: Duration,
-    /// Time until which attempts are repeated while the record may be stored, since a further attempt may
-    /// settle that.
+    /// Time until which attempts are repeated while the record may be stored, since a further
+    /// attempt may settle that.
     pub unknown_at: Duration,
 }
 
@@ -78,13 +78,14 @@
         !self.decided.swap(true, Ordering::AcqRel)
     }
 
-    /// Records that an attempt failed; `unconfirmed` says that the record may be stored all the same.
+    /// Records that an attempt failed; `unconfirmed` says that the record may be stored all the
+    /// same.
     pub fn attempt_failed(&mut self, unconfirmed: bool) {
         self.unconfirmed |= unconfirmed;
     }
 
-    /// Outcome of the record if it is not attempted again; `None` if it is. A record that is certainly
-    /// not stored is not attempted again while the store `is_down`.
+    /// Outcome of the record if it is not attempted again; `None` if it is. A record that is
+    /// certainly not stored is not attempted again while the store `is_down`.
     #[must_use]
     pub fn final_outcome(&self, now: Duration, is_down: bool) -> Option<Outcome> {
         if is_down && !self.unconfirmed {
@@ -105,8 +106,8 @@
 }
 
 impl Waiter {
-    /// Waits for the outcome, until the last deadline at most. Withdraws the record if it has not been
-    /// sent by `send_by`.
+    /// Waits for the outcome, until the last deadline at most. Withdraws the record if it has not
+    /// been sent by `send_by`.
     pub async fn outcome(mut self, now: Duration) -> Outcome {
         let Deadlines { send_by, unknown_at, .. } = self.deadlines;
         let until_send = send_by.saturating_sub(now);
--- a/crates/crosspath_node/src/reachability.rs
+++ b/crates/crosspath_node/src/reachability.rs
@@ -1,19 +1,21 @@
 //! Tracks whether the store answers this daemon.
 //!
-//! An append to a silent store has an unknown outcome, which does not allow the caller to try again.
-//! So once the silence is noticed, no further appends are sent whose outcome could be unknown.
+//! An append to a silent store has an unknown outcome, which does not allow the caller to try
+//! again. So once the silence is noticed, no further appends are sent whose outcome could be
+//! unknown.
 
 use std::time::Duration;
 
-/// Time without any answer, while a call is outstanding, after which the store counts as silent. A slow
-/// store takes some 420 ms to answer.
+/// Time without any answer, while a call is outstanding, after which the store counts as silent. A
+/// slow store takes some 420 ms to answer.
 const SILENCE_THRESHOLD: Duration = Duration::from_millis(800);
 
-/// Time over which appends were refused on all routes, without any answer in between, after which the
-/// store counts as down. The restart of an owner or a queue of appends takes less.
+/// Time over which appends were refused on all routes, without any answer in between, after which
+/// the store counts as down. The restart of an owner or a queue of appends takes less.
 const REFUSAL_THRESHOLD: Duration = Duration::from_millis(300);
 
-/// History of calls to the store and its answers, as far as it shows whether the store is reachable.
+/// History of calls to the store and its answers, as far as it shows whether the store is
+/// reachable.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct Reachability {
     /// Time of the first append refused on all routes since the last answer or stored append.
@@ -47,8 +49,8 @@
         self.refused_since = None;
     }
 
-    /// For how long the store has been down, refusing appends on all routes; `None` while it is not known
-    /// to be down.
+    /// For how long the store has been down, refusing appends on all routes; `None` while it is not
+    /// known to be down.
     #[must_use]
     pub fn down_for(&self, now: Duration) -> Option<Duration> {
         let refused = now.saturating_sub(self.refused_since?);
--- a/crates/crosspath_node/src/routing.rs
+++ b/crates/crosspath_node/src/routing.rs
@@ -54,7 +54,8 @@
         Self { version: config.version, config: Arc::new(config), by_host, known_pools }
     }
 
-    /// Returns the queue of `host` with the longest prefix of `path`, and the path after that prefix.
+    /// Returns the queue of `host` with the longest prefix of `path`, and the path after that
+    /// prefix.
     pub(crate) fn resolve(&self, host: &str, path: &str) -> Option<(Arc<Queue>, String)> {
         let queues = self.by_host.get(host)?;
         let queue = queues.iter().find(|queue| path.starts_with(&*queue.prefix))?;
--- a/crates/crosspath_node/src/shard.rs
+++ b/crates/crosspath_node/src/shard.rs
@@ -34,7 +34,8 @@
 const LEASE_EXTENSION: Duration = Duration::from_millis(5_000);
 /// Lease length that a start asks for; see [`Terms::initial`].
 const INITIAL_LEASE: Duration = Duration::from_millis(2_000);
-/// Allowance for clock drift: 2 % for a worker's clock that runs slow, and 2 % for this daemon's clock.
+/// Allowance for clock drift: 2 % for a worker's clock that runs slow, and 2 % for this daemon's
+/// clock.
 const CLOCK_SLACK: f64 = 0.04;
 /// Interval between decisions when there are no events.
 const TICK: Duration = Duration::from_millis(50);
@@ -59,7 +60,8 @@
 }
 
 impl Handle {
-    /// Starts ownership of a shard: that of a pool slice, or the fleet's shard if `pool_slice` is `None`.
+    /// Starts ownership of a shard: that of a pool slice, or the fleet's shard if `pool_slice` is
+    /// `None`.
     pub(crate) fn start(node: &Arc<Node>, number: u32, pool_slice: Option<PoolSlice>) -> Self {
         let (events, receiver) = mpsc::unbounded_channel();
         let shared = SharedScheduler::default();
@@ -98,8 +100,8 @@
         }
     }
 
-    /// State of a job of the requester. The inner value is `None` if the requester has no such job, the
-    /// outer one while the shard is being taken over.
+    /// State of a job of the requester. The inner value is `None` if the requester has no such job,
+    /// the outer one while the shard is being taken over.
     pub(crate) fn state(&self, job: JobId, requester: &Requester) -> Option<Option<State>> {
         let shared = scheduler(&self.scheduler);
         let scheduler = shared.as_ref()?;
@@ -281,7 +283,8 @@
         }
     }
 
-    /// Passes events to the scheduler and returns its actions; `None` if the shard has another owner.
+    /// Passes events to the scheduler and returns its actions; `None` if the shard has another
+    /// owner.
     fn decide(
         &self,
         now: Duration,
--- a/crates/crosspath_node/src/shard_log.rs
+++ b/crates/crosspath_node/src/shard_log.rs
@@ -1,5 +1,5 @@
-//! Access of a shard's owner to the log: its own commits, the records of callers' requests, and what
-//! the previous owner knows of leases.
+//! Access of a shard's owner to the log: its own commits, the records of callers' requests, and
+//! what the previous owner knows of leases.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,12 +18,13 @@
 
 /// Time for which a read of the shard waits for a new record.
 const POLL_WAIT: Duration = Duration::from_millis(1_500);
-/// Pause after records were read, so that those of the meantime, own commits included, are read by one
-/// call. Daemons that append for callers notify the owner directly; this read only covers the cases in
-/// which they cannot.
+/// Pause after records were read, so that those of the meantime, own commits included, are read by
+/// one call. Daemons that append for callers notify the owner directly; this read only covers the
+/// cases in which they cannot.
 const FOLLOW_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Event for a record of a caller's request, which any daemon may append; `None` for records of owners.
+/// Event for a record of a caller's request, which any daemon may append; `None` for records of
+/// owners.
 pub(crate) fn request_event(record: Record) -> Option<Event> {
     match record {
         Record::Accepted(job, accepted) => Some(Event::Accepted(job, accepted)),
@@ -40,8 +41,8 @@
     decoded.collect()
 }
 
-/// Appends as owner and retries until the store accepts or refuses; returns whether the shard is still
-/// owned.
+/// Appends as owner and retries until the store accepts or refuses; returns whether the shard is
+/// still owned.
 pub(crate) async fn append_owned(
     node: &Node,
     partition: Partition,
@@ -67,7 +68,8 @@
     }
 }
 
-/// Passes on the requests that other daemons append to the shard. Ends when a later owner claims it.
+/// Passes on the requests that other daemons append to the shard. Ends when a later owner claims
+/// it.
 pub(crate) async fn follow(
     node: Arc<Node>,
     number: u32,
@@ -109,7 +111,8 @@
     }
 }
 
-/// Asks the previous owner, whose process may still run, which leases it knew of as owner in `epoch`.
+/// Asks the previous owner, whose process may still run, which leases it knew of as owner in
+/// `epoch`.
 pub(crate) async fn ask_previous_owner(
     node: Arc<Node>,
     shard: u32,
--- a/crates/crosspath_node/src/watch.rs
+++ b/crates/crosspath_node/src/watch.rs
@@ -12,12 +12,14 @@
 use crate::clock;
 use crate::node::Node;
 
-/// Time for which a poll waits at the worker for a run to end. Leases are extended at this interval.
+/// Time for which a poll waits at the worker for a run to end. Leases are extended at this
+/// interval.
 const POLL_WAIT: Duration = Duration::from_millis(1_000);
-/// Time for which the next poll waits until reported ends are stored, so that it can acknowledge them.
+/// Time for which the next poll waits until reported ends are stored, so that it can acknowledge
+/// them.
 const STORE_TIMEOUT: Duration = Duration::from_millis(120);
-/// Extra pause before the next poll while ends cannot be stored: the worker would answer each poll at
-/// once.
+/// Extra pause before the next poll while ends cannot be stored: the worker would answer each poll
+/// at once.
 const UNSTORED_PAUSE: Duration = Duration::from_millis(200);
 /// Pause after a failed poll.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
@@ -95,7 +97,8 @@
     while !watch.has_ended() {
         let sent = clock::now();
         let acknowledged = watch.acknowledged();
-        // A worker that did not answer may still receive polls. Its leases must be allowed to expire.
+        // A worker that did not answer may still receive polls. Its leases must be allowed to
+        // expire.
         let extended = !is_failing && node.may_act(sent);
         let wait = if is_first || is_failing || last_ended > acknowledged {
             Duration::ZERO
@@ -132,7 +135,8 @@
     }
 }
 
-/// Waits until ends up to `number` are stored, for [`STORE_TIMEOUT`] at most, and pauses if they are not.
+/// Waits until ends up to `number` are stored, for [`STORE_TIMEOUT`] at most, and pauses if they
+/// are not.
 async fn wait_until_stored(watch: &Watch, number: u64) {
     let is_stored = || watch.acknowledged() >= number || watch.has_ended();
     let stored = async {
--- a/crates/crosspath_node/src/workers.rs
+++ b/crates/crosspath_node/src/workers.rs
@@ -1,10 +1,11 @@
 //! Follows the worker list: two daemons read it, the others receive updates on their own workers.
 //!
-//! The readers are the owners of the fleet's shard and of one more shard; they read the list from the
-//! store. The owner of other shards polls one of them for changes among the workers of its slices, and
-//! the other one if the first does not answer, so that updates continue while the fleet's shard is
-//! taken over. A daemon that owns nothing follows no workers. If both readers have been silent for
-//! longer than a takeover takes, an owner reads the list itself until one of them answers again.
+//! The readers are the owners of the fleet's shard and of one more shard; they read the list from
+//! the store. The owner of other shards polls one of them for changes among the workers of its
+//! slices, and the other one if the first does not answer, so that updates continue while the
+//! fleet's shard is taken over. A daemon that owns nothing follows no workers. If both readers have
+//! been silent for longer than a takeover takes, an owner reads the list itself until one of them
+//! answers again.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -21,16 +22,16 @@
 use crate::rpc::{self, Answer, Question};
 use crate::shard::Handle;
 
-/// Pause between reads of the list. Dozens of workers write at the same time, and reading each record
-/// as it arrives would cost a call each.
+/// Pause between reads of the list. Dozens of workers write at the same time, and reading each
+/// record as it arrives would cost a call each.
 const READ_INTERVAL: Duration = Duration::from_millis(100);
 /// Interval between polls of a reader.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 /// Interval between polls while an owned slice has tasks that wait for a worker with enough free
 /// resources. VMs are then being moved to its pool, and are used only after the next poll.
 const SHORT_POLL_INTERVAL: Duration = Duration::from_millis(60);
-/// Time without an answer from any reader after which an owner reads the list itself. A takeover of the
-/// fleet's shard takes less.
+/// Time without an answer from any reader after which an owner reads the list itself. A takeover of
+/// the fleet's shard takes less.
 const READER_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Minimum interval between polls of the readers while the owner reads the list itself.
 const READER_RETRY_INTERVAL: Duration = Duration::from_millis(1_000);
@@ -58,9 +59,9 @@
     reader_shards(node).iter().any(|shard| owned.contains_key(shard))
 }
 
-/// Selects the source at `now` for a daemon that owns `shards` shards. `is_reader` says that the owner of
-/// one of them reads the list. `last_answer` is the time of the last answer from a reader, or since
-/// when the daemon has needed one.
+/// Selects the source at `now` for a daemon that owns `shards` shards. `is_reader` says that the
+/// owner of one of them reads the list. `last_answer` is the time of the last answer from a reader,
+/// or since when the daemon has needed one.
 #[must_use]
 pub fn source(shards: usize, is_reader: bool, last_answer: Duration, now: Duration) -> Source {
     match (shards, is_reader) {
@@ -219,8 +220,8 @@
     }
 }
 
-/// Answers another daemon's poll for the workers of `pool_slices`; [`Answer::NotOwner`] if this daemon does
-/// not read the list or may not act as owner.
+/// Answers another daemon's poll for the workers of `pool_slices`; [`Answer::NotOwner`] if this
+/// daemon does not read the list or may not act as owner.
 pub(crate) fn answer(
     node: &Node,
     pool_slices: &BTreeSet<PoolSlice>,
--- a/crates/crosspath_node/tests/node/candidacy.rs
+++ b/crates/crosspath_node/tests/node/candidacy.rs
@@ -22,7 +22,8 @@
     (0..count).map(member).collect()
 }
 
-/// Whether the daemon is a candidate at each of the times `at`, with the same owners at all of them.
+/// Whether the daemon is a candidate at each of the times `at`, with the same owners at all of
+/// them.
 fn observe(candidacy: &mut Candidacy, at: &[u64], seen: &[Member]) -> Vec<bool> {
     let mut candidate = Vec::new();
     for at in at {
--- a/crates/crosspath_node/tests/node/directory.rs
+++ b/crates/crosspath_node/tests/node/directory.rs
@@ -1,5 +1,5 @@
-//! Guards against an entry of the worker list that another program wrote: it must not name a worker to
-//! use, and must not affect the other entries.
+//! Guards against an entry of the worker list that another program wrote: it must not name a worker
+//! to use, and must not affect the other entries.
 
 use std::sync::Arc;
 
--- a/crates/crosspath_node/tests/node/outage.rs
+++ b/crates/crosspath_node/tests/node/outage.rs
@@ -1,5 +1,5 @@
-//! Guards against taking a lost connection of this daemon for an outage of the store: the daemon would
-//! go on acting as owner of shards that were assigned to another one.
+//! Guards against taking a lost connection of this daemon for an outage of the store: the daemon
+//! would go on acting as owner of shards that were assigned to another one.
 
 use std::time::Duration;
 
--- a/crates/crosspath_node/tests/node/standby.rs
+++ b/crates/crosspath_node/tests/node/standby.rs
@@ -1,4 +1,5 @@
-//! Daemons that own nothing: how often they read the holders of shards, and how soon they find a new owner.
+//! Daemons that own nothing: how often they read the holders of shards, and how soon they find a
+//! new owner.
 
 use std::time::Duration;
 
@@ -10,8 +11,8 @@
 /// Time in which a daemon that owns nothing may read the holders twice at most.
 const IDLE_PERIOD: Duration = Duration::from_millis(4_000);
 
-/// There may be as many standby daemons as the fleet is large, so frequent reads of the holders would load the
-/// store. 4 reads in 4 s are too many.
+/// There may be as many standby daemons as the fleet is large, so frequent reads of the holders
+/// would load the store. 4 reads in 4 s are too many.
 #[tokio::test]
 async fn standby_daemons_rarely_read_holders_while_owners_answer() {
     let log = log_of_one_pool().await;
@@ -28,8 +29,8 @@
     assert!(large.appends() > 0, "the owner appends for it");
 }
 
-/// The previous owner answers that it is not the owner any more. The daemon that asked it must find the new
-/// one while the caller still waits.
+/// The previous owner answers that it is not the owner any more. The daemon that asked it must find
+/// the new one while the caller still waits.
 #[tokio::test]
 async fn asking_the_previous_owner_leads_to_the_new_one() {
     let log = log_of_one_pool().await;
--- a/crates/crosspath_node/tests/node/workers.rs
+++ b/crates/crosspath_node/tests/node/workers.rs
@@ -60,7 +60,8 @@
     directory
 }
 
-/// Returns the reader's update on the counter pool's workers, after the update `before` if there was one.
+/// Returns the reader's update on the counter pool's workers, after the update `before` if there
+/// was one.
 fn update_since(directory: &Directory, before: Option<&Update>) -> Update {
     let cursor = before.map(|update| &update.cursor);
     directory
@@ -111,8 +112,9 @@
     assert_eq!(own.apply_update(whole, &pool_slices(&["counter"])).len(), 0);
 }
 
-/// A cursor is unknown if another daemon is the reader now, if the reader has read the list anew, or if it no
-/// longer has the changes since the cursor. Changes alone would then leave out some workers.
+/// A cursor is unknown if another daemon is the reader now, if the reader has read the list anew,
+/// or if it no longer has the changes since the cursor. Changes alone would then leave out some
+/// workers.
 #[test]
 fn an_unknown_cursor_gets_a_full_update() {
     let mut directory = reader();
@@ -150,7 +152,8 @@
     assert_eq!(source(3, false, second, second * 5), Source::Store);
 }
 
-/// The traffic of the store must not grow with the number of daemons, as it would if all four read the list.
+/// The traffic of the store must not grow with the number of daemons, as it would if all four read
+/// the list.
 #[tokio::test]
 async fn only_two_daemons_read_the_list() {
     let log = log_of_one_pool().await;
