--- a/crates/crosspath_node/src/backoff.rs
+++ b/crates/crosspath_node/src/backoff.rs
@@ -1,9 +1,9 @@
 //! Exponential backoff with jitter for calls that fail.
 //!
 //! An outage of the store hits all daemons at the same moment. With a fixed pause their retries
-//! would coincide, and their number alone could overload the store when it returns. So pauses
-//! double up to a maximum and are shortened at random. Calls that many daemons make, or that can
-//! wait, have a higher maximum than calls that only a shard's owner makes.
+//! would coincide, and their number alone could make the store go on refusing calls when it is
+//! back. So pauses double up to a maximum and are shortened at random. Calls that many daemons make,
+//! or that can wait, have a higher maximum than calls that only a shard's owner makes.
 
 use std::time::Duration;
 
--- a/crates/crosspath_node/src/claim.rs
+++ b/crates/crosspath_node/src/claim.rs
@@ -5,9 +5,9 @@
 
 use crate::backoff::{self, Backoff};
 
-/// Bound of the random sequence number of a claim. Two daemons that claim a shard with the same
-/// epoch use different numbers, so that the store does not take one claim for a repetition of the
-/// other.
+/// Bound of the random sequence number of a claim. The range is so large that two daemons claiming
+/// a shard with the same epoch hardly ever use the same number; with equal numbers, the store would
+/// take one claim for a repetition of the other.
 const SEQUENCE_RANGE: u64 = 1 << 40;
 
 /// A claim that the store has accepted.
