--- a/crates/crosspath/src/api.rs
+++ b/crates/crosspath/src/api.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crosspath_http::client::{self, Client, Method};
-use crosspath_operator::model::{Explanation, Fate, List, Problem, Resource, Status};
+use crosspath_operator::model::{Explanation, List, Outcome, Problem, Resource, Status};
 use crosspath_state::record::Revision;
 use crosspath_state::resource::{Id, Kind};
 use http::{Request, header};
@@ -13,7 +13,7 @@
 use snafu::OptionExt as _;
 
 use crate::args::Connection;
-use crate::error::{Error, NoServerSnafu, NoTokenSnafu};
+use crate::error::{Error, MissingServerSnafu, MissingTokenSnafu};
 
 const TIMEOUT: Duration = Duration::from_secs(15);
 const TOKEN_VARIABLE: &str = "CROSSPATH_TOKEN";
@@ -29,8 +29,8 @@
     /// Takes the token from the command line, or else from the environment.
     pub(crate) fn new(connection: &Connection) -> Result<Self, Error> {
         let token = connection.token.clone().or_else(|| std::env::var(TOKEN_VARIABLE).ok());
-        let token = token.context(NoTokenSnafu { variable: TOKEN_VARIABLE })?;
-        let server = connection.server.context(NoServerSnafu)?;
+        let token = token.context(MissingTokenSnafu { variable: TOKEN_VARIABLE })?;
+        let server = connection.server.context(MissingServerSnafu)?;
         let client = Client::new(server, TIMEOUT).with_token(&token);
         Ok(Self { client, token })
     }
@@ -50,11 +50,11 @@
         path: &str,
         body: Option<&Value>,
     ) -> Result<T, Error> {
-        self.client.call(method, path, body).await.map_err(failed)
+        self.client.call(method, path, body).await.map_err(from_client_error)
     }
 
     pub(crate) async fn get(&self, id: &Id) -> Result<Option<Resource>, Error> {
-        match self.call(Method::GET, &path(id), None).await {
+        match self.call(Method::GET, &resource_path(id), None).await {
             Ok(resource) => Ok(Some(resource)),
             Err(Error::Refused { status: 404, .. }) => Ok(None),
             Err(error) => Err(error),
@@ -66,20 +66,25 @@
     }
 
     /// Declares a resource; `at` is the revision that it must still have, 0 for none.
-    pub(crate) async fn put(&self, id: &Id, spec: &Value, at: Revision) -> Result<Resource, Error> {
+    pub(crate) async fn put(
+        &self,
+        id: &Id,
+        spec: &Value,
+        expected: Revision,
+    ) -> Result<Resource, Error> {
         let body = json!({ "spec": spec });
-        let request = Request::put(path(id));
-        let request = match at {
+        let request = Request::put(resource_path(id));
+        let request = match expected {
             Revision(0) => request.header(header::IF_NONE_MATCH, "*"),
-            at => request.header(header::IF_MATCH, format!("\"{at}\"")),
+            expected => request.header(header::IF_MATCH, format!("\"{expected}\"")),
         };
         self.send(request, &body).await
     }
 
-    pub(crate) async fn delete(&self, id: &Id, at: Option<u64>) -> Result<Value, Error> {
-        let request = Request::delete(path(id));
-        let request = match at {
-            Some(at) => request.header(header::IF_MATCH, format!("\"{at}\"")),
+    pub(crate) async fn delete(&self, id: &Id, expected: Option<u64>) -> Result<Value, Error> {
+        let request = Request::delete(resource_path(id));
+        let request = match expected {
+            Some(expected) => request.header(header::IF_MATCH, format!("\"{expected}\"")),
             None => request,
         };
         self.send(request, &Value::Null).await
@@ -90,24 +95,24 @@
         request: http::request::Builder,
         body: &Value,
     ) -> Result<T, Error> {
-        let answer = self.client.send(request, body.to_string().into()).await;
-        let answer = answer.map_err(failed)?;
+        let response = self.client.send(request, body.to_string().into()).await;
+        let response = response.map_err(from_client_error)?;
         let address = self.client.address();
-        if !answer.head.status.is_success() {
-            let body = String::from_utf8_lossy(&answer.body).into_owned();
-            return Err(failed(client::Error::Status {
+        if !response.head.status.is_success() {
+            let body = String::from_utf8_lossy(&response.body).into_owned();
+            return Err(from_client_error(client::Error::Status {
                 address,
-                status: answer.head.status,
+                status: response.head.status,
                 body,
             }));
         }
-        serde_json::from_slice(&answer.body)
-            .map_err(|source| failed(client::Error::Malformed { address, source }))
+        serde_json::from_slice(&response.body)
+            .map_err(|source| from_client_error(client::Error::Malformed { address, source }))
     }
 
-    pub(crate) async fn steer(&self, wave: &Id, phase: &Value) -> Result<Resource, Error> {
+    pub(crate) async fn set_phase(&self, wave: &Id, phase: &Value) -> Result<Resource, Error> {
         let body = json!({ "phase": phase });
-        self.call(Method::PUT, &format!("{}/phase", path(wave)), Some(&body)).await
+        self.call(Method::PUT, &format!("{}/phase", resource_path(wave)), Some(&body)).await
     }
 
     pub(crate) async fn explain(&self, id: &Id) -> Result<Explanation, Error> {
@@ -118,16 +123,16 @@
         self.call(Method::GET, "/v1/status", None).await
     }
 
-    pub(crate) async fn fate(&self, change: &str) -> Result<Fate, Error> {
+    pub(crate) async fn outcome(&self, change: &str) -> Result<Outcome, Error> {
         self.call(Method::GET, &format!("/v1/changes/{change}"), None).await
     }
 }
 
-fn path(id: &Id) -> String {
+fn resource_path(id: &Id) -> String {
     format!("/v1/{}/{}", id.kind, id.name)
 }
 
-fn failed(error: client::Error) -> Error {
+fn from_client_error(error: client::Error) -> Error {
     match error {
         client::Error::Status { status, body, .. } => {
             let problem = serde_json::from_str::<Problem>(&body).unwrap_or_else(|_| Problem {
--- a/crates/crosspath/src/args.rs
+++ b/crates/crosspath/src/args.rs
@@ -31,12 +31,12 @@
 #[snafu(display(
     "{text:?} is not a kind; write pools, services, teams, callers, vms, jobs or waves"
 ))]
-struct NoKind {
+struct UnknownKind {
     text: String,
 }
 
-fn kind(text: String) -> Result<Kind, NoKind> {
-    Kind::parse(&text).ok_or(NoKind { text })
+fn kind(text: String) -> Result<Kind, UnknownKind> {
+    Kind::parse(&text).ok_or(UnknownKind { text })
 }
 
 #[derive(Debug, Clone, Bpaf)]
--- a/crates/crosspath/src/commands/apply.rs
+++ b/crates/crosspath/src/commands/apply.rs
@@ -7,11 +7,11 @@
 
 use crate::api::Api;
 use crate::commands::diff;
-use crate::error::{Error, ExitStatus, WaitSnafu};
+use crate::error::{Error, ExitStatus, WaitTimeoutSnafu};
 use crate::output::{self, Format};
 
-const WAIT: Duration = Duration::from_secs(30);
-const LOOK: Duration = Duration::from_millis(200);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// What to do beside declaring.
 #[derive(Debug, Clone, Copy)]
@@ -35,24 +35,24 @@
     for difference in &differences {
         let resource = api.put(&difference.id, &difference.spec, difference.revision).await?;
         if format == Format::Text {
-            output::line(&format!("{} at revision {}", resource.id, resource.revision));
+            output::print_line(&format!("{} at revision {}", resource.id, resource.revision));
         }
         applied.push(resource);
     }
     let newest = applied.iter().map(|resource| resource.revision).max();
     if let Some(newest) = newest.filter(|_| mode.wait) {
-        in_force(api, newest).await?;
+        wait_until_applied(api, newest).await?;
     }
     if format == Format::Json {
         output::print(format, &applied, String::new);
     } else if applied.is_empty() {
-        output::line("nothing to change");
+        output::print_line("nothing to change");
     }
     Ok(ExitStatus::Success)
 }
 
 /// Waits until every member has applied a revision.
-async fn in_force(api: &Api, revision: Revision) -> Result<(), Error> {
+async fn wait_until_applied(api: &Api, revision: Revision) -> Result<(), Error> {
     let started = Instant::now();
     loop {
         let status = api.status().await?;
@@ -61,10 +61,15 @@
         if behind.is_empty() {
             return Ok(());
         }
-        if started.elapsed() > WAIT {
+        if started.elapsed() > WAIT_TIMEOUT {
             let daemons = behind.join(", ");
-            return WaitSnafu { revision: revision.0, daemons, seconds: WAIT.as_secs() }.fail();
+            return WaitTimeoutSnafu {
+                revision: revision.0,
+                daemons,
+                seconds: WAIT_TIMEOUT.as_secs(),
+            }
+            .fail();
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/crosspath/src/commands/diff.rs
+++ b/crates/crosspath/src/commands/diff.rs
@@ -9,7 +9,7 @@
 
 use crate::api::Api;
 use crate::error::{Error, ExitStatus};
-use crate::file::{self, Declared};
+use crate::file::{self, Declaration};
 use crate::output::{self, Format};
 
 /// How one resource of a file differs from what is declared.
@@ -40,7 +40,7 @@
 
 pub(crate) async fn differences(api: &Api, file: &Path) -> Result<Vec<Difference>, Error> {
     let mut differences = Vec::new();
-    for Declared { id, spec } in file::read(file)? {
+    for Declaration { id, spec } in file::read(file)? {
         let current = api.get(&id).await?;
         let revision = current.as_ref().map(|current| current.revision).unwrap_or_default();
         let before = current.map(|current| current.spec).unwrap_or_default();
--- a/crates/crosspath/src/commands/evacuate.rs
+++ b/crates/crosspath/src/commands/evacuate.rs
@@ -16,7 +16,7 @@
 use serde::Serialize;
 use snafu::ResultExt as _;
 
-use crate::error::{Error, ExitStatus, NoDataCentreSnafu, StoreSnafu};
+use crate::error::{Error, ExitStatus, StoreSnafu, UnknownDataCentreSnafu};
 use crate::output::{self, Format};
 use crate::table;
 
@@ -31,7 +31,7 @@
     leaving: usize,
 }
 
-type DataCentres = BTreeMap<Arc<str>, BTreeMap<Arc<str>, Pool>>;
+type PoolsByDataCentre = BTreeMap<Arc<str>, BTreeMap<Arc<str>, Pool>>;
 
 /// Asks for the evacuation of a data centre, or takes that back.
 pub(crate) async fn run(
@@ -41,34 +41,40 @@
     undo: bool,
 ) -> Result<ExitStatus, Error> {
     let store = LogStore::new(address, TIMEOUT);
-    let workers = workers(&store).await.context(StoreSnafu)?;
+    let workers = worker_entries(&store).await.context(StoreSnafu)?;
     let known: BTreeSet<_> = workers.iter().map(|entry| &*entry.data_centre).collect();
     if !undo && !known.contains(data_centre) {
         let known = Vec::from_iter(known).join(", ");
-        return NoDataCentreSnafu { data_centre, known }.fail();
+        return UnknownDataCentreSnafu { data_centre, known }.fail();
     }
-    let word = Evacuation { data_centre: data_centre.into(), requested: !undo };
-    let record = LogStore::evacuation(&word);
-    let appended =
-        store.append(only(Topic::Operators), &[record], Precondition::Unconditional).await;
+    let evacuation = Evacuation { data_centre: data_centre.into(), requested: !undo };
+    let record = LogStore::evacuation(&evacuation);
+    let appended = store
+        .append(single_partition(Topic::Operators), &[record], Precondition::Unconditional)
+        .await;
     appended.context(StoreSnafu)?;
-    print(format, &store, &workers).await
+    print_evacuated(format, &store, &workers).await
 }
 
 /// Shows which data centres are evacuated.
 pub(crate) async fn show(format: Format, address: SocketAddr) -> Result<ExitStatus, Error> {
     let store = LogStore::new(address, TIMEOUT);
-    let workers = workers(&store).await.context(StoreSnafu)?;
-    print(format, &store, &workers).await
+    let workers = worker_entries(&store).await.context(StoreSnafu)?;
+    print_evacuated(format, &store, &workers).await
 }
 
-async fn print(format: Format, store: &LogStore, workers: &[Entry]) -> Result<ExitStatus, Error> {
-    let records = newest(store, Topic::Operators).await.context(StoreSnafu)?;
+async fn print_evacuated(
+    format: Format,
+    store: &LogStore,
+    workers: &[Entry],
+) -> Result<ExitStatus, Error> {
+    let records = newest_records(store, Topic::Operators).await.context(StoreSnafu)?;
     let evacuated = records.iter().filter_map(|record| match store.decode_change(record) {
-        Ok(Change::Evacuation(word)) if word.requested => Some(word.data_centre),
+        Ok(Change::Evacuation(evacuation)) if evacuation.requested => Some(evacuation.data_centre),
         _ => None,
     });
-    let mut data_centres: DataCentres = evacuated.map(|name| (name, BTreeMap::new())).collect();
+    let mut data_centres: PoolsByDataCentre =
+        evacuated.map(|name| (name, BTreeMap::new())).collect();
     for entry in workers {
         let Some(pools) = data_centres.get_mut(&entry.data_centre) else { continue };
         let pool = pools.entry(Arc::clone(&entry.pool)).or_default();
@@ -79,7 +85,7 @@
     Ok(ExitStatus::Success)
 }
 
-fn text(data_centres: &DataCentres) -> String {
+fn text(data_centres: &PoolsByDataCentre) -> String {
     if data_centres.is_empty() {
         return "no data centre is evacuated".to_owned();
     }
@@ -98,17 +104,17 @@
 }
 
 /// Entries of the worker list that can be read.
-async fn workers(store: &LogStore) -> Result<Vec<Entry>, StoreError> {
-    let records = newest(store, Topic::Workers).await?;
+async fn worker_entries(store: &LogStore) -> Result<Vec<Entry>, StoreError> {
+    let records = newest_records(store, Topic::Workers).await?;
     Ok(records.iter().filter_map(|record| store.decode_worker(record).ok()).collect())
 }
 
 /// The newest record of each key of a topic with one partition.
-async fn newest(store: &LogStore, topic: Topic) -> Result<Vec<Stored>, StoreError> {
+async fn newest_records(store: &LogStore, topic: Topic) -> Result<Vec<Stored>, StoreError> {
     let mut records: Vec<Stored> = Vec::new();
     loop {
         let after = records.last().map(|record| record.key.clone());
-        let page = store.newest(only(topic), after.as_deref()).await?;
+        let page = store.newest(single_partition(topic), after.as_deref()).await?;
         let more = page.more && !page.records.is_empty();
         records.extend(page.records);
         if !more {
@@ -117,6 +123,6 @@
     }
 }
 
-fn only(topic: Topic) -> Partition {
+fn single_partition(topic: Topic) -> Partition {
     Partition { topic, number: 0 }
 }
--- a/crates/crosspath/src/commands/get.rs
+++ b/crates/crosspath/src/commands/get.rs
@@ -22,7 +22,7 @@
     };
     let id = commands::id(kind, name)?;
     let Some(resource) = api.get(&id).await? else {
-        output::line(&format!("{id} does not exist"));
+        output::print_line(&format!("{id} does not exist"));
         return Ok(ExitStatus::Refused);
     };
     output::print(format, &resource, || rows(std::slice::from_ref(&resource)));
--- a/crates/crosspath/src/commands/trace/line.rs
+++ b/crates/crosspath/src/commands/trace/line.rs
@@ -4,7 +4,7 @@
 #[derive(Debug)]
 pub(crate) struct Line<'a> {
     /// Time of day of the line, in seconds.
-    pub(crate) at_s: u64,
+    pub(crate) time_of_day_s: u64,
     pub(crate) text: &'a str,
 }
 
@@ -15,12 +15,12 @@
         let mut parts = time.get(..8)?.split(':').map(str::parse::<u64>);
         let mut next = || parts.next()?.ok();
         let (hours, minutes, seconds) = (next()?, next()?, next()?);
-        Some(Self { at_s: hours * 3_600 + minutes * 60 + seconds, text })
+        Some(Self { time_of_day_s: hours * 3_600 + minutes * 60 + seconds, text })
     }
 
     pub(crate) fn value(&self, key: &str) -> Option<&'a str> {
         let pairs = self.text.split_whitespace().filter_map(|word| word.split_once('='));
-        let (_, value) = pairs.into_iter().find(|(known, _)| *known == key)?;
+        let (_, value) = pairs.into_iter().find(|(name, _)| *name == key)?;
         Some(value)
     }
 
@@ -29,11 +29,11 @@
         self.value(key).and_then(|value| value.parse().ok()).unwrap_or_default()
     }
 
-    pub(crate) fn is(&self, event: &str) -> bool {
+    pub(crate) fn is_event(&self, event: &str) -> bool {
         self.value("event") == Some(event)
     }
 
-    pub(crate) fn is_of(&self, job: &str) -> bool {
+    pub(crate) fn concerns_job(&self, job: &str) -> bool {
         let task = |task: &str| task.split('.').next() == Some(job);
         self.value("job") == Some(job)
             || self.value("task").is_some_and(task)
--- a/crates/crosspath/src/commands/trace/summary.rs
+++ b/crates/crosspath/src/commands/trace/summary.rs
@@ -52,16 +52,21 @@
 
 impl Summary {
     /// Sums up the lines of a job's story.
-    pub(crate) fn new(story: &[&str]) -> Self {
-        let lines: Vec<_> = story.iter().filter_map(|text| Line::parse(text)).collect();
-        let steps = steps(&lines);
-        let of_tasks = |line: &&Line<'_>| line.value("task").is_some();
-        let of_workers = |line: &&Line<'_>| {
+    pub(crate) fn new(texts: &[&str]) -> Self {
+        let lines: Vec<_> = texts.iter().filter_map(|text| Line::parse(text)).collect();
+        let steps = summarise_steps(&lines);
+        let is_task_line = |line: &&Line<'_>| line.value("task").is_some();
+        let is_worker_line = |line: &&Line<'_>| {
             line.value("event").is_some_and(|event| event.starts_with("worker_"))
         };
-        let kept = lines.iter().filter(|line| !of_tasks(line) && !of_workers(line));
-        let verdict = verdict(&lines, &steps);
-        Self { verdict, steps, lines: kept.map(|line| line.text.to_owned()).collect() }
+        let job_and_shard_lines =
+            lines.iter().filter(|line| !is_task_line(line) && !is_worker_line(line));
+        let verdict = summarise_job(&lines, &steps);
+        Self {
+            verdict,
+            steps,
+            lines: job_and_shard_lines.map(|line| line.text.to_owned()).collect(),
+        }
     }
 
     /// The summary for people.
@@ -105,43 +110,44 @@
     Some(format!("{}.{}", parts.next()?, parts.next()?))
 }
 
-fn steps(lines: &[Line<'_>]) -> Vec<Step> {
+fn summarise_steps(lines: &[Line<'_>]) -> Vec<Step> {
     let mut steps: BTreeMap<String, Step> = BTreeMap::new();
     for line in lines {
         let Some(name) = line.value("task").and_then(step_name) else { continue };
         let step = steps.entry(name.clone()).or_default();
         step.name = name;
-        if line.is("run_placed") {
+        if line.is_event("run_placed") {
             step.placed += 1;
             let ms = line.number("waited_ms");
             if step.longest_wait.is_none_or(|longest| ms > longest.ms) {
-                step.longest_wait = Some(Wait { ms, cause: cause(lines, line, ms) });
+                step.longest_wait = Some(Wait { ms, cause: wait_cause(lines, line, ms) });
             }
         }
-        if line.is("run_ended") && line.value("how") == Some("Done") {
+        if line.is_event("run_ended") && line.value("how") == Some("Done") {
             step.done += 1;
             step.longest_run_ms = step.longest_run_ms.max(line.number("took_ms"));
         }
-        let ended_otherwise = line.is("run_ended") && line.value("how") != Some("Done");
-        step.other += u64::from(ended_otherwise || line.is("run_over"));
+        let ended_otherwise = line.is_event("run_ended") && line.value("how") != Some("Done");
+        step.other += u64::from(ended_otherwise || line.is_event("run_over"));
     }
     steps.into_values().collect()
 }
 
 /// What a task waited for that was placed by `placed` after `waited_ms`; log lines tell whole seconds.
-fn cause(lines: &[Line<'_>], placed: &Line<'_>, waited_ms: u64) -> Cause {
-    let from = placed.at_s.saturating_sub(waited_ms.div_ceil(1_000));
-    let meanwhile = || lines.iter().filter(|line| (from..=placed.at_s).contains(&line.at_s));
-    if meanwhile().any(|line| line.is("shard_claimed") || line.is("taken_over")) {
+fn wait_cause(lines: &[Line<'_>], placed: &Line<'_>, waited_ms: u64) -> Cause {
+    let from = placed.time_of_day_s.saturating_sub(waited_ms.div_ceil(1_000));
+    let during_wait =
+        || lines.iter().filter(|line| (from..=placed.time_of_day_s).contains(&line.time_of_day_s));
+    if during_wait().any(|line| line.is_event("shard_claimed") || line.is_event("taken_over")) {
         return Cause::Takeover;
     }
-    if meanwhile().any(|line| line.is("commit_failed")) {
+    if during_wait().any(|line| line.is_event("commit_failed")) {
         return Cause::Log;
     }
     Cause::Room
 }
 
-fn verdict(lines: &[Line<'_>], steps: &[Step]) -> String {
+fn summarise_job(lines: &[Line<'_>], steps: &[Step]) -> String {
     let waits = steps.iter().filter_map(|step| Some((step, step.longest_wait?)));
     let longest = waits.max_by_key(|(_, wait)| wait.ms);
     let wait = match longest {
@@ -150,20 +156,22 @@
         }
         _ => String::new(),
     };
-    let Some(end) = lines.iter().rfind(|line| line.is("job_ended")) else {
+    let Some(job_ended) = lines.iter().rfind(|line| line.is_event("job_ended")) else {
         return format!("not ended in these logs{wait}");
     };
-    let state = end.value("state").unwrap_or("ended").to_lowercase();
-    let (after, objective) = (end.number("after_ms"), end.number("objective_ms"));
-    if let Some(given_up) = lines.iter().rfind(|line| line.is("task_given_up")) {
-        let task = given_up.value("task").unwrap_or("a task");
-        let losses = given_up.number("losses");
-        return format!("{state} after {after} ms: {losses} workers were lost under {task}{wait}");
+    let state = job_ended.value("state").unwrap_or("ended").to_lowercase();
+    let (after_ms, objective_ms) = (job_ended.number("after_ms"), job_ended.number("objective_ms"));
+    if let Some(abandoned) = lines.iter().rfind(|line| line.is_event("task_given_up")) {
+        let task = abandoned.value("task").unwrap_or("a task");
+        let losses = abandoned.number("losses");
+        return format!(
+            "{state} after {after_ms} ms: {losses} workers were lost under {task}{wait}"
+        );
     }
-    let late = after.saturating_sub(objective);
-    match (objective, late) {
-        (0, _) => format!("{state} after {after} ms{wait}"),
-        (_, 0) => format!("{state} after {after} ms, in time for {objective} ms{wait}"),
-        _ => format!("{state} after {after} ms, {late} ms late for {objective} ms{wait}"),
+    let late_ms = after_ms.saturating_sub(objective_ms);
+    match (objective_ms, late_ms) {
+        (0, _) => format!("{state} after {after_ms} ms{wait}"),
+        (_, 0) => format!("{state} after {after_ms} ms, in time for {objective_ms} ms{wait}"),
+        _ => format!("{state} after {after_ms} ms, {late_ms} ms late for {objective_ms} ms{wait}"),
     }
 }
--- a/crates/crosspath/src/commands/watch.rs
+++ b/crates/crosspath/src/commands/watch.rs
@@ -28,14 +28,14 @@
     let not_sent = || Error::Call { source: client::Error::NotSent { address } };
     let request = request.map_err(|_| not_sent())?;
     let client = Client::builder(TokioExecutor::new()).build_http();
-    let answer = client.request(request).await.map_err(|_| not_sent())?;
-    let status = answer.status();
+    let response = client.request(request).await.map_err(|_| not_sent())?;
+    let status = response.status();
     if !status.is_success() {
-        let body = answer.into_body().collect().await.map_err(|_| not_sent())?.to_bytes();
+        let body = response.into_body().collect().await.map_err(|_| not_sent())?.to_bytes();
         let Ok(problem) = serde_json::from_slice::<Problem>(&body) else { return Err(not_sent()) };
         return Err(Error::Refused { status: status.as_u16(), problem: Box::new(problem) });
     }
-    let mut frames = BodyStream::new(answer.into_body());
+    let mut frames = BodyStream::new(response.into_body());
     while let Some(Ok(frame)) = frames.next().await {
         let Ok(lines) = frame.into_data() else { continue };
         let mut out = std::io::stdout();
--- a/crates/crosspath/src/commands/wave.rs
+++ b/crates/crosspath/src/commands/wave.rs
@@ -13,8 +13,8 @@
 use crate::error::{Error, ExitStatus};
 use crate::output::{self, Format};
 
-const LOOK: Duration = Duration::from_secs(1);
-const BAR: usize = 30;
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
+const BAR_CHARS: usize = 30;
 
 pub(crate) async fn run(
     api: &Api,
@@ -30,11 +30,13 @@
         }
         WaveCommand::Pause(name) => {
             let phase = json!({ "phase": "paused", "cause": "operator" });
-            api.steer(&id(&name)?, &phase).await?
+            api.set_phase(&id(&name)?, &phase).await?
+        }
+        WaveCommand::Resume(name) => {
+            api.set_phase(&id(&name)?, &json!({ "phase": "running" })).await?
         }
-        WaveCommand::Resume(name) => api.steer(&id(&name)?, &json!({ "phase": "running" })).await?,
         WaveCommand::Cancel(name) => {
-            api.steer(&id(&name)?, &json!({ "phase": "cancelled" })).await?
+            api.set_phase(&id(&name)?, &json!({ "phase": "cancelled" })).await?
         }
         WaveCommand::Status { follow, name } => {
             return status(api, format, &id(&name)?, follow).await;
@@ -51,7 +53,7 @@
 async fn status(api: &Api, format: Format, id: &Id, follow: bool) -> Result<ExitStatus, Error> {
     loop {
         let Some(wave) = api.get(id).await? else {
-            output::line(&format!("{id} does not exist"));
+            output::print_line(&format!("{id} does not exist"));
             return Ok(ExitStatus::Refused);
         };
         output::print(format, &wave, || progress(&wave));
@@ -59,7 +61,7 @@
         if !follow || matches!(phase, Some("done" | "cancelled")) {
             return Ok(ExitStatus::Success);
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -68,8 +70,8 @@
     let status = &wave.status;
     let count = |field: &str| status[field].as_array().map_or(0, Vec::len);
     let (serviced, targets, failed) = (count("serviced"), count("targets"), count("failed"));
-    let filled = (BAR * serviced).checked_div(targets).unwrap_or(BAR);
-    let bar = "#".repeat(filled) + &".".repeat(BAR - filled);
+    let filled = (BAR_CHARS * serviced).checked_div(targets).unwrap_or(BAR_CHARS);
+    let bar = "#".repeat(filled) + &".".repeat(BAR_CHARS - filled);
     let phase = status["phase"]["phase"].as_str().unwrap_or("unknown");
     let cause = status["phase"]["cause"].as_str().map(|cause| format!(" ({cause})"));
     let cause = cause.unwrap_or_default();
--- a/crates/crosspath/src/error.rs
+++ b/crates/crosspath/src/error.rs
@@ -15,7 +15,7 @@
     /// `diff` found differences.
     Different = 1,
     /// The command line, a file or a field is wrong.
-    BadInput = 2,
+    InvalidInput = 2,
     /// The daemon refuses: a conflict, a missing resource, a missing right.
     Refused = 3,
     /// Nothing was changed, since the daemon or the log could not be reached.
@@ -30,19 +30,19 @@
     #[snafu(display("{}: cannot be read: {source}", file.display()))]
     Read { file: PathBuf, source: std::io::Error },
     #[snafu(display("{}: {field}: {source}", file.display()))]
-    Shape { file: PathBuf, field: String, source: serde_json::Error },
+    Malformed { file: PathBuf, field: String, source: serde_json::Error },
     #[snafu(display("{}: resource {name}: {source}", file.display()))]
     Name { file: PathBuf, name: String, source: crosspath_state::name::InvalidName },
     #[snafu(display("no daemon; set CROSSPATH_SERVER or write --server ADDRESS"))]
-    NoServer,
+    MissingServer,
     #[snafu(display("no line names the job {job}; are the logs of all daemons given?"))]
-    NotLogged { job: String },
+    JobNotLogged { job: String },
     #[snafu(display("no worker is in the data centre {data_centre}; there are {known}"))]
-    NoDataCentre { data_centre: String, known: String },
+    UnknownDataCentre { data_centre: String, known: String },
     #[snafu(display("{source}"))]
     Store { source: store::Error },
     #[snafu(display("no token; set {variable} or write --token"))]
-    NoToken { variable: &'static str },
+    MissingToken { variable: &'static str },
     #[snafu(display("{}", problem.message))]
     Refused { status: u16, problem: Box<Problem> },
     #[snafu(display("{source}"))]
@@ -50,26 +50,28 @@
     #[snafu(display(
         "the change at revision {revision} is not in force on {daemons} after {seconds} s"
     ))]
-    Wait { revision: u64, daemons: String, seconds: u64 },
+    WaitTimeout { revision: u64, daemons: String, seconds: u64 },
 }
 
 impl Error {
     pub(crate) fn exit_status(&self) -> ExitStatus {
         match self {
             Self::Read { .. }
-            | Self::Shape { .. }
+            | Self::Malformed { .. }
             | Self::Name { .. }
-            | Self::NoServer
-            | Self::NotLogged { .. }
-            | Self::NoDataCentre { .. }
-            | Self::NoToken { .. } => ExitStatus::BadInput,
-            Self::Refused { status: 400 | 413 | 422, .. } => ExitStatus::BadInput,
+            | Self::MissingServer
+            | Self::JobNotLogged { .. }
+            | Self::UnknownDataCentre { .. }
+            | Self::MissingToken { .. } => ExitStatus::InvalidInput,
+            Self::Refused { status: 400 | 413 | 422, .. } => ExitStatus::InvalidInput,
             Self::Refused { status: 503, .. } => ExitStatus::NotAccepted,
             Self::Refused { status: 504, .. } => ExitStatus::Unknown,
             Self::Refused { .. } => ExitStatus::Refused,
             Self::Call { source: client::Error::NotSent { .. } } => ExitStatus::NotAccepted,
             Self::Store { source } if source.had_no_effect() => ExitStatus::NotAccepted,
-            Self::Store { .. } | Self::Call { .. } | Self::Wait { .. } => ExitStatus::Unknown,
+            Self::Store { .. } | Self::Call { .. } | Self::WaitTimeout { .. } => {
+                ExitStatus::Unknown
+            }
         }
     }
 }
--- a/crates/crosspath/src/file.rs
+++ b/crates/crosspath/src/file.rs
@@ -12,7 +12,7 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Line {
+struct Entry {
     kind: Kind,
     name: String,
     spec: Value,
@@ -20,24 +20,24 @@
 
 /// A resource as a file declares it.
 #[derive(Debug)]
-pub(crate) struct Declared {
+pub(crate) struct Declaration {
     pub(crate) id: Id,
     pub(crate) spec: Value,
 }
 
 /// Reads a file, in the order in which resources refer to each other.
-pub(crate) fn read(file: &Path) -> Result<Vec<Declared>, Error> {
+pub(crate) fn read(file: &Path) -> Result<Vec<Declaration>, Error> {
     let text = std::fs::read_to_string(file).context(ReadSnafu { file })?;
     let decoder = &mut serde_json::Deserializer::from_str(&text);
-    let lines: Vec<Line> = serde_path_to_error::deserialize(decoder).map_err(|error| {
+    let entries: Vec<Entry> = serde_path_to_error::deserialize(decoder).map_err(|error| {
         let field = error.path().to_string();
-        Error::Shape { file: file.to_owned(), field, source: error.into_inner() }
+        Error::Malformed { file: file.to_owned(), field, source: error.into_inner() }
     })?;
-    let declared = lines.into_iter().map(|line| {
-        let name = ResourceName::new(&line.name).context(NameSnafu { file, name: line.name })?;
-        Ok(Declared { id: Id::new(line.kind, name), spec: line.spec })
+    let declarations = entries.into_iter().map(|entry| {
+        let name = ResourceName::new(&entry.name).context(NameSnafu { file, name: entry.name })?;
+        Ok(Declaration { id: Id::new(entry.kind, name), spec: entry.spec })
     });
-    let mut declared: Vec<Declared> = declared.collect::<Result<_, Error>>()?;
-    declared.sort_by_key(|resource| resource.id.kind);
-    Ok(declared)
+    let mut declarations: Vec<Declaration> = declarations.collect::<Result<_, Error>>()?;
+    declarations.sort_by_key(|resource| resource.id.kind);
+    Ok(declarations)
 }
--- a/crates/crosspath/src/output.rs
+++ b/crates/crosspath/src/output.rs
@@ -18,18 +18,18 @@
 /// A word that is not a format.
 #[derive(Debug, Snafu)]
 #[snafu(display("{text:?} is not a format; write text or json"))]
-pub(crate) struct NoFormat {
+pub(crate) struct UnknownFormat {
     text: String,
 }
 
 impl FromStr for Format {
-    type Err = NoFormat;
+    type Err = UnknownFormat;
 
-    fn from_str(text: &str) -> Result<Self, NoFormat> {
+    fn from_str(text: &str) -> Result<Self, UnknownFormat> {
         match text {
             "text" => Ok(Self::Text),
             "json" => Ok(Self::Json),
-            _ => NoFormatSnafu { text }.fail(),
+            _ => UnknownFormatSnafu { text }.fail(),
         }
     }
 }
@@ -49,10 +49,10 @@
         Format::Text => text(),
         Format::Json => serde_json::to_string(value).unwrap_or_default(),
     };
-    line(&out);
+    print_line(&out);
 }
 
 /// Prints a line; a reader that has gone away is no error.
-pub(crate) fn line(text: &str) {
+pub(crate) fn print_line(text: &str) {
     let _ = writeln!(std::io::stdout(), "{}", text.trim_end());
 }
--- a/crates/crosspath/src/table.rs
+++ b/crates/crosspath/src/table.rs
@@ -1,9 +1,9 @@
 //! Tables that fit a terminal.
 
 /// Widest line, in characters.
-pub(crate) const WIDTH: usize = 100;
+pub(crate) const MAX_LINE_CHARS: usize = 100;
 
-const GAP: &str = "  ";
+const COLUMN_GAP: &str = "  ";
 
 /// Lays rows out in columns; what does not fit is cut from the last column.
 pub(crate) fn render(header: &[&str], rows: &[Vec<String>]) -> String {
@@ -13,20 +13,20 @@
         cells.map(|cell| cell.chars().count()).max().unwrap_or_default()
     };
     let widths: Vec<usize> = (0..header.len()).map(width).collect();
-    let lines = [&header].into_iter().chain(rows).map(|row| line(row, &widths));
+    let lines = [&header].into_iter().chain(rows).map(|row| render_row(row, &widths));
     lines.collect::<Vec<_>>().join("\n")
 }
 
-fn line(row: &[String], widths: &[usize]) -> String {
+fn render_row(row: &[String], widths: &[usize]) -> String {
     let cells = row.iter().zip(widths).map(|(cell, width)| format!("{cell:<width$}"));
-    let line = cells.collect::<Vec<_>>().join(GAP);
-    cut(line.trim_end())
+    let line = cells.collect::<Vec<_>>().join(COLUMN_GAP);
+    truncate(line.trim_end())
 }
 
-fn cut(line: &str) -> String {
-    if line.chars().count() <= WIDTH {
+fn truncate(line: &str) -> String {
+    if line.chars().count() <= MAX_LINE_CHARS {
         return line.to_owned();
     }
-    let kept: String = line.chars().take(WIDTH - 1).collect();
-    kept + "…"
+    let visible: String = line.chars().take(MAX_LINE_CHARS - 1).collect();
+    visible + "…"
 }
--- a/crates/crosspath/tests/cli/main.rs
+++ b/crates/crosspath/tests/cli/main.rs
@@ -10,7 +10,7 @@
 
 /// The daemon's program. A run over the whole workspace has just built it beside the tool; alone,
 /// this package's tests build it if it is not there.
-fn daemon() -> PathBuf {
+fn daemon_program() -> PathBuf {
     let tool = PathBuf::from(env!("CARGO_BIN_EXE_crosspath"));
     let program = tool.with_file_name("crosspathd");
     if program.exists() {
@@ -30,7 +30,7 @@
 }
 
 impl Tool<'_> {
-    async fn run(&self, args: &[&str]) -> Output {
+    async fn output(&self, args: &[&str]) -> Output {
         let mut command = Command::new(env!("CARGO_BIN_EXE_crosspath"));
         command.env("CROSSPATH_SERVER", self.site.daemons[0].operators.to_string());
         command.env("CROSSPATH_TOKEN", OPERATOR_TOKEN);
@@ -40,8 +40,8 @@
     }
 
     /// Exit code and what was printed.
-    async fn ask(&self, args: &[&str]) -> (i32, String) {
-        let output = self.run(args).await;
+    async fn run(&self, args: &[&str]) -> (i32, String) {
+        let output = self.output(args).await;
         let mut text = String::from_utf8_lossy(&output.stdout).into_owned();
         text += &String::from_utf8_lossy(&output.stderr);
         (output.status.code().unwrap_or(-1), text)
@@ -53,63 +53,63 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_deployment_is_declared_shown_serviced_and_removed() {
-    let site = Site::start(&Plan::new(daemon(), 1)).await.expect("the site starts");
+async fn resources_are_declared_shown_serviced_and_removed() {
+    let site = Site::start(&Plan::new(daemon_program(), 1)).await.expect("the site starts");
     let tool = Tool { site: &site };
     let file = fixture("small.json");
-    let (code, plan) = tool.ask(&["apply", "--dry-run", "-f", &file]).await;
+    let (code, plan) = tool.run(&["apply", "--dry-run", "-f", &file]).await;
     assert_eq!(code, 0, "{plan}");
     insta::assert_snapshot!("dry_run", plan);
-    assert_eq!(tool.ask(&["diff", "-f", &file]).await.0, 1);
-    let (code, applied) = tool.ask(&["apply", "--wait", "-f", &file]).await;
+    assert_eq!(tool.run(&["diff", "-f", &file]).await.0, 1);
+    let (code, applied) = tool.run(&["apply", "--wait", "-f", &file]).await;
     assert_eq!(code, 0, "{applied}");
-    assert_eq!(tool.ask(&["diff", "-f", &file]).await, (0, "no differences\n".to_owned()));
-    let (_, pools) = tool.ask(&["get", "pools"]).await;
+    assert_eq!(tool.run(&["diff", "-f", &file]).await, (0, "no differences\n".to_owned()));
+    let (_, pools) = tool.run(&["get", "pools"]).await;
     insta::with_settings!({ filters => vec![(r"\s+\d+  ", "  REV  ")] }, {
         insta::assert_snapshot!("pools", pools);
     });
     assert!(pools.lines().all(|line| line.chars().count() <= 100), "{pools}");
-    let (code, json) = tool.ask(&["--output-format", "json", "get", "vm", "vm-1"]).await;
+    let (code, json) = tool.run(&["--output-format", "json", "get", "vm", "vm-1"]).await;
     let vm: serde_json::Value = serde_json::from_str(&json).expect("JSON");
     assert_eq!((code, &vm["status"]["phase"]), (0, &serde_json::json!("serving")));
-    let (code, wave) = tool.ask(&["wave", "create", "first", "counter"]).await;
+    let (code, wave) = tool.run(&["wave", "create", "first", "counter"]).await;
     assert_eq!(code, 0, "{wave}");
     assert!(wave.starts_with("first [....."), "{wave}");
-    let (code, paused) = tool.ask(&["wave", "pause", "first"]).await;
+    let (code, paused) = tool.run(&["wave", "pause", "first"]).await;
     assert_eq!(code, 0, "{paused}");
     assert!(paused.contains("paused (operator)"), "{paused}");
-    let (_, why) = tool.ask(&["explain", "vm", "vm-2"]).await;
+    let (_, why) = tool.run(&["explain", "vm", "vm-2"]).await;
     assert!(why.contains("stands in the way") && why.contains("paused"), "{why}");
-    let (code, cancelled) = tool.ask(&["wave", "cancel", "first"]).await;
+    let (code, cancelled) = tool.run(&["wave", "cancel", "first"]).await;
     assert_eq!(code, 0, "{cancelled}");
-    let (code, _) = tool.ask(&["delete", "wave", "first"]).await;
+    let (code, _) = tool.run(&["delete", "wave", "first"]).await;
     assert!(code == 0 || code == 3, "a VM may still be on its way back");
-    let (code, status) = tool.ask(&["status"]).await;
+    let (code, status) = tool.run(&["status"]).await;
     assert_eq!(code, 0);
     assert!(status.contains("entry-1") && status.contains("log up"), "{status}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn exit_codes_tell_what_went_wrong() {
-    let site = Site::start(&Plan::new(daemon(), 1)).await.expect("the site starts");
+async fn exit_codes_distinguish_the_failures() {
+    let site = Site::start(&Plan::new(daemon_program(), 1)).await.expect("the site starts");
     let tool = Tool { site: &site };
-    assert_eq!(tool.ask(&["get", "pool", "none"]).await.0, 3);
-    assert_eq!(tool.ask(&["apply", "-f", &fixture("broken.json")]).await.0, 2);
-    assert_eq!(tool.ask(&["apply", "-f", &fixture("missing.json")]).await.0, 2);
-    assert_eq!(tool.ask(&["delete", "pool", "none"]).await.0, 3);
-    let (code, typo) = tool.ask(&["apply", "-f", &fixture("typo.json")]).await;
-    assert_eq!(code, 2, "{typo}");
-    assert!(typo.contains("max_unavailable"), "{typo}");
+    assert_eq!(tool.run(&["get", "pool", "none"]).await.0, 3);
+    assert_eq!(tool.run(&["apply", "-f", &fixture("broken.json")]).await.0, 2);
+    assert_eq!(tool.run(&["apply", "-f", &fixture("missing.json")]).await.0, 2);
+    assert_eq!(tool.run(&["delete", "pool", "none"]).await.0, 3);
+    let (code, unknown_field) = tool.run(&["apply", "-f", &fixture("typo.json")]).await;
+    assert_eq!(code, 2, "{unknown_field}");
+    assert!(unknown_field.contains("max_unavailable"), "{unknown_field}");
     let down = crosspath_fakes::fault::LogFault { down: true, ..Default::default() };
     site.fakes.set_log_fault(down);
-    let (code, refused) = tool.ask(&["apply", "-f", &fixture("small.json")]).await;
+    let (code, refused) = tool.run(&["apply", "-f", &fixture("small.json")]).await;
     assert_eq!(code, 4, "{refused}");
-    let nobody = ["--server", "127.0.0.1:1", "status"];
-    assert_eq!(tool.ask(&nobody).await.0, 4);
+    let unreachable = ["--server", "127.0.0.1:1", "status"];
+    assert_eq!(tool.run(&unreachable).await.0, 4);
 }
 
 #[test]
-fn help_shows_no_token_and_completion_is_there() {
+fn help_hides_the_token_and_completion_is_offered() {
     let run = |args: &[&str]| {
         let mut tool = Command::new(env!("CARGO_BIN_EXE_crosspath"));
         let output = tool.env("CROSSPATH_TOKEN", OPERATOR_TOKEN).args(args).output();
--- a/crates/crosspath/tests/cli/trace.rs
+++ b/crates/crosspath/tests/cli/trace.rs
@@ -21,9 +21,9 @@
 }
 
 #[test]
-fn the_story_of_a_job_is_told_over_all_daemons_in_order() {
+fn lines_of_a_job_are_merged_over_all_daemons_in_order() {
     let output = trace_with(&["--all"], "00000000000000a1", &["entry-a.log", "entry-b.log"]);
-    let told = [
+    let expected = [
         "shard_claimed",
         "submit",
         "run_placed",
@@ -32,12 +32,16 @@
         "run_ended",
         "job_ended",
     ];
-    assert_eq!(events(&output), told, "neither the other job nor the worker that it did not use");
+    assert_eq!(
+        events(&output),
+        expected,
+        "neither the other job nor the worker that it did not use"
+    );
     assert_eq!(output.status.code(), Some(0));
 }
 
 #[test]
-fn a_job_that_no_line_names_is_an_error() {
+fn a_job_in_no_line_is_an_error() {
     let output = trace("00000000000000ff", &["entry-a.log"]);
     assert_eq!(output.status.code(), Some(2));
     let error = String::from_utf8_lossy(&output.stderr).into_owned();
@@ -45,14 +49,14 @@
 }
 
 #[test]
-fn a_file_that_is_not_there_is_named() {
+fn a_missing_file_is_named() {
     let output = trace("00000000000000a1", &["none.log"]);
     assert_eq!(output.status.code(), Some(2));
     assert!(String::from_utf8_lossy(&output.stderr).contains("none.log"));
 }
 
 #[test]
-fn a_summary_tells_whether_the_job_was_in_time_and_what_it_waited_for() {
+fn a_summary_gives_lateness_and_the_cause_of_the_longest_wait() {
     let output = trace("00000000000000a1", &["entry-a.log", "entry-b.log"]);
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
     let lines: Vec<_> = text.lines().collect();
@@ -69,7 +73,7 @@
 }
 
 #[test]
-fn a_job_that_was_given_up_tells_how_many_workers_it_cost() {
+fn a_summary_counts_the_workers_lost_by_an_abandoned_task() {
     let output = trace("00000000000000d4", &["entry-d.log"]);
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
     let lines: Vec<_> = text.lines().collect();
@@ -83,7 +87,7 @@
 }
 
 #[test]
-fn a_wait_over_a_takeover_is_told_as_such() {
+fn a_wait_during_a_takeover_is_attributed_to_it() {
     let output = trace("00000000000000c3", &["entry-c.log"]);
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
     let verdict = "not ended in these logs; longest wait 1800 ms before step 0.1 (its shard was \
--- a/crates/crosspath_metrics/src/lib.rs
+++ b/crates/crosspath_metrics/src/lib.rs
@@ -18,65 +18,65 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::{Registry, Unit};
 
-const BUCKETS: u16 = 16;
+const BUCKET_COUNT: u16 = 16;
 const FIRST_BUCKET_SECONDS: f64 = 0.0005;
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Request {
+struct RequestLabels {
     class: &'static str,
     caller: String,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Verdict {
+struct ResponseLabels {
     class: &'static str,
     outcome: &'static str,
     reason: &'static str,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Labelled {
+struct ReasonLabel {
     reason: String,
 }
 
-type Histograms = Family<Request, Histogram, fn() -> Histogram>;
+type HistogramFamily = Family<RequestLabels, Histogram, fn() -> Histogram>;
 
 /// Every metric of the daemon.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Mutex<Registry>,
-    latency: Histograms,
-    wait: Histograms,
-    in_flight: Family<Request, Gauge>,
-    answers: Family<Verdict, Counter>,
-    rejected: Family<Labelled, Counter>,
+    latency: HistogramFamily,
+    slot_wait: HistogramFamily,
+    in_flight: Family<RequestLabels, Gauge>,
+    responses: Family<ResponseLabels, Counter>,
+    rejections: Family<ReasonLabel, Counter>,
     retries: Counter,
-    applied: Gauge<u64, AtomicU64>,
-    appends: Family<Labelled, Counter>,
-    beats: Family<Labelled, Counter>,
+    applied_revision: Gauge<u64, AtomicU64>,
+    appends: Family<ReasonLabel, Counter>,
+    heartbeats: Family<ReasonLabel, Counter>,
 }
 
-fn histogram() -> Histogram {
-    Histogram::new(exponential_buckets(FIRST_BUCKET_SECONDS, 2.0, BUCKETS))
+fn new_histogram() -> Histogram {
+    Histogram::new(exponential_buckets(FIRST_BUCKET_SECONDS, 2.0, BUCKET_COUNT))
 }
 
-fn histograms() -> Histograms {
-    Family::new_with_constructor(histogram as fn() -> Histogram)
+fn histogram_family() -> HistogramFamily {
+    Family::new_with_constructor(new_histogram as fn() -> Histogram)
 }
 
 impl Default for Metrics {
     fn default() -> Self {
         let metrics = Self {
             registry: Mutex::new(Registry::with_prefix("crosspath")),
-            latency: histograms(),
-            wait: histograms(),
+            latency: histogram_family(),
+            slot_wait: histogram_family(),
             in_flight: Family::default(),
-            answers: Family::default(),
-            rejected: Family::default(),
+            responses: Family::default(),
+            rejections: Family::default(),
             retries: Counter::default(),
-            applied: Gauge::default(),
+            applied_revision: Gauge::default(),
             appends: Family::default(),
-            beats: Family::default(),
+            heartbeats: Family::default(),
         };
         metrics.register();
         metrics
@@ -90,68 +90,70 @@
         let latency = "Time from a request to its final answer, by class and caller";
         registry.register_with_unit("request_latency", latency, seconds(), self.latency.clone());
         let wait = "Time that a request waited for a slot, by class and caller";
-        registry.register_with_unit("request_wait", wait, seconds(), self.wait.clone());
+        registry.register_with_unit("request_wait", wait, seconds(), self.slot_wait.clone());
         let in_flight = "Requests in flight, by class and caller";
         registry.register("requests_in_flight", in_flight, self.in_flight.clone());
         let answers = "Final answers, by class, outcome and reason";
-        registry.register("answers", answers, self.answers.clone());
+        registry.register("answers", answers, self.responses.clone());
         let rejected = "Requests turned away before they were read whole, by reason";
-        registry.register("rejected", rejected, self.rejected.clone());
+        registry.register("rejected", rejected, self.rejections.clone());
         let retries = "Attempts after the first one of a request";
         registry.register("retries", retries, self.retries.clone());
         let applied = "Offset of the last folded record";
-        registry.register("applied_revision", applied, self.applied.clone());
+        registry.register("applied_revision", applied, self.applied_revision.clone());
         let appends = "Appends to the log, by result";
         registry.register("log_appends", appends, self.appends.clone());
         let beats = "Heartbeats sent to peers, by result";
-        registry.register("peer_beats", beats, self.beats.clone());
+        registry.register("peer_beats", beats, self.heartbeats.clone());
     }
 
     /// A request came in.
-    pub fn entered(&self, class: Class, caller: &CallerName) {
-        self.in_flight.get_or_create(&request(class, caller)).inc();
+    pub fn begin_request(&self, class: Class, caller: &CallerName) {
+        self.in_flight.get_or_create(&request_labels(class, caller)).inc();
     }
 
     /// A request got its final answer.
-    pub fn left(&self, class: Class, caller: &CallerName, latency: Duration) {
-        let labels = request(class, caller);
+    pub fn end_request(&self, class: Class, caller: &CallerName, latency: Duration) {
+        let labels = request_labels(class, caller);
         self.in_flight.get_or_create(&labels).dec();
         self.latency.get_or_create(&labels).observe(latency.as_secs_f64());
     }
 
     /// A request waited for a slot.
-    pub fn waited(&self, class: Class, caller: &CallerName, wait: Duration) {
-        self.wait.get_or_create(&request(class, caller)).observe(wait.as_secs_f64());
+    pub fn observe_slot_wait(&self, class: Class, caller: &CallerName, wait: Duration) {
+        self.slot_wait.get_or_create(&request_labels(class, caller)).observe(wait.as_secs_f64());
     }
 
     /// A final answer was given.
-    pub fn answered(&self, class: Class, outcome: &'static str, reason: &'static str) {
-        self.answers.get_or_create(&Verdict { class: class.label(), outcome, reason }).inc();
+    pub fn count_response(&self, class: Class, outcome: &'static str, reason: &'static str) {
+        self.responses
+            .get_or_create(&ResponseLabels { class: class.label(), outcome, reason })
+            .inc();
     }
 
     /// A request was turned away.
-    pub fn rejected(&self, reason: impl Into<String>) {
-        self.rejected.get_or_create(&Labelled { reason: reason.into() }).inc();
+    pub fn count_rejection(&self, reason: impl Into<String>) {
+        self.rejections.get_or_create(&ReasonLabel { reason: reason.into() }).inc();
     }
 
     /// A request is tried again.
-    pub fn retried(&self) {
+    pub fn count_retry(&self) {
         self.retries.inc();
     }
 
     /// A record was folded.
-    pub fn applied(&self, offset: u64) {
-        self.applied.set(offset);
+    pub fn set_applied_revision(&self, offset: u64) {
+        self.applied_revision.set(offset);
     }
 
     /// An append ended.
-    pub fn appended(&self, result: &'static str) {
-        self.appends.get_or_create(&Labelled { reason: result.to_owned() }).inc();
+    pub fn count_append(&self, result: &'static str) {
+        self.appends.get_or_create(&ReasonLabel { reason: result.to_owned() }).inc();
     }
 
     /// A heartbeat ended.
-    pub fn beat(&self, result: &'static str) {
-        self.beats.get_or_create(&Labelled { reason: result.to_owned() }).inc();
+    pub fn count_heartbeat(&self, result: &'static str) {
+        self.heartbeats.get_or_create(&ReasonLabel { reason: result.to_owned() }).inc();
     }
 
     /// All metrics as text.
@@ -165,6 +167,6 @@
     }
 }
 
-fn request(class: Class, caller: &CallerName) -> Request {
-    Request { class: class.label(), caller: caller.to_string() }
+fn request_labels(class: Class, caller: &CallerName) -> RequestLabels {
+    RequestLabels { class: class.label(), caller: caller.to_string() }
 }
--- a/crates/crosspath_operator/src/lib.rs
+++ b/crates/crosspath_operator/src/lib.rs
@@ -6,8 +6,8 @@
 //! `/metrics`, `/livez` and `/readyz` without a token. Every change that is answered with success
 //! has been folded, and carries its revision as `ETag`.
 
-mod answer;
 pub mod model;
+mod response;
 mod route;
 mod watch;
 
@@ -27,7 +27,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch as channel;
 
-use model::{Explanation, Fate, Status};
+use model::{Explanation, Outcome, Status};
 
 /// A change that was not accepted, or not certainly.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
@@ -63,7 +63,7 @@
     async fn commit(&self, changes: Vec<Change>) -> Result<Revision, CommitError>;
 
     /// What became of a change whose fate was not known.
-    fn fate(&self, change: &str) -> Fate;
+    fn outcome(&self, change: &str) -> Outcome;
 
     /// The daemons as this one sees them.
     fn status(&self) -> Status;
@@ -81,12 +81,12 @@
     fn state_at(&self, revision: Revision) -> Option<Arc<State>>;
 
     /// Counts a request that was turned away, by status.
-    fn rejected(&self, status: u16);
+    fn count_rejected(&self, status: u16);
 }
 
 /// Limits on a request.
 #[derive(Debug, Clone, Copy)]
-pub struct Bounds {
+pub struct BodyLimits {
     /// Bytes of a body.
     pub body_bytes: u64,
     /// Time for a body to arrive.
@@ -107,18 +107,18 @@
     }
 
     /// The operator that shows `token`; every one is compared, so that time tells nothing.
-    fn find(&self, token: &str) -> Option<&Operator> {
-        let mut found = None;
+    fn authenticate(&self, token: &str) -> Option<&Operator> {
+        let mut matching = None;
         for operator in self.operators.iter() {
             if operator.token.matches(token) {
-                found = Some(operator);
+                matching = Some(operator);
             }
         }
-        found
+        matching
     }
 }
 
-fn may(operator: &Operator, right: Right) -> bool {
+fn has_right(operator: &Operator, right: Right) -> bool {
     operator.rights.contains(&right)
 }
 
@@ -126,15 +126,15 @@
 pub async fn serve<H: Handler>(
     listener: TcpListener,
     limits: Limits,
-    bounds: Bounds,
+    body_limits: BodyLimits,
     stop: channel::Receiver<Stage>,
     access: Access,
     handler: Arc<H>,
 ) {
-    let stopping = stop.clone();
-    let answer = move |request: Request<Incoming>, _: SocketAddr| {
-        let (handler, access, stop) = (Arc::clone(&handler), access.clone(), stopping.clone());
-        async move { route::answer(request, bounds, &access, handler, stop).await }
+    let stop_stage = stop.clone();
+    let respond = move |request: Request<Incoming>, _: SocketAddr| {
+        let (handler, access, stop) = (Arc::clone(&handler), access.clone(), stop_stage.clone());
+        async move { route::respond(request, body_limits, &access, handler, stop).await }
     };
-    server::serve(listener, limits, stop, answer).await;
+    server::serve(listener, limits, stop, respond).await;
 }
--- a/crates/crosspath_operator/src/model.rs
+++ b/crates/crosspath_operator/src/model.rs
@@ -94,7 +94,7 @@
 /// What became of a change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "fate", rename_all = "snake_case")]
-pub enum Fate {
+pub enum Outcome {
     /// It is in force from this revision.
     Accepted {
         /// The revision.
@@ -110,7 +110,8 @@
     /// Not known yet.
     Pending,
     /// Too old, or never seen by this daemon.
-    Unheard,
+    #[serde(rename = "unheard")]
+    Unrecorded,
 }
 
 /// A daemon as another sees it.
--- a/crates/crosspath_operator/src/answer.rs
+++ b/crates/crosspath_operator/src/response.rs
@@ -19,13 +19,13 @@
     #[snafu(display("this operator has no right to do that"))]
     Forbidden,
     #[snafu(display("no such path; see the list of kinds in docs/operators/api.md"))]
-    NoPath,
-    #[snafu(display("{what} does not exist"))]
-    NotFound { what: String },
+    UnknownPath,
+    #[snafu(display("{id} does not exist"))]
+    NotFound { id: String },
     #[snafu(display("method is not allowed here"))]
-    Method,
-    #[snafu(display("{what} is not valid: {detail}"))]
-    Query { what: &'static str, detail: String },
+    MethodNotAllowed,
+    #[snafu(display("{name} is not valid: {value}"))]
+    InvalidParameter { name: &'static str, value: String },
     #[snafu(display("{source}"))]
     Body { source: BodyError },
     #[snafu(display("field {field}: {detail}"))]
@@ -41,9 +41,9 @@
         match self {
             Self::Unauthorized => StatusCode::UNAUTHORIZED,
             Self::Forbidden => StatusCode::FORBIDDEN,
-            Self::NoPath | Self::NotFound { .. } => StatusCode::NOT_FOUND,
-            Self::Method => StatusCode::METHOD_NOT_ALLOWED,
-            Self::Query { .. } => StatusCode::BAD_REQUEST,
+            Self::UnknownPath | Self::NotFound { .. } => StatusCode::NOT_FOUND,
+            Self::MethodNotAllowed => StatusCode::METHOD_NOT_ALLOWED,
+            Self::InvalidParameter { .. } => StatusCode::BAD_REQUEST,
             Self::Field { .. } => StatusCode::UNPROCESSABLE_ENTITY,
             Self::TooOld { .. } => StatusCode::GONE,
             Self::Body { source: BodyError::TooLarge { .. } } => StatusCode::PAYLOAD_TOO_LARGE,
@@ -57,9 +57,9 @@
         match self {
             Self::Unauthorized => "unauthorized",
             Self::Forbidden => "forbidden",
-            Self::NoPath | Self::NotFound { .. } => "not_found",
-            Self::Method => "method",
-            Self::Query { .. } => "query",
+            Self::UnknownPath | Self::NotFound { .. } => "not_found",
+            Self::MethodNotAllowed => "method",
+            Self::InvalidParameter { .. } => "query",
             Self::Body { .. } => "body",
             Self::Field { .. } => "field",
             Self::TooOld { .. } => "too_old",
@@ -69,7 +69,7 @@
         }
     }
 
-    pub(crate) fn answer(&self) -> Response<Body> {
+    pub(crate) fn to_response(&self) -> Response<Body> {
         let mut problem = Problem {
             reason: self.reason().to_owned(),
             message: self.to_string(),
@@ -82,17 +82,17 @@
             Self::Field { field, .. } => problem.field = Some(field.clone()),
             Self::Commit { source: CommitError::Rejected { conflict } } => {
                 problem.conflict = Some(conflict.clone());
-                revision = current(conflict);
+                revision = current_revision(conflict);
             }
             Self::Commit { source: CommitError::Unknown { change } } => {
                 problem.change = Some(change.clone());
             }
             _ => {}
         }
-        let answer = body::json(self.status(), &problem);
+        let response = body::json(self.status(), &problem);
         match revision {
-            Some(revision) => tagged(answer, revision),
-            None => answer,
+            Some(revision) => with_etag(response, revision),
+            None => response,
         }
     }
 }
@@ -109,7 +109,7 @@
     }
 }
 
-fn current(conflict: &Conflict) -> Option<Revision> {
+fn current_revision(conflict: &Conflict) -> Option<Revision> {
     match conflict {
         Conflict::Stale { current, .. } => Some(*current),
         _ => None,
@@ -120,10 +120,10 @@
     body::json(StatusCode::OK, value)
 }
 
-pub(crate) fn tagged(mut answer: Response<Body>, revision: Revision) -> Response<Body> {
+pub(crate) fn with_etag(mut response: Response<Body>, revision: Revision) -> Response<Body> {
     let tag = HeaderValue::try_from(format!("\"{revision}\""));
     if let Ok(tag) = tag {
-        answer.headers_mut().insert(header::ETAG, tag);
+        response.headers_mut().insert(header::ETAG, tag);
     }
-    answer
+    response
 }
--- a/crates/crosspath_operator/src/watch.rs
+++ b/crates/crosspath_operator/src/watch.rs
@@ -18,15 +18,15 @@
 use tokio::sync::watch as channel;
 
 use crate::Handler;
-use crate::answer::{Error, TooOldSnafu};
 use crate::model::{Event, Resource};
+use crate::response::{Error, TooOldSnafu};
 
 struct Watch {
     states: channel::Receiver<Arc<State>>,
     stop: channel::Receiver<Stage>,
     kind: Kind,
-    seen: Arc<State>,
-    first: bool,
+    last_sent: Arc<State>,
+    is_initial: bool,
 }
 
 /// Streams changes after `from`, until the watcher goes or the daemon stops. A change may come
@@ -37,29 +37,29 @@
     from: Revision,
     stop: channel::Receiver<Stage>,
 ) -> Result<Response<Body>, Error> {
-    let seen = handler.state_at(from).context(TooOldSnafu { from })?;
-    let watch = Watch { states: handler.state(), stop, kind, seen, first: true };
+    let last_sent = handler.state_at(from).context(TooOldSnafu { from })?;
+    let watch = Watch { states: handler.state(), stop, kind, last_sent, is_initial: true };
     let lines = futures::stream::unfold(watch, Watch::next);
     let frames = lines.map(|lines| Ok::<_, BoxError>(Frame::data(Bytes::from(lines))));
-    let mut answer = Response::new(StreamBody::new(frames).boxed_unsync());
-    let kind = HeaderValue::from_static("application/jsonl");
-    answer.headers_mut().insert(header::CONTENT_TYPE, kind);
-    Ok(answer)
+    let mut response = Response::new(StreamBody::new(frames).boxed_unsync());
+    let content_type = HeaderValue::from_static("application/jsonl");
+    response.headers_mut().insert(header::CONTENT_TYPE, content_type);
+    Ok(response)
 }
 
 impl Watch {
     async fn next(mut self) -> Option<(String, Self)> {
         loop {
-            if !self.first {
+            if !self.is_initial {
                 tokio::select! {
                     changed = self.states.changed() => changed.ok()?,
                     _ = self.stop.wait_for(|stage| *stage >= Stage::Finishing) => return None,
                 }
             }
-            self.first = false;
+            self.is_initial = false;
             let state = self.states.borrow_and_update().clone();
-            let lines = lines(self.kind, &self.seen, &state);
-            self.seen = state;
+            let lines = lines(self.kind, &self.last_sent, &state);
+            self.last_sent = state;
             if !lines.is_empty() {
                 return Some((lines, self));
             }
--- a/crates/crosspath_settings/src/settings.rs
+++ b/crates/crosspath_settings/src/settings.rs
@@ -13,7 +13,7 @@
 use crate::options::{LimitOptions, ListenOptions, OperatorOptions, Options, TimingOptions};
 use crate::token::Hash;
 
-const MIN_PEER_TOKEN: usize = 16;
+const MIN_PEER_TOKEN_BYTES: usize = 16;
 const MIN_HEADER_BYTES: u32 = 8 * 1024;
 
 /// What an operator may do.
@@ -34,9 +34,9 @@
     /// Its data centre.
     pub data_centre: DataCentre,
     /// Where callers connect.
-    pub callers: SocketAddr,
+    pub callers_listen: SocketAddr,
     /// Where operators connect.
-    pub operators: SocketAddr,
+    pub operators_listen: SocketAddr,
     /// Where peers connect.
     pub peers_listen: SocketAddr,
     /// The other daemons.
@@ -46,7 +46,7 @@
     /// The platform's address.
     pub platform: SocketAddr,
     /// Operators.
-    pub operator_rights: Vec<Operator>,
+    pub operator_accounts: Vec<Operator>,
     /// Limits.
     pub limits: Limits,
     /// Intervals and leases.
@@ -151,12 +151,12 @@
 impl Checker<'_> {
     fn require(
         &self,
-        met: bool,
+        is_valid: bool,
         field: &'static str,
         value: impl ToString,
         remedy: &'static str,
     ) -> Result<(), Error> {
-        if met {
+        if is_valid {
             return Ok(());
         }
         ValueSnafu { file: self.file, field, value: value.to_string(), remedy }.fail()
@@ -164,12 +164,12 @@
 
     fn resolve(&self, options: Options) -> Result<Settings, Error> {
         let token = &options.peer_token;
-        let long = token.len() >= MIN_PEER_TOKEN;
-        self.require(long, "peer_token", "<hidden>", "write at least 16 characters")?;
-        self.check_listen(&options.listen)?;
-        let own = options.peers.iter().find(|peer| peer.name == options.name);
+        let long_enough = token.len() >= MIN_PEER_TOKEN_BYTES;
+        self.require(long_enough, "peer_token", "<hidden>", "write at least 16 characters")?;
+        self.require_distinct_addresses(&options.listen)?;
+        let listed_self = options.peers.iter().find(|peer| peer.name == options.name);
         let name = &options.name;
-        self.require(own.is_none(), "peers", name, "list only the other daemons")?;
+        self.require(listed_self.is_none(), "peers", name, "list only the other daemons")?;
         let peers = options.peers.into_iter();
         let peers = peers.map(|peer| Peer { name: peer.name, address: peer.address }).collect();
         let operators = options.operators.into_iter();
@@ -177,23 +177,25 @@
         Ok(Settings {
             name: options.name,
             data_centre: options.data_centre,
-            callers: options.listen.callers,
-            operators: options.listen.operators,
+            callers_listen: options.listen.callers,
+            operators_listen: options.listen.operators,
             peers_listen: options.listen.peers,
             peers,
             peer_token: options.peer_token,
             platform: options.platform,
-            operator_rights: operators.collect::<Result<_, _>>()?,
+            operator_accounts: operators.collect::<Result<_, _>>()?,
             limits: self.limits(&options.limits)?,
             timing: self.timing(&options.timing)?,
         })
     }
 
-    fn check_listen(&self, listen: &ListenOptions) -> Result<(), Error> {
+    fn require_distinct_addresses(&self, listen: &ListenOptions) -> Result<(), Error> {
         let ListenOptions { callers, operators, peers } = *listen;
-        let same = |a: SocketAddr, b: SocketAddr| a == b && a.port() != 0;
-        let clash = same(callers, operators) || same(operators, peers) || same(callers, peers);
-        self.require(!clash, "listen", callers, "give each listener an address of its own")
+        let same_address = |a: SocketAddr, b: SocketAddr| a == b && a.port() != 0;
+        let conflict = same_address(callers, operators)
+            || same_address(operators, peers)
+            || same_address(callers, peers);
+        self.require(!conflict, "listen", callers, "give each listener an address of its own")
     }
 
     fn operator(&self, options: OperatorOptions) -> Result<Operator, Error> {
@@ -222,9 +224,9 @@
             answers_total_bytes: options.answers_total_bytes.unwrap_or(8 * 1024 * 1024),
             key_retention: ms(options.key_retention_ms, 600_000),
         };
-        let head = limits.header_bytes;
-        let big = head >= MIN_HEADER_BYTES;
-        self.require(big, "limits.header_bytes", head, "write 8192 or more")?;
+        let header_bytes = limits.header_bytes;
+        let large_enough = header_bytes >= MIN_HEADER_BYTES;
+        self.require(large_enough, "limits.header_bytes", header_bytes, "write 8192 or more")?;
         let percent = limits.batch_ceiling_percent;
         let in_range = (1..=100).contains(&percent);
         self.require(in_range, "limits.batch_ceiling_percent", percent, "write 1 to 100")?;
@@ -249,16 +251,16 @@
             stop_wait: ms(options.stop_wait_ms, 1_000),
             stop_drain: ms(options.stop_drain_ms, 10_000),
         };
-        let long = timing.lease >= timing.heartbeat * 3;
+        let long_enough = timing.lease >= timing.heartbeat * 3;
         let lease = timing.lease.as_millis();
-        self.require(long, "timing.lease_ms", lease, "write at least 3 times heartbeat_ms")?;
-        let long = timing.tenure >= timing.lease;
+        self.require(long_enough, "timing.lease_ms", lease, "write at least 3 times heartbeat_ms")?;
+        let long_enough = timing.tenure >= timing.lease;
         let tenure = timing.tenure.as_millis();
-        self.require(long, "timing.tenure_ms", tenure, "write at least lease_ms")?;
+        self.require(long_enough, "timing.tenure_ms", tenure, "write at least lease_ms")?;
         let drift = timing.drift_ppm;
         self.require(drift <= 200_000, "timing.drift_ppm", drift, "write 200000 or less")?;
-        let beat = timing.heartbeat.as_millis();
-        self.require(beat > 0, "timing.heartbeat_ms", beat, "write 1 or more")?;
+        let heartbeat = timing.heartbeat.as_millis();
+        self.require(heartbeat > 0, "timing.heartbeat_ms", heartbeat, "write 1 or more")?;
         let decide = timing.decide.as_millis();
         self.require(decide > 0, "timing.decide_ms", decide, "write 1 or more")?;
         Ok(timing)
--- a/crates/crosspath_settings/tests/settings/main.rs
+++ b/crates/crosspath_settings/tests/settings/main.rs
@@ -5,7 +5,7 @@
 use crosspath_settings::{Options, load};
 use serde_json::{Value, json};
 
-fn good() -> Value {
+fn valid_settings() -> Value {
     json!({
         "name": "entry-1", "data_centre": "dc-1",
         "listen": {
@@ -17,7 +17,7 @@
     })
 }
 
-fn says(settings: &Value) -> String {
+fn load_result(settings: &Value) -> String {
     let mut file = tempfile::NamedTempFile::new().expect("a file");
     file.write_all(settings.to_string().as_bytes()).expect("written");
     match load(file.path()) {
@@ -27,37 +27,37 @@
 }
 
 /// The good settings with one field set.
-fn with(pointer: &str, value: Value) -> String {
-    let mut settings = good();
+fn load_with(pointer: &str, value: Value) -> String {
+    let mut settings = valid_settings();
     let (parent, field) = pointer.rsplit_once('/').expect("a pointer");
     let parent = settings.pointer_mut(parent).expect("a parent");
     parent[field] = value;
-    says(&settings)
+    load_result(&settings)
 }
 
 #[test]
-fn good_settings_are_taken() {
-    assert_eq!(says(&good()), "ok: entry-1");
+fn valid_settings_load() {
+    assert_eq!(load_result(&valid_settings()), "ok: entry-1");
 }
 
 #[test]
 fn errors_name_file_field_value_and_remedy() {
-    let mut said = vec![
-        with("/name", json!("Entry 1")),
-        with("/listen/peers", json!("127.0.0.1:7001")),
-        with("/peer_token", json!("short")),
-        with("/peers/0/name", json!("entry-1")),
-        with("/operators/0/token_sha256", json!("ab")),
-        with("/operators/0/rights", json!(["admin"])),
-        with("/limits", json!({ "header_bytes": 10 })),
-        with("/limits", json!({ "headerbytes": 10 })),
-        with("/limits", json!({ "batch_ceiling_percent": 0 })),
-        with("/timing", json!({ "lease_ms": 1500 })),
-        with("/timing", json!({ "tenure_ms": 100 })),
-        with("/platform", json!("nowhere")),
+    let mut results = vec![
+        load_with("/name", json!("Entry 1")),
+        load_with("/listen/peers", json!("127.0.0.1:7001")),
+        load_with("/peer_token", json!("short")),
+        load_with("/peers/0/name", json!("entry-1")),
+        load_with("/operators/0/token_sha256", json!("ab")),
+        load_with("/operators/0/rights", json!(["admin"])),
+        load_with("/limits", json!({ "header_bytes": 10 })),
+        load_with("/limits", json!({ "headerbytes": 10 })),
+        load_with("/limits", json!({ "batch_ceiling_percent": 0 })),
+        load_with("/timing", json!({ "lease_ms": 1500 })),
+        load_with("/timing", json!({ "tenure_ms": 100 })),
+        load_with("/platform", json!("nowhere")),
     ];
-    said.push(says(&json!({})));
-    insta::assert_snapshot!(said.join("\n"));
+    results.push(load_result(&json!({})));
+    insta::assert_snapshot!(results.join("\n"));
 }
 
 /// The committed schema is the program's own.
--- a/crates/crosspathd/src/api.rs
+++ b/crates/crosspathd/src/api.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use async_trait::async_trait;
-use crosspath_operator::model::{DaemonStatus, Explanation, Fate, Resource, Status};
+use crosspath_operator::model::{DaemonStatus, Explanation, Outcome, Resource, Status};
 use crosspath_operator::{CommitError, Handler};
 use crosspath_plan::wave::Observed;
 use crosspath_plan::{place, wave};
@@ -39,7 +39,7 @@
         self.0.committer.commit(changes, PATIENCE).await
     }
 
-    fn fate(&self, change: &str) -> Fate {
+    fn outcome(&self, change: &str) -> Outcome {
         let state = self.0.state();
         self.0.outcomes().fate(&state, change)
     }
@@ -78,8 +78,8 @@
         self.0.state_at(revision)
     }
 
-    fn rejected(&self, status: u16) {
-        self.0.metrics.rejected(format!("operator_{status}"));
+    fn count_rejected(&self, status: u16) {
+        self.0.metrics.count_rejection(format!("operator_{status}"));
     }
 }
 
--- a/crates/crosspathd/src/committer.rs
+++ b/crates/crosspathd/src/committer.rs
@@ -160,7 +160,7 @@
     let mut maybe = false;
     loop {
         let result = core.log.append(data.clone()).await;
-        core.metrics.appended(label(&result));
+        core.metrics.count_append(label(&result));
         match result {
             Err(AppendError::NotAppended) if !maybe => return Err(CommitError::NotAccepted),
             Err(AppendError::NotAppended) => {}
--- a/crates/crosspathd/src/core.rs
+++ b/crates/crosspathd/src/core.rs
@@ -138,7 +138,7 @@
 
     /// Replaces the state by a later one.
     pub(crate) fn publish(&self, state: Arc<State>) {
-        self.metrics.applied(state.applied.0);
+        self.metrics.set_applied_revision(state.applied.0);
         let mut history = lock(&self.history);
         history.push_back(Arc::clone(&state));
         if history.len() > HISTORY {
--- a/crates/crosspathd/src/daemon.rs
+++ b/crates/crosspathd/src/daemon.rs
@@ -83,8 +83,8 @@
 /// [`RunError`] when it cannot start.
 pub async fn run(settings: Settings) -> Result<(), RunError> {
     let mut signals = Signals::new().context(SignalsSnafu)?;
-    let callers = bind(settings.callers).await?;
-    let operators = bind(settings.operators).await?;
+    let callers = bind(settings.callers_listen).await?;
+    let operators = bind(settings.operators_listen).await?;
     let peers = bind(settings.peers_listen).await?;
     let timeout = settings.timing.platform_timeout;
     let (committer, work) = Committer::new();
@@ -138,8 +138,8 @@
     let handler = Arc::new(Peers(Arc::clone(core)));
     let ended = EndedOnly::of(&core.stage);
     drop(tokio::spawn(crosspath_peer::serve(peers, limits.clone(), ended, access, handler)));
-    let access = operator::Access::new(settings.operator_rights.clone());
-    let bounds = operator::Bounds { body_bytes: OPERATOR_BODY, body_timeout };
+    let access = operator::Access::new(settings.operator_accounts.clone());
+    let bounds = operator::BodyLimits { body_bytes: OPERATOR_BODY, body_timeout };
     let (stop, handler) = (core.stage.subscribe(), Arc::new(Api(Arc::clone(core))));
     let serving = operator::serve(operators, limits.clone(), bounds, stop, access, handler);
     drop(tokio::spawn(serving));
--- a/crates/crosspathd/src/gateway.rs
+++ b/crates/crosspathd/src/gateway.rs
@@ -45,7 +45,7 @@
     fn drop(&mut self) {
         self.gateway.quota.lock().unwrap_or_else(PoisonError::into_inner).leave(&self.caller);
         let latency = clock::monotonic().since(self.started);
-        self.gateway.core.metrics.left(self.class, &self.caller, latency);
+        self.gateway.core.metrics.end_request(self.class, &self.caller, latency);
     }
 }
 
@@ -60,7 +60,7 @@
         if !entered {
             return None;
         }
-        self.core.metrics.entered(class, caller);
+        self.core.metrics.begin_request(class, caller);
         let (gateway, caller) = (Arc::clone(self), caller.clone());
         Some(Counted { gateway, caller, class, started: clock::monotonic() })
     }
@@ -101,7 +101,7 @@
             Reply::Recorded(_) => ("recorded", "answered"),
             Reply::Final(answer) => (answer.answer.outcome(), answer.answer.reason()),
         };
-        self.core.metrics.answered(class, outcome, reason);
+        self.core.metrics.count_response(class, outcome, reason);
     }
 }
 
@@ -165,7 +165,7 @@
     }
 
     fn rejected(&self, rejection: &Rejection) {
-        self.0.core.metrics.rejected(rejection.reason());
+        self.0.core.metrics.count_rejection(rejection.reason());
     }
 }
 
--- a/crates/crosspathd/src/gateway/attempt.rs
+++ b/crates/crosspathd/src/gateway/attempt.rs
@@ -91,7 +91,7 @@
             let known = Known { failure, maybe_run, repeatable, attempts, left };
             maybe_run |= !failure.certainly_not_run();
             match verdict::decide(known, &mut self.budget()) {
-                Verdict::Retry => self.gateway.core.metrics.retried(),
+                Verdict::Retry => self.gateway.core.metrics.count_retry(),
                 Verdict::Final(answer) => return Err(answer),
             }
         }
@@ -109,7 +109,7 @@
         let class = self.service.class;
         let wish = Wish { pool, caller, class, deadline: self.deadline };
         let slot = core.pools.acquire(wish).await;
-        core.metrics.waited(class, caller, clock::monotonic().since(asked_at));
+        core.metrics.observe_slot_wait(class, caller, clock::monotonic().since(asked_at));
         slot
     }
 
--- a/crates/crosspathd/src/membership.rs
+++ b/crates/crosspathd/src/membership.rs
@@ -62,7 +62,7 @@
     };
     let asked_at = clock::monotonic();
     let answer = link.beat(peers::own_beat(&core)).await;
-    core.metrics.beat(if answer.is_ok() { "answered" } else { "unanswered" });
+    core.metrics.count_heartbeat(if answer.is_ok() { "answered" } else { "unanswered" });
     let Ok(answer) = answer else { return };
     if let Some(promise) = answer.promise() {
         core.leases().holder.promised(core.terms(), &peer, asked_at, promise);
--- a/crates/crosspathd/src/outcomes.rs
+++ b/crates/crosspathd/src/outcomes.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use crosspath_operator::model::Fate;
+use crosspath_operator::model::Outcome;
 use crosspath_state::record::{BatchId, Incarnation, Revision, Writer};
 use crosspath_state::{Conflict, State};
 
@@ -40,15 +40,15 @@
     }
 
     /// What became of one change.
-    pub(crate) fn fate(&self, state: &State, change: &str) -> Fate {
+    pub(crate) fn fate(&self, state: &State, change: &str) -> Outcome {
         let Some((id, index)) = parse(change) else {
-            return Fate::Unheard;
+            return Outcome::Unrecorded;
         };
         if let Some(verdicts) = self.get(&id) {
             return match verdicts.get(index) {
-                Some(Ok(revision)) => Fate::Accepted { revision: *revision },
-                Some(Err(conflict)) => Fate::Rejected { conflict: conflict.clone() },
-                None => Fate::Unheard,
+                Some(Ok(revision)) => Outcome::Accepted { revision: *revision },
+                Some(Err(conflict)) => Outcome::Rejected { conflict: conflict.clone() },
+                None => Outcome::Unrecorded,
             };
         }
         let last = state.writers.get(&id.writer.daemon);
@@ -56,9 +56,9 @@
         // The fold drops it from now on, should it still arrive.
         let fenced = last > Some((id.writer.incarnation, id.sequence));
         match (fenced, self.forgotten) {
-            (true, false) => Fate::NotAccepted,
-            (true, true) => Fate::Unheard,
-            (false, _) => Fate::Pending,
+            (true, false) => Outcome::NotAccepted,
+            (true, true) => Outcome::Unrecorded,
+            (false, _) => Outcome::Pending,
         }
     }
 }
