--- a/crates/crosspath_http/src/body.rs
+++ b/crates/crosspath_http/src/body.rs
@@ -20,19 +20,19 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum BodyError {
     /// The body exceeds the size limit.
-    #[snafu(display("request body exceeds {limit} bytes"))]
+    #[snafu(display("body is larger than {limit} bytes"))]
     TooLarge {
         /// Maximum size in bytes.
         limit: u64,
     },
     /// The body did not arrive within the time limit.
-    #[snafu(display("request body did not arrive within {} ms", limit.as_millis()))]
+    #[snafu(display("body did not arrive within {} ms", limit.as_millis()))]
     TooSlow {
         /// Time that was allowed for the whole body.
         limit: Duration,
     },
     /// The connection failed or closed before the end of the body.
-    #[snafu(display("request body ended before it was complete"))]
+    #[snafu(display("body ended before it was whole"))]
     Truncated,
 }
 
