--- a/crates/crosspath_node/src/appender.rs
+++ b/crates/crosspath_node/src/appender.rs
@@ -25,7 +25,7 @@
 use crate::clock;
 use crate::node::Node;
 use crate::pending::{self, Deadlines, Outcome, Pending};
-use crate::rpc::{self, Failure, Question};
+use crate::rpc::{self, Failure, Request};
 
 /// Delay before a failed append is attempted again.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
@@ -75,14 +75,14 @@
     deadlines: Deadlines,
 ) -> Outcome {
     let record = NewRecord { key: record.key(), value: record.value().into() };
-    if rpc::is_taken_here(node, shard, &record) {
+    if rpc::is_taken_locally(node, shard, &record) {
         return Outcome::Taken;
     }
     // While the store is silent, appends in flight may block the queue for long, so bypass it.
     if node.is_store_silent(clock::now()) {
         let records = [record];
         let appended = append_with_fallback(node, shard, &records).await;
-        node.append_ended(clock::now(), appended.as_ref().err());
+        node.record_append_result(clock::now(), appended.as_ref().err());
         return match appended {
             Ok(route) => {
                 route.notify_owner(node, shard, &records);
@@ -154,7 +154,7 @@
     loop {
         let records: Vec<NewRecord> = batch.iter().map(|pending| pending.record.clone()).collect();
         let appended = append_with_fallback(node, shard, &records).await;
-        node.append_ended(clock::now(), appended.as_ref().err());
+        node.record_append_result(clock::now(), appended.as_ref().err());
         match appended {
             Ok(route) => {
                 route.notify_owner(node, shard, &records);
@@ -244,7 +244,7 @@
             return Err(failure.into());
         }
         Either::Left((Err(failure), _)) => {
-            node.holders_doubted.notify_one();
+            node.holders_stale.notify_one();
             return without_owner().await.map_err(|other| combine_errors(failure.into(), other));
         }
         Either::Right(((), via_owner)) => via_owner,
@@ -282,7 +282,7 @@
         }
         for record in records {
             let (node, record) = (Arc::clone(node), record.clone());
-            drop(tokio::spawn(async move { rpc::tell_kept(&node, shard, &record).await }));
+            drop(tokio::spawn(async move { rpc::notify_stored(&node, shard, &record).await }));
         }
     }
 }
@@ -302,7 +302,7 @@
 async fn until_owner_unresponsive(node: &Node, owner: SocketAddr) {
     loop {
         tokio::time::sleep(OWNER_PROBE_INTERVAL).await;
-        if let Err(error) = node.peers.ask(owner, &Question::Life).await {
+        if let Err(error) = node.peers.call(owner, &Request::Incarnation).await {
             log::info!("event=owner_silent peer={owner} error=\"{error}\"");
             return;
         }
@@ -325,7 +325,7 @@
         Ok(()) => return Ok(()),
         Err(error) => error,
     };
-    let mut peers = node.other_daemons();
+    let mut peers = node.other_owners();
     let (relays, _) = peers.partial_shuffle(&mut rand::rng(), MAX_RELAYS);
     for peer in &*relays {
         match rpc::relay_append(node, *peer, shard, records, rpc::TIMEOUT).await {
--- a/crates/crosspath_node/src/change_log.rs
+++ b/crates/crosspath_node/src/change_log.rs
@@ -5,17 +5,17 @@
 
 /// Entries that are gone, of which it is remembered when they went; a daemon that was told of less has
 /// the whole list told again.
-const GONE: usize = 4_096;
+const MAX_REMOVALS: usize = 4_096;
 
 /// Changes of a list, numbered as they come; of each entry the last.
 #[derive(Debug, Default)]
 pub(crate) struct ChangeLog {
     last: u64,
-    changed: BTreeMap<u64, Arc<str>>,
-    number: HashMap<Arc<str>, u64>,
-    gone: usize,
+    id_by_number: BTreeMap<u64, Arc<str>>,
+    number_by_id: HashMap<Arc<str>, u64>,
+    removals: usize,
     /// Changes up to this one may be forgotten.
-    forgotten: u64,
+    truncated_to: u64,
 }
 
 impl ChangeLog {
@@ -25,32 +25,33 @@
     }
 
     /// An entry is new or has changed.
-    pub(crate) fn changed(&mut self, id: &Arc<str>) {
-        self.note(id);
+    pub(crate) fn record_update(&mut self, id: &Arc<str>) {
+        self.append(id);
     }
 
-    /// An entry is gone; `is_there` tells which are not.
-    pub(crate) fn gone(&mut self, id: &Arc<str>, is_there: impl Fn(&str) -> bool) {
-        self.note(id);
-        self.gone += 1;
-        if self.gone > GONE {
-            self.changed.retain(|_, id| is_there(id));
-            self.number.retain(|id, _| is_there(id));
-            self.gone = 0;
-            self.forgotten = self.last;
+    /// An entry is gone; `exists` tells which are not.
+    pub(crate) fn record_removal(&mut self, id: &Arc<str>, exists: impl Fn(&str) -> bool) {
+        self.append(id);
+        self.removals += 1;
+        if self.removals > MAX_REMOVALS {
+            self.id_by_number.retain(|_, id| exists(id));
+            self.number_by_id.retain(|id, _| exists(id));
+            self.removals = 0;
+            self.truncated_to = self.last;
         }
     }
 
-    fn note(&mut self, id: &Arc<str>) {
+    fn append(&mut self, id: &Arc<str>) {
         self.last += 1;
-        if let Some(before) = self.number.insert(Arc::clone(id), self.last) {
-            self.changed.remove(&before);
+        if let Some(previous) = self.number_by_id.insert(Arc::clone(id), self.last) {
+            self.id_by_number.remove(&previous);
         }
-        self.changed.insert(self.last, Arc::clone(id));
+        self.id_by_number.insert(self.last, Arc::clone(id));
     }
 
     /// Entries that have changed after a number; none when some of that may be forgotten.
     pub(crate) fn since(&self, number: u64) -> Option<impl Iterator<Item = &Arc<str>>> {
-        (number >= self.forgotten).then(|| self.changed.range(number + 1..).map(|(_, id)| id))
+        (number >= self.truncated_to)
+            .then(|| self.id_by_number.range(number + 1..).map(|(_, id)| id))
     }
 }
--- a/crates/crosspath_node/src/clock.rs
+++ b/crates/crosspath_node/src/clock.rs
@@ -10,27 +10,27 @@
 use nix::errno::Errno;
 use nix::time::{ClockId, clock_gettime};
 
-static STEADY: LazyLock<Steady> = LazyLock::new(|| Steady::begin(read));
+static MONOTONIC: LazyLock<Monotonic> = LazyLock::new(|| Monotonic::start(read));
 
 /// A clock that never goes back, and when counting began.
 #[derive(Debug, Clone, Copy)]
-pub struct Steady {
+pub struct Monotonic {
     clock: ClockId,
-    began: Duration,
+    started_at: Duration,
 }
 
-impl Steady {
+impl Monotonic {
     /// Begins to count, by the first clock that can be read.
     #[must_use]
-    pub fn begin(read: impl Fn(ClockId) -> Result<Duration, Errno>) -> Self {
+    pub fn start(read: impl Fn(ClockId) -> Result<Duration, Errno>) -> Self {
         let clock = ClockId::CLOCK_BOOTTIME;
         match read(clock) {
-            Ok(began) => Self { clock, began },
+            Ok(started_at) => Self { clock, started_at },
             Err(error) => {
                 log::warn!("event=suspension_not_counted error=\"{error}\"");
                 let clock = ClockId::CLOCK_MONOTONIC;
-                let began = read(clock).expect("every kernel has a steady clock");
-                Self { clock, began }
+                let started_at = read(clock).expect("every kernel has a steady clock");
+                Self { clock, started_at }
             }
         }
     }
@@ -39,7 +39,7 @@
     #[must_use]
     pub fn elapsed(&self, read: impl Fn(ClockId) -> Result<Duration, Errno>) -> Duration {
         let now = read(self.clock).expect("a clock that was read can be read again");
-        now.saturating_sub(self.began)
+        now.saturating_sub(self.started_at)
     }
 }
 
@@ -49,7 +49,7 @@
 
 /// Time since this process first asked.
 pub(crate) fn now() -> Duration {
-    STEADY.elapsed(read)
+    MONOTONIC.elapsed(read)
 }
 
 /// Time of day, in ms since 1970.
--- a/crates/crosspath_node/src/fresh.rs
+++ b/crates/crosspath_node/src/config_sync.rs
@@ -14,49 +14,49 @@
 use crate::clock;
 use crate::feed;
 use crate::node::Node;
-use crate::rpc::{Answer, Question};
+use crate::rpc::{Reply, Request};
 
 /// From the last word of the store on, after which a newer configuration may be in force: a read that waits
 /// for a record, and its way through a slow store.
-const OLD_AFTER: Duration = Duration::from_millis(2_000);
+const STALE_AFTER: Duration = Duration::from_millis(2_000);
 /// Between looks whether the configuration may be old, and between questions to others while it may. A third
 /// of the shortest time seen in which a configuration has to be in force (2 s) is left for the answer.
-const ASK_INTERVAL: Duration = Duration::from_millis(400);
+const CHECK_INTERVAL: Duration = Duration::from_millis(400);
 /// Other daemons that are asked at a time. Where the store turns away a third of the daemons, one in
 /// three rounds would ask only such as are turned away too; with three it is one in 27.
-const ASKED: usize = 3;
+const PEERS_PER_ROUND: usize = 3;
 
 /// Whether what was last heard at `heard` may be old at `now`.
 #[must_use]
-pub fn may_be_old(heard: Duration, now: Duration) -> bool {
-    now > heard + OLD_AFTER
+pub fn may_be_stale(confirmed_at: Duration, now: Duration) -> bool {
+    now > confirmed_at + STALE_AFTER
 }
 
 /// Asks other daemons for a newer configuration while the store does not tell this one.
-pub(crate) async fn follow(node: Arc<Node>) {
+pub(crate) async fn run(node: Arc<Node>) {
     loop {
-        tokio::time::sleep(ASK_INTERVAL).await;
-        if may_be_old(node.operators_heard(), clock::now()) {
-            ask_others(&node).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
+        if may_be_stale(node.operator_log_confirmed_at(), clock::now()) {
+            query_peers(&node).await;
         }
     }
 }
 
-async fn ask_others(node: &Node) {
-    let mut others = node.other_daemons();
-    let (some, _) = others.partial_shuffle(&mut rand::rng(), ASKED);
+async fn query_peers(node: &Node) {
+    let mut others = node.other_owners();
+    let (selected, _) = others.partial_shuffle(&mut rand::rng(), PEERS_PER_ROUND);
     let known = node.table().map(|table| table.version);
-    for peer in &*some {
-        let asked = clock::now();
-        match node.peers.ask(*peer, &Question::Config { known }).await {
-            Ok(Answer::Config { newer, evacuated, heard_ms_ago }) => {
+    for peer in &*selected {
+        let asked_at = clock::now();
+        match node.peers.call(*peer, &Request::Config { known }).await {
+            Ok(Reply::Config { newer, evacuated, confirmed_ms_ago }) => {
                 if let Some(config) = newer {
                     log::info!("event=config_of_peer version={} peer={peer}", config.version);
-                    feed::take_config(node, *config);
+                    feed::apply_config(node, *config);
                 }
                 node.evacuations().merge(&evacuated);
-                let heard = asked.saturating_sub(Duration::from_millis(heard_ms_ago));
-                node.operators_told(heard);
+                let confirmed_at = asked_at.saturating_sub(Duration::from_millis(confirmed_ms_ago));
+                node.set_operator_log_confirmed(confirmed_at);
                 return;
             }
             // Its own may be old.
@@ -68,13 +68,14 @@
 
 /// The configuration for a daemon that knows a version; none within when that is the newest. No answer
 /// from a daemon whose own may be old.
-pub(crate) fn tell(node: &Node, known: Option<u64>) -> Answer {
-    let (heard, now) = (node.operators_heard_from_store(), clock::now());
-    if may_be_old(heard, now) {
-        return Answer::NotOwner;
+pub(crate) fn reply(node: &Node, known: Option<u64>) -> Reply {
+    let (read_at, now) = (node.operator_log_read_at(), clock::now());
+    if may_be_stale(read_at, now) {
+        return Reply::NotOwner;
     }
     let newer = node.table().filter(|table| known.is_none_or(|known| table.version > known));
     let newer = newer.map(|table| Box::new(Config::clone(&table.config)));
-    let heard_ms_ago = u64::try_from(now.saturating_sub(heard).as_millis()).unwrap_or(u64::MAX);
-    Answer::Config { newer, evacuated: node.evacuated(), heard_ms_ago }
+    let confirmed_ms_ago =
+        u64::try_from(now.saturating_sub(read_at).as_millis()).unwrap_or(u64::MAX);
+    Reply::Config { newer, evacuated: node.evacuated(), confirmed_ms_ago }
 }
--- a/crates/crosspath_node/src/daemon.rs
+++ b/crates/crosspath_node/src/daemon.rs
@@ -23,13 +23,13 @@
 use crate::member::Member;
 use crate::node::{Node, Parts};
 use crate::settings::Settings;
-use crate::{clock, feed, fresh, map, membership, rpc, workers};
+use crate::{clock, config_sync, feed, map, membership, rpc, workers};
 
 /// From unready to the end of taking connections: the balancer asks each second and stops after two
 /// misses.
-const UNREADY: Duration = Duration::from_millis(2_600);
+const UNREADY_PERIOD: Duration = Duration::from_millis(2_600);
 /// Left of the grace when what is in flight is cut off.
-const GRACE_MARGIN: Duration = Duration::from_millis(700);
+const SHUTDOWN_MARGIN: Duration = Duration::from_millis(700);
 
 type Serving = Pin<Box<dyn Future<Output = ()> + Send>>;
 type Serve = fn(TcpListener, Limits, watch::Receiver<Stage>, Arc<dyn Handler>) -> Serving;
@@ -108,8 +108,8 @@
         advisor,
     }));
     let callers = serve(&node, listeners, serve_callers, serve_readiness);
-    drop(tokio::spawn(feed::follow_operators(Arc::clone(&node))));
-    drop(tokio::spawn(fresh::follow(Arc::clone(&node))));
+    drop(tokio::spawn(feed::follow_operator_log(Arc::clone(&node))));
+    drop(tokio::spawn(config_sync::run(Arc::clone(&node))));
     drop(tokio::spawn(workers::follow(Arc::clone(&node))));
     drop(tokio::spawn(map::run(Arc::clone(&node))));
     let member = tokio::spawn(membership::run(Arc::clone(&node)));
@@ -133,18 +133,18 @@
 ) -> tokio::task::JoinHandle<()> {
     let [callers, readiness, peers, metrics] = listeners;
     let handler: Arc<dyn Handler> = Arc::new(Gateway::new(Arc::clone(node)));
-    let never = node.answering.subscribe();
+    let internal_stage = node.internal_stage.subscribe();
     let readiness =
-        serve_readiness(readiness, Limits::default(), never.clone(), Arc::clone(&handler));
+        serve_readiness(readiness, Limits::default(), internal_stage.clone(), Arc::clone(&handler));
     drop(tokio::spawn(readiness));
-    drop(tokio::spawn(rpc::serve(peers, never.clone(), Arc::clone(node))));
-    drop(tokio::spawn(serve_metrics(metrics, never, Arc::clone(node))));
+    drop(tokio::spawn(rpc::serve(peers, internal_stage.clone(), Arc::clone(node))));
+    drop(tokio::spawn(serve_metrics(metrics, internal_stage, Arc::clone(node))));
     tokio::spawn(serve_callers(callers, Limits::default(), node.stage.subscribe(), handler))
 }
 
 async fn serve_metrics(listener: TcpListener, stop: watch::Receiver<Stage>, node: Arc<Node>) {
     server::serve(listener, Limits::default(), stop, move |_, _| {
-        let text = node.metrics.text();
+        let text = node.metrics.encode();
         async move { Response::new(body::full(text)) }
     })
     .await;
@@ -157,18 +157,19 @@
     member: tokio::task::JoinHandle<()>,
     callers: tokio::task::JoinHandle<()>,
 ) {
-    let began = clock::now();
+    let started_at = clock::now();
     log::info!("event=stopping");
     node.stopping.send_replace(true);
     // A join under way could undo the leaving.
     member.await.ok();
     membership::leave(node).await;
-    tokio::time::sleep((began + UNREADY).saturating_sub(clock::now())).await;
+    tokio::time::sleep((started_at + UNREADY_PERIOD).saturating_sub(clock::now())).await;
     node.stage.send_replace(Stage::Finishing);
-    let left = (began + node.settings.stop_grace).saturating_sub(clock::now() + GRACE_MARGIN);
-    if tokio::time::timeout(left, callers).await.is_err() {
+    let remaining =
+        (started_at + node.settings.stop_grace).saturating_sub(clock::now() + SHUTDOWN_MARGIN);
+    if tokio::time::timeout(remaining, callers).await.is_err() {
         log::warn!("event=stop_cut_off");
     }
     node.stage.send_replace(Stage::Ended);
-    log::info!("event=stopped after_ms={}", clock::now().saturating_sub(began).as_millis());
+    log::info!("event=stopped after_ms={}", clock::now().saturating_sub(started_at).as_millis());
 }
--- a/crates/crosspath_node/src/directory.rs
+++ b/crates/crosspath_node/src/directory.rs
@@ -197,7 +197,7 @@
 
     fn remove(&mut self, id: &str) -> Option<Change> {
         let entry = self.entries.remove(id)?;
-        self.changes.gone(&entry.id, |id| self.entries.contains_key(id));
+        self.changes.record_removal(&entry.id, |id| self.entries.contains_key(id));
         Some(Change::gone(entry))
     }
 
@@ -206,7 +206,7 @@
         if known.is_some_and(|known| known.eq_ignoring_clock(&entry)) {
             return None;
         }
-        self.changes.changed(&entry.id);
+        self.changes.record_update(&entry.id);
         let (pool, vm) = (Arc::clone(&entry.pool), Arc::clone(&entry.vm));
         Some(Change { pool, vm, event: Event::WorkerListed(entry) })
     }
--- a/crates/crosspath_node/src/feed.rs
+++ b/crates/crosspath_node/src/feed.rs
@@ -8,53 +8,53 @@
 
 use crate::backoff::{self, Backoff};
 use crate::clock;
-use crate::fresh;
+use crate::config_sync;
 use crate::node::{Node, only_partition};
 use crate::pages::Pages;
 
 /// For which a read waits at the store. Short enough that a silent cut is noticed soon.
-pub(crate) const LONG_WAIT: Duration = Duration::from_millis(1_500);
+pub(crate) const LONG_POLL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Follows one partition: `take` gets the newest record of each key, then each record as it comes.
 #[derive(Debug)]
 pub(crate) struct Feed {
     partition: Partition,
-    next: Option<u64>,
+    next_offset: Option<u64>,
     /// Pages of the newest records, until they are all there.
     pages: Pages,
 }
 
 impl Feed {
     pub(crate) fn new(partition: Partition) -> Self {
-        Self { partition, next: None, pages: Pages::default() }
+        Self { partition, next_offset: None, pages: Pages::default() }
     }
 
     /// Begins at an offset, what came before being known.
-    pub(crate) fn from(partition: Partition, next: u64) -> Self {
-        Self { partition, next: Some(next), pages: Pages::default() }
+    pub(crate) fn starting_at(partition: Partition, next_offset: u64) -> Self {
+        Self { partition, next_offset: Some(next_offset), pages: Pages::default() }
     }
 
     /// Whether it has read up to an end once.
-    pub(crate) fn is_started(&self) -> bool {
-        self.next.is_some()
+    pub(crate) fn has_snapshot(&self) -> bool {
+        self.next_offset.is_some()
     }
 
     /// Reads what is new, waiting for it at most `wait`.
     pub(crate) async fn read(&mut self, node: &Node, wait: Duration) -> Result<Vec<Stored>, Error> {
-        let Some(next) = self.next else {
+        let Some(next_offset) = self.next_offset else {
             let (records, end) = newest(node, self.partition, &mut self.pages).await?;
-            self.next = Some(end);
+            self.next_offset = Some(end);
             return Ok(records);
         };
-        match node.store.read(self.partition, next, wait).await {
+        match node.store.read(self.partition, next_offset, wait).await {
             Ok(page) => {
-                node.store_answers(clock::now());
-                self.next = Some(next + page.records.len() as u64);
+                node.record_store_answer(clock::now());
+                self.next_offset = Some(next_offset + page.records.len() as u64);
                 Ok(page.records)
             }
             Err(Error::Truncated { first }) => {
                 log::info!("event=records_gone partition={} first={first}", self.partition);
-                self.next = None;
+                self.next_offset = None;
                 Ok(Vec::new())
             }
             Err(error) => Err(error),
@@ -71,50 +71,50 @@
     loop {
         let after = pages.after();
         let page = node.store.newest(partition, after.as_deref()).await?;
-        node.store_answers(clock::now());
-        if let Some(whole) = pages.take(page) {
-            return Ok(whole);
+        node.record_store_answer(clock::now());
+        if let Some(complete) = pages.add(page) {
+            return Ok(complete);
         }
     }
 }
 
 /// Follows the operators' records.
-pub(crate) async fn follow_operators(node: Arc<Node>) {
+pub(crate) async fn follow_operator_log(node: Arc<Node>) {
     let mut feed = Feed::new(only_partition(Topic::Operators));
     let mut backoff = Backoff::new(backoff::CONFIG_READS);
     loop {
-        let whole = !feed.is_started();
+        let is_snapshot = !feed.has_snapshot();
         // What is long unheard must be heard at once, not when the next record comes.
-        let is_old = fresh::may_be_old(node.operators_heard_from_store(), clock::now());
-        let wait = if is_old { Duration::ZERO } else { LONG_WAIT };
+        let is_stale = config_sync::may_be_stale(node.operator_log_read_at(), clock::now());
+        let wait = if is_stale { Duration::ZERO } else { LONG_POLL_TIMEOUT };
         match feed.read(&node, wait).await {
             Ok(records) => {
                 backoff.reset();
-                let evacuations = take_operators(&node, &records);
-                if let Some(read_to) = feed.next {
-                    take_evacuations(&node, &evacuations, whole.then_some(read_to));
-                    node.operators_read(clock::now());
+                let evacuations = apply_operator_records(&node, &records);
+                if let Some(read_to) = feed.next_offset {
+                    apply_evacuations(&node, &evacuations, is_snapshot.then_some(read_to));
+                    node.set_operator_log_read(clock::now());
                 }
             }
             Err(error) => {
-                let pause = backoff.pause(rand::random());
+                let delay = backoff.pause(rand::random());
                 log::info!(
                     "event=operators_unread error=\"{error}\" again_ms={}",
-                    pause.as_millis()
+                    delay.as_millis()
                 );
-                tokio::time::sleep(pause).await;
+                tokio::time::sleep(delay).await;
             }
         }
     }
 }
 
 /// Takes in records of operators; words on data centres among them, and where they stand.
-fn take_operators(node: &Node, records: &[Stored]) -> Vec<(u64, Evacuation)> {
+fn apply_operator_records(node: &Node, records: &[Stored]) -> Vec<(u64, Evacuation)> {
     let mut evacuations = Vec::new();
     for record in records {
         match node.store.decode_change(record) {
-            Ok(Change::Config(config)) => take_config(node, config),
-            Ok(Change::Wave(wave)) => take_wave(node, wave),
+            Ok(Change::Config(config)) => apply_config(node, config),
+            Ok(Change::Wave(wave)) => apply_wave(node, wave),
             Ok(Change::Evacuation(evacuation)) => evacuations.push((record.offset, evacuation)),
             Ok(Change::Other) => {}
             Err(error) => log::warn!("event=operator_record_unreadable error=\"{error}\""),
@@ -123,7 +123,7 @@
     evacuations
 }
 
-fn take_wave(node: &Node, wave: Wave) {
+fn apply_wave(node: &Node, wave: Wave) {
     log::info!(
         "event=wave wave={} vms={} deadline_ms={} maximum={}",
         wave.number,
@@ -135,14 +135,18 @@
 }
 
 /// Takes in words on data centres: all that there are, read up to a place, or those that have come since.
-fn take_evacuations(node: &Node, evacuations: &[(u64, Evacuation)], whole: Option<u64>) {
+fn apply_evacuations(node: &Node, evacuations: &[(u64, Evacuation)], snapshot_end: Option<u64>) {
     let mut known = node.evacuations();
-    let unknown = match whole {
+    let unknown = match snapshot_end {
         Some(read_to) => {
-            let all: Vec<_> = evacuations.iter().map(|(_, word)| word.clone()).collect();
+            let all: Vec<_> =
+                evacuations.iter().map(|(_, evacuation)| evacuation.clone()).collect();
             known.replace(&all, read_to)
         }
-        None => evacuations.iter().filter_map(|(at, word)| known.apply(*at, word).err()).collect(),
+        None => evacuations
+            .iter()
+            .filter_map(|(at, evacuation)| known.apply(*at, evacuation).err())
+            .collect(),
     };
     for error in unknown {
         log::warn!("event=evacuation_refused error=\"{error}\"");
@@ -150,7 +154,7 @@
 }
 
 /// Brings a configuration into force, if it is newer than the one that is.
-pub(crate) fn take_config(node: &Node, config: Config) {
+pub(crate) fn apply_config(node: &Node, config: Config) {
     let table = node.table();
     let known = table.as_ref().map_or(0, |table| table.version);
     if table.is_some() && config.version <= known {
--- a/crates/crosspath_node/src/fleet.rs
+++ b/crates/crosspath_node/src/fleet.rs
@@ -27,7 +27,7 @@
 use crate::member::Member;
 use crate::node::{Node, only_partition, shard_partition};
 use crate::pages::Pages;
-use crate::rpc::{self, Answer, Question};
+use crate::rpc::{self, Reply, Request};
 use crate::shard_log;
 
 /// Time between two rounds. The demand of a pool changes within a second, and its deficit is known
@@ -47,7 +47,8 @@
         return;
     };
     let history = load_history(&node).await;
-    let cooldowns = history.cooldowns(clock::now(), clock::wall_ms(), node.settings.vm_order);
+    let cooldowns =
+        history.cooldowns(clock::now(), clock::wall_ms(), node.settings.vm_order_exclusion);
     let costs = node.settings.costs;
     let settings = Settings {
         vm_second: costs.vm_second,
@@ -86,14 +87,14 @@
 
 impl LedgerTerm {
     fn begin(node: &Arc<Node>, term: u64) -> Self {
-        node.begin_dealing(Ledger::new(term));
+        node.set_ledger(Ledger::new(term));
         Self { node: Arc::clone(node), term }
     }
 }
 
 impl Drop for LedgerTerm {
     fn drop(&mut self) {
-        self.node.end_dealing(self.term);
+        self.node.clear_ledger(self.term);
     }
 }
 
@@ -121,8 +122,8 @@
     if own.is_some_and(|own| handover::has_ended(&member, &own)) {
         return Some(member);
     }
-    let request = node.peers.ask(member.address, &Question::Life);
-    let Ok(Ok(Answer::Life { member: text })) =
+    let request = node.peers.call(member.address, &Request::Incarnation);
+    let Ok(Ok(Reply::Incarnation { member: text })) =
         tokio::time::timeout(INCARNATION_TIMEOUT, request).await
     else {
         return None;
@@ -283,17 +284,17 @@
                 let vacate = vacate.get(pool).cloned().unwrap_or_default();
                 let node = Arc::clone(&self.node);
                 requests.push(async move {
-                    let question = Question::Pool { shard, vacate };
-                    let answer = rpc::ask_holder(&node, shard, question).await;
-                    (pool_slice, answer)
+                    let request = Request::Pool { shard, vacate };
+                    let reply = rpc::call_holder(&node, shard, request).await;
+                    (pool_slice, reply)
                 });
             }
         }
         for slice in &mut self.slices {
             slice.view.pools.clear();
         }
-        for (pool_slice, answer) in join_all(requests).await {
-            if let Some(Answer::Pool(report)) = answer {
+        for (pool_slice, reply) in join_all(requests).await {
+            if let Some(Reply::Pool(report)) = reply {
                 let slice = &mut self.slices[pool_slice.slice as usize];
                 slice.view.pools.insert(pool_slice.pool, report);
             }
--- a/crates/crosspath_node/src/gateway.rs
+++ b/crates/crosspath_node/src/gateway.rs
@@ -13,44 +13,44 @@
 
 use crate::appender;
 use crate::clock;
-use crate::fresh;
+use crate::config_sync;
 use crate::metrics::Call;
 use crate::node::Node;
 use crate::pending::{Deadlines, Outcome};
-use crate::rpc::{self, Answer, Question};
+use crate::rpc::{self, Reply, Request};
 
 /// Share of a caller's patience that is used for tries to find out how a job is, or whether it is kept.
 /// Less than half: by then the caller should have its answer.
-const PATIENCE: f64 = 0.45;
+const UNKNOWN_FRACTION: f64 = 0.45;
 /// Share of it after which a job that surely is not kept is refused, so that the caller can come
 /// back in time. Two or three tries, each of which also goes through other daemons.
-const REFUSAL_PATIENCE: f64 = 0.15;
+const REFUSE_FRACTION: f64 = 0.15;
 /// Share of it after which a job that was not sent yet is taken back: while the store is slow it waits
 /// for an append under way, and is better served by the next than by coming back.
-const WAIT_PATIENCE: f64 = 0.3;
+const SEND_FRACTION: f64 = 0.3;
 /// Between questions to a holder that is not known or is taking over.
-const ASK_PAUSE: Duration = Duration::from_millis(60);
+const OWNER_RETRY_INTERVAL: Duration = Duration::from_millis(60);
 /// A caller that was refused comes back after this: about the time of a takeover.
 const RETRY_AFTER_S: u32 = 1;
-/// The same while the store is silent or has been down for [`LONG_DOWN`]: outages take some seconds, and
+/// The same while the store is silent or has been down for [`OUTAGE_THRESHOLD`]: outages take some seconds, and
 /// callers try a few times only.
-const SILENT_RETRY_AFTER_S: u32 = 2;
+const OUTAGE_RETRY_AFTER_S: u32 = 2;
 
 /// A store that has been down for so long is taken for away; what is down for less may be back within a
 /// second.
-const LONG_DOWN: Duration = Duration::from_secs(1);
+const OUTAGE_THRESHOLD: Duration = Duration::from_secs(1);
 /// For which a cancel looks for its job's shard before it goes to all where the job may be.
-const FIND_PATIENCE: Duration = Duration::from_millis(400);
+const LOCATE_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Where a job is.
 #[derive(Debug, Clone, Copy)]
-enum Found {
+enum Location {
     /// In a shard.
-    At(u32, State),
+    InShard(u32, State),
     /// No owner knows it.
-    Nowhere,
+    NotFound,
     /// Some owner does not answer.
-    Unsure,
+    Unknown,
 }
 
 /// The callers' side of the daemon.
@@ -64,48 +64,48 @@
         Self { node }
     }
 
-    fn until(&self, within: Duration) -> Duration {
-        clock::now() + within.mul_f64(PATIENCE)
+    fn lookup_deadline(&self, within: Duration) -> Duration {
+        clock::now() + within.mul_f64(UNKNOWN_FRACTION)
     }
 
     /// When a caller whose record was not kept is to come back.
     fn retry_after_s(&self) -> u32 {
         let now = clock::now();
-        let down = self.node.store_down_for(now).is_some_and(|down| down >= LONG_DOWN);
-        if down || self.node.is_store_silent(now) { SILENT_RETRY_AFTER_S } else { RETRY_AFTER_S }
+        let down = self.node.store_down_for(now).is_some_and(|down| down >= OUTAGE_THRESHOLD);
+        if down || self.node.is_store_silent(now) { OUTAGE_RETRY_AFTER_S } else { RETRY_AFTER_S }
     }
 
-    fn patience(within: Duration) -> Deadlines {
+    fn submit_deadlines(within: Duration) -> Deadlines {
         let now = clock::now();
         Deadlines {
-            send_by: now + within.mul_f64(WAIT_PATIENCE),
-            refuse_at: now + within.mul_f64(REFUSAL_PATIENCE),
-            unknown_at: now + within.mul_f64(PATIENCE),
+            send_by: now + within.mul_f64(SEND_FRACTION),
+            refuse_at: now + within.mul_f64(REFUSE_FRACTION),
+            unknown_at: now + within.mul_f64(UNKNOWN_FRACTION),
         }
     }
 
     /// Asks the owners of all shards where the queue's job may be.
-    async fn find(&self, access: &Access, job: JobId, until: Duration) -> Found {
+    async fn locate(&self, access: &Access, job: JobId, deadline: Duration) -> Location {
         let queue = &access.queue;
         let pools = match self.node.table() {
             Some(table) => table.pools_of(queue),
             None => [Arc::clone(&queue.pool)].into(),
         };
-        let mut unsure = false;
+        let mut incomplete = false;
         for pool in pools {
             let Some(shards) = self.node.map().candidate_shards(&pool, job) else {
-                unsure = true;
+                incomplete = true;
                 continue;
             };
             for shard in shards {
-                match self.ask_state(shard, job, asker(access), until).await {
-                    Some(Some(state)) => return Found::At(shard, state),
+                match self.query_state(shard, job, requester(access), deadline).await {
+                    Some(Some(state)) => return Location::InShard(shard, state),
                     Some(None) => {}
-                    None => unsure = true,
+                    None => incomplete = true,
                 }
             }
         }
-        if unsure { Found::Unsure } else { Found::Nowhere }
+        if incomplete { Location::Unknown } else { Location::NotFound }
     }
 
     /// Shards whose owner is to hear that the job is cancelled: the job's, or all where it may be
@@ -114,46 +114,46 @@
         &self,
         access: &Access,
         job: JobId,
-        until: Duration,
+        deadline: Duration,
     ) -> Option<Vec<u32>> {
         let queue = &access.queue;
         let shards = self.node.map().candidate_shards(&queue.pool, job)?;
-        if shards.len() == 1 && !self.has_moved(queue) {
+        if shards.len() == 1 && !self.has_changed_pool(queue) {
             return Some(shards);
         }
-        let soon = until.min(clock::now() + FIND_PATIENCE);
-        match self.find(access, job, soon).await {
-            Found::At(shard, _) => Some(vec![shard]),
-            Found::Nowhere | Found::Unsure => Some(shards),
+        let locate_deadline = deadline.min(clock::now() + LOCATE_TIMEOUT);
+        match self.locate(access, job, locate_deadline).await {
+            Location::InShard(shard, _) => Some(vec![shard]),
+            Location::NotFound | Location::Unknown => Some(shards),
         }
     }
 
     /// Whether the queue had another pool before.
-    fn has_moved(&self, queue: &Queue) -> bool {
+    fn has_changed_pool(&self, queue: &Queue) -> bool {
         self.node.table().is_some_and(|table| table.pools_of(queue).len() > 1)
     }
 
-    async fn ask_state(
+    async fn query_state(
         &self,
         shard: u32,
         job: JobId,
-        asker: Requester,
-        until: Duration,
+        requester: Requester,
+        deadline: Duration,
     ) -> Option<Option<State>> {
         loop {
-            let question = Question::State { shard, job, asker: asker.clone() };
-            if let Some(Answer::State(state)) = rpc::ask_holder(&self.node, shard, question).await {
+            let request = Request::State { shard, job, requester: requester.clone() };
+            if let Some(Reply::State(state)) = rpc::call_holder(&self.node, shard, request).await {
                 return Some(state);
             }
-            if clock::now() + ASK_PAUSE > until {
+            if clock::now() + OWNER_RETRY_INTERVAL > deadline {
                 return None;
             }
-            tokio::time::sleep(ASK_PAUSE).await;
+            tokio::time::sleep(OWNER_RETRY_INTERVAL).await;
         }
     }
 }
 
-fn asker(access: &Access) -> Requester {
+fn requester(access: &Access) -> Requester {
     Requester { queue: Arc::clone(&access.queue.name), customer: access.customer.clone() }
 }
 
@@ -161,21 +161,21 @@
 impl Handler for Gateway {
     fn resolve(&self, host: &str, path: &str, key: Option<&str>) -> Resolved {
         let Some(table) = self.node.table() else { return Resolved::NotReady };
-        let refused = |refusal| {
-            if fresh::may_be_old(self.node.operators_heard(), clock::now()) {
+        let unless_stale = |refusal| {
+            if config_sync::may_be_stale(self.node.operator_log_confirmed_at(), clock::now()) {
                 Resolved::MaybeStale { retry_after_s: RETRY_AFTER_S }
             } else {
                 refusal
             }
         };
-        let Some((queue, rest)) = table.resolve(host, path) else {
-            return refused(Resolved::Unknown);
+        let Some((queue, subpath)) = table.resolve(host, path) else {
+            return unless_stale(Resolved::Unknown);
         };
         match table.authorize(&queue, key) {
             Some(caller) => {
-                Resolved::Access(Access { queue, customer: caller.customer(), subpath: rest })
+                Resolved::Access(Access { queue, customer: caller.customer(), subpath })
             }
-            None => refused(Resolved::Unauthorized),
+            None => unless_stale(Resolved::Unauthorized),
         }
     }
 
@@ -193,18 +193,18 @@
     }
 
     async fn submit(&self, access: &Access, job: JobId, spec: Spec, within: Duration) -> Submitted {
-        let began = clock::now();
+        let started_at = clock::now();
         let queue = &access.queue;
         // A job that arrives again after its queue has moved is still the job of its first pool.
-        if self.has_moved(queue) {
-            match self.find(access, job, self.until(within)).await {
-                Found::At(..) => return Submitted::Accepted,
-                Found::Nowhere => {}
-                Found::Unsure => return Submitted::NotTaken { retry_after_s: RETRY_AFTER_S },
+        if self.has_changed_pool(queue) {
+            match self.locate(access, job, self.lookup_deadline(within)).await {
+                Location::InShard(..) => return Submitted::Accepted,
+                Location::NotFound => {}
+                Location::Unknown => return Submitted::NotTaken { retry_after_s: RETRY_AFTER_S },
             }
         }
-        let lasts = spec.steps.iter().any(|step| step.long_running);
-        let Some(shard) = self.node.map().shard_for_new_job(&queue.pool, job, lasts) else {
+        let long_running = spec.steps.iter().any(|step| step.long_running);
+        let Some(shard) = self.node.map().shard_for_new_job(&queue.pool, job, long_running) else {
             log::info!("event=submit job={job} queue={} outcome=no_shard", queue.name);
             return Submitted::NotTaken { retry_after_s: RETRY_AFTER_S };
         };
@@ -218,15 +218,15 @@
             spec,
         };
         let record = Record::Accepted(job, Arc::new(accepted));
-        let patience = Self::patience(within);
-        let outcome = appender::append(&self.node, shard, &record, patience).await;
-        let took = clock::now().saturating_sub(began);
+        let deadlines = Self::submit_deadlines(within);
+        let outcome = appender::append(&self.node, shard, &record, deadlines).await;
+        let took = clock::now().saturating_sub(started_at);
         log::info!(
             "event=submit job={job} queue={} shard={shard} outcome={outcome:?} took_ms={}",
             queue.name,
             took.as_millis()
         );
-        self.node.metrics.called(Call::Submit, &queue.name, took);
+        self.node.metrics.observe_call(Call::Submit, &queue.name, took);
         match outcome {
             Outcome::Kept => Submitted::Accepted,
             Outcome::Taken => Submitted::Taken,
@@ -238,35 +238,35 @@
     }
 
     async fn state(&self, access: &Access, job: JobId, within: Duration) -> Lookup {
-        let began = clock::now();
-        let shown = match self.find(access, job, self.until(within)).await {
-            Found::At(_, state) => Lookup::State(state),
-            Found::Nowhere => Lookup::None,
-            Found::Unsure => Lookup::Unavailable { retry_after_s: RETRY_AFTER_S },
+        let started_at = clock::now();
+        let lookup = match self.locate(access, job, self.lookup_deadline(within)).await {
+            Location::InShard(_, state) => Lookup::State(state),
+            Location::NotFound => Lookup::None,
+            Location::Unknown => Lookup::Unavailable { retry_after_s: RETRY_AFTER_S },
         };
-        let took = clock::now().saturating_sub(began);
-        log::info!("event=state job={job} shown={shown:?} took_ms={}", took.as_millis());
-        self.node.metrics.called(Call::State, &access.queue.name, took);
-        shown
+        let took = clock::now().saturating_sub(started_at);
+        log::info!("event=state job={job} shown={lookup:?} took_ms={}", took.as_millis());
+        self.node.metrics.observe_call(Call::State, &access.queue.name, took);
+        lookup
     }
 
     async fn cancel(&self, access: &Access, job: JobId, within: Duration) -> Cancelled {
-        let began = clock::now();
-        let until = self.until(within);
-        let Some(shards) = self.shards_to_cancel(access, job, until).await else {
+        let started_at = clock::now();
+        let deadline = self.lookup_deadline(within);
+        let Some(shards) = self.shards_to_cancel(access, job, deadline).await else {
             return Cancelled::Unavailable { retry_after_s: RETRY_AFTER_S };
         };
-        let record = Record::Cancelled(job, asker(access));
+        let record = Record::Cancelled(job, requester(access));
         // A cancel is worth as many tries as the caller waits for.
-        let patience = Deadlines { send_by: until, refuse_at: until, unknown_at: until };
+        let deadlines = Deadlines { send_by: deadline, refuse_at: deadline, unknown_at: deadline };
         let appends =
-            shards.iter().map(|shard| appender::append(&self.node, *shard, &record, patience));
+            shards.iter().map(|shard| appender::append(&self.node, *shard, &record, deadlines));
         let outcomes = join_all(appends).await;
         let outcome = outcomes.into_iter().find(|outcome| *outcome != Outcome::Kept);
         let outcome = outcome.unwrap_or(Outcome::Kept);
-        let took = clock::now().saturating_sub(began);
+        let took = clock::now().saturating_sub(started_at);
         log::info!("event=cancel job={job} outcome={outcome:?} took_ms={}", took.as_millis());
-        self.node.metrics.called(Call::Cancel, &access.queue.name, took);
+        self.node.metrics.observe_call(Call::Cancel, &access.queue.name, took);
         match outcome {
             Outcome::Kept => Cancelled::Done,
             Outcome::NotKept | Outcome::Unsent => {
@@ -280,16 +280,17 @@
         let table = self.node.table()?;
         let map = self.node.map();
         let pools = table.pools_of(queue);
-        let units = pools.iter().flat_map(|pool| map.pool_slices(pool));
-        let shards = units.map(|unit| map.shard(&unit)).collect::<Option<Vec<_>>>()?;
-        let asks = shards.into_iter().map(|shard| {
-            let question = Question::Waiting { shard, queue: Arc::clone(&queue.name) };
-            rpc::ask_holder(&self.node, shard, question)
+        let pool_slices = pools.iter().flat_map(|pool| map.pool_slices(pool));
+        let shards =
+            pool_slices.map(|pool_slice| map.shard(&pool_slice)).collect::<Option<Vec<_>>>()?;
+        let calls = shards.into_iter().map(|shard| {
+            let request = Request::QueuedJobs { shard, queue: Arc::clone(&queue.name) };
+            rpc::call_holder(&self.node, shard, request)
         });
         let mut total = 0;
-        for answer in join_all(asks).await {
-            let Some(Answer::Waiting(waiting)) = answer else { return None };
-            total += waiting;
+        for reply in join_all(calls).await {
+            let Some(Reply::QueuedJobs(queued)) = reply else { return None };
+            total += queued;
         }
         Some(total)
     }
--- a/crates/crosspath_node/src/inputs.rs
+++ b/crates/crosspath_node/src/inputs.rs
@@ -70,7 +70,7 @@
             log::info!("event=may_act shard={shard} unit={pool_slice} may_act={may_act}");
             events.push(Event::MayAct(may_act));
         }
-        let outage = node.is_store_away(now);
+        let outage = node.is_store_outage(now);
         if outage != self.outage {
             self.outage = outage;
             log::info!("event=store_away shard={shard} unit={pool_slice} away={outage}");
--- a/crates/crosspath_node/src/map.rs
+++ b/crates/crosspath_node/src/map.rs
@@ -244,7 +244,7 @@
         let missing = missing_pools(&node);
         if missing.is_empty() {
             backoff.reset();
-            node.changed.notified().await;
+            node.routing_changed.notified().await;
             continue;
         }
         let pause = match extend(&node, &missing, &mut counter, &mut pages).await {
@@ -308,7 +308,7 @@
     }
     // The size of a slice depends on the entry VMs that can own its shards, so only a candidate for
     // ownership decides it.
-    if !node.standing().candidate {
+    if !node.member_status().candidate {
         return Err(ExtendError::NotResponsible);
     }
     let vms = match map.slices() {
--- a/crates/crosspath_node/src/membership.rs
+++ b/crates/crosspath_node/src/membership.rs
@@ -17,7 +17,7 @@
 use crate::member::Member;
 use crate::node::Node;
 use crate::outage::Survey;
-use crate::rpc::{Answer, Question};
+use crate::rpc::{Reply, Request};
 use crate::shard::Handle;
 
 /// Time without a join after which the group assigns this daemon's shards to others. Short, since
@@ -50,10 +50,10 @@
 /// in either case.
 pub(crate) async fn run(node: Arc<Node>) {
     let mut candidacy = Candidacy::new(node.settings.millicores);
-    node.set_standing(|standing| standing.candidate = candidacy.is_candidate());
+    node.update_member_status(|status| status.candidate = candidacy.is_candidate());
     drop(tokio::spawn(end_earlier_incarnations(Arc::clone(&node))));
     let mut session = Session {
-        ttl: TTL.max(node.settings.membership_least),
+        ttl: TTL.max(node.settings.min_member_ttl),
         generation: 0,
         holders_read_at: Duration::ZERO,
         backoff: Backoff::new(backoff::LIST_READS),
@@ -70,7 +70,7 @@
         if !candidacy.observe(clock::now(), &owners) {
             continue;
         }
-        node.set_standing(|standing| standing.candidate = candidacy.is_candidate());
+        node.update_member_status(|status| status.candidate = candidacy.is_candidate());
         if !candidacy.is_candidate() {
             session.resign().await;
         }
@@ -115,13 +115,15 @@
         let mut pause = JOIN_INTERVAL;
         let sent = clock::now();
         let (ttl, generation) = (self.ttl, self.generation);
-        node.store_asked(sent);
+        node.record_store_call(sent);
         let join = Join { member: Arc::clone(&node.member), ttl, generation };
-        let timeout = if node.is_store_away(sent) { OUTAGE_JOIN_TIMEOUT } else { CALL_TIMEOUT };
+        let timeout = if node.is_store_outage(sent) { OUTAGE_JOIN_TIMEOUT } else { CALL_TIMEOUT };
         match tokio::time::timeout(timeout, node.store.join(&join)).await {
             Ok(Ok(membership)) => {
-                node.store_answers(clock::now());
-                node.set_standing(|standing| standing.until = sent + ttl - EXPIRY_MARGIN);
+                node.record_store_answer(clock::now());
+                node.update_member_status(|status| {
+                    status.member_until = sent + ttl - EXPIRY_MARGIN;
+                });
                 let changed = membership.generation != generation;
                 self.generation = membership.generation;
                 // The next join tells the group that shards assigned to others are free.
@@ -136,7 +138,7 @@
             Ok(Err(error)) => log::info!("event=join_failed error=\"{error}\""),
             Err(_) => log::info!("event=join_failed error=\"no answer within {timeout:?}\""),
         }
-        if clock::now() >= node.standing().until {
+        if clock::now() >= node.member_status().member_until {
             survey_peers(&node).await;
         }
         if !pause.is_zero() {
@@ -158,7 +160,7 @@
             return tokio::time::sleep(self.backoff.pause(rand::random())).await;
         }
         self.backoff.reset();
-        let suspected = self.node.holders_doubted.notified();
+        let suspected = self.node.holders_stale.notified();
         if tokio::time::timeout(STANDBY_INTERVAL, suspected).await.is_ok() {
             // Many daemons notice a lost holder at once, and go on doing so until the takeover is
             // done.
@@ -170,7 +172,7 @@
 
     /// Leaves the group, so that others take over the shards that this daemon owned.
     async fn resign(&mut self) {
-        self.node.set_standing(|standing| standing.until = Duration::ZERO);
+        self.node.update_member_status(|status| status.member_until = Duration::ZERO);
         self.generation = 0;
         leave(&self.node).await;
     }
@@ -187,7 +189,7 @@
         let stays = assigned.contains(number) && !handle.has_ended();
         if !stays {
             log::info!("event=shard_released shard={number}");
-            node.leave_shard(*number, handle);
+            node.release_shard(*number, handle);
         }
         stays
     });
@@ -207,21 +209,21 @@
 /// Asks the other daemons when the store last answered them, and extends ownership if there is an
 /// outage.
 async fn survey_peers(node: &Arc<Node>) {
-    let others = node.other_daemons();
+    let others = node.other_owners();
     let asked_at = clock::now();
-    let asks = others.iter().map(|address| node.peers.ask(*address, &Question::Store));
+    let asks = others.iter().map(|address| node.peers.call(*address, &Request::StoreStatus));
     let answered_ago = join_all(asks).await.into_iter().filter_map(|answer| match answer {
-        Ok(Answer::Store { answered_ms_ago }) => Some(Duration::from_millis(answered_ms_ago)),
+        Ok(Reply::StoreStatus { answered_ms_ago }) => Some(Duration::from_millis(answered_ms_ago)),
         _ => None,
     });
     let survey = Survey {
         asked_at,
-        member_until: node.standing().until,
+        member_until: node.member_status().member_until,
         others: others.len(),
         answered_ago: answered_ago.collect(),
     };
     if survey.shows_outage() {
-        node.set_standing(|standing| standing.away_until = asked_at + OUTAGE_LEASE);
+        node.update_member_status(|status| status.outage_until = asked_at + OUTAGE_LEASE);
     } else {
         log::info!(
             "event=store_away_not_for_all others={} replies={}",
@@ -233,10 +235,10 @@
 
 /// Reads the holders of shards; returns whether the read succeeded.
 async fn refresh_holders(node: Arc<Node>) -> bool {
-    node.store_asked(clock::now());
+    node.record_store_call(clock::now());
     match node.store.holders().await {
         Ok(holders) => {
-            node.store_answers(clock::now());
+            node.record_store_answer(clock::now());
             let known = holders.into_iter().filter_map(|holder| {
                 let member: Result<Member, _> = holder.member.parse();
                 let member = member.inspect_err(|error| {
@@ -258,7 +260,7 @@
 /// Ends ownership of all shards and leaves the group, so that others can own them at once.
 pub(crate) async fn leave(node: &Node) {
     for (number, handle) in std::mem::take(&mut *node.owned()) {
-        node.leave_shard(number, &handle);
+        node.release_shard(number, &handle);
     }
     match tokio::time::timeout(CALL_TIMEOUT, node.store.leave(&node.member)).await {
         Ok(Ok(())) => log::info!("event=left_group"),
--- a/crates/crosspath_node/src/metrics.rs
+++ b/crates/crosspath_node/src/metrics.rs
@@ -10,7 +10,7 @@
 use prometheus_client::registry::{Registry, Unit};
 
 /// From 1 ms to some seconds, doubling.
-const BUCKETS: u16 = 14;
+const BUCKET_COUNT: u16 = 14;
 const FIRST_BUCKET_SECONDS: f64 = 0.001;
 
 /// What a caller asked for.
@@ -48,7 +48,7 @@
 }
 
 fn histogram() -> Histogram {
-    Histogram::new(exponential_buckets(FIRST_BUCKET_SECONDS, 2.0, BUCKETS))
+    Histogram::new(exponential_buckets(FIRST_BUCKET_SECONDS, 2.0, BUCKET_COUNT))
 }
 
 impl Default for Metrics {
@@ -62,14 +62,14 @@
 }
 
 impl Metrics {
-    /// A call was answered after `took`.
-    pub(crate) fn called(&self, call: Call, queue: &str, took: Duration) {
+    /// A call was answered after `latency`.
+    pub(crate) fn observe_call(&self, call: Call, queue: &str, latency: Duration) {
         let labels = Labels { call: call.name(), queue: queue.to_owned() };
-        self.latency.get_or_create(&labels).observe(took.as_secs_f64());
+        self.latency.get_or_create(&labels).observe(latency.as_secs_f64());
     }
 
     /// All metrics as text.
-    pub(crate) fn text(&self) -> String {
+    pub(crate) fn encode(&self) -> String {
         let registry = self.registry.lock().unwrap_or_else(PoisonError::into_inner);
         let mut text = String::new();
         if let Err(error) = encode(&mut text, &registry) {
--- a/crates/crosspath_node/src/node.rs
+++ b/crates/crosspath_node/src/node.rs
@@ -31,11 +31,11 @@
 use crate::shard::Handle;
 
 /// Between looks whether the workers of a slice are known.
-const LIST_PAUSE: Duration = Duration::from_millis(20);
+const WORKERS_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// When this daemon last knew all that operators have written.
 #[derive(Debug, Default, Clone, Copy)]
-struct OperatorsHeard {
+struct OperatorLogTimes {
     /// By the store.
     from_store: Duration,
     /// By another daemon that the store had told.
@@ -44,15 +44,15 @@
 
 /// The right to act as a member of the group.
 #[derive(Debug, Default, Clone, Copy)]
-pub(crate) struct Standing {
+pub(crate) struct MemberStatus {
     /// Until when the group surely counts this daemon as a member.
-    pub(crate) until: Duration,
+    pub(crate) member_until: Duration,
     /// Until when the store is surely away for all, so that nobody else can own.
-    pub(crate) away_until: Duration,
+    pub(crate) outage_until: Duration,
     /// Whether this daemon stands for ownership.
     pub(crate) candidate: bool,
     /// Calls and answers of the store.
-    pub(crate) contact: Reachability,
+    pub(crate) reachability: Reachability,
 }
 
 /// What the daemon's tasks share.
@@ -71,13 +71,13 @@
     pub(crate) stage: watch::Sender<Stage>,
     pub(crate) stopping: watch::Sender<bool>,
     /// Peers, the balancer and readers of metrics are answered to the very end, so it never says so.
-    pub(crate) answering: watch::Sender<Stage>,
+    pub(crate) internal_stage: watch::Sender<Stage>,
     /// Rung when the configuration, the map, or the holders change.
-    pub(crate) changed: Notify,
+    pub(crate) routing_changed: Notify,
     /// Rung when a shard was dealt to this daemon.
     pub(crate) ownership_changed: Notify,
     table: Mutex<Option<Arc<Table>>>,
-    operators: Mutex<OperatorsHeard>,
+    operator_log: Mutex<OperatorLogTimes>,
     evacuations: Mutex<Evacuations>,
     directory: Mutex<Directory>,
     waves: Mutex<BTreeMap<u64, (Arc<Wave>, Duration)>>,
@@ -85,11 +85,11 @@
     /// Who holds which shard; none before that was read.
     holders: Mutex<Option<HashMap<u32, Member>>>,
     /// Rung when a holder did not answer as one.
-    pub(crate) holders_doubted: Notify,
+    pub(crate) holders_stale: Notify,
     owned: Mutex<BTreeMap<u32, Handle>>,
     /// What was known of leases in shards when they were left.
-    left: Mutex<HashMap<u32, Handover>>,
-    standing: Mutex<Standing>,
+    handovers: Mutex<HashMap<u32, Handover>>,
+    member_status: Mutex<MemberStatus>,
     /// Who holds how much of customers' maxima, while this daemon owns the fleet.
     ledger: Mutex<Option<Ledger>>,
 }
@@ -131,20 +131,20 @@
             metrics: Metrics::default(),
             stage: watch::Sender::new(Stage::Serving),
             stopping: watch::Sender::new(false),
-            answering: watch::Sender::new(Stage::Serving),
-            changed: Notify::new(),
+            internal_stage: watch::Sender::new(Stage::Serving),
+            routing_changed: Notify::new(),
             ownership_changed: Notify::new(),
-            holders_doubted: Notify::new(),
+            holders_stale: Notify::new(),
             table: Mutex::default(),
-            operators: Mutex::default(),
+            operator_log: Mutex::default(),
             evacuations,
             directory: Mutex::default(),
             waves: Mutex::default(),
             map: Mutex::default(),
             holders: Mutex::default(),
             owned: Mutex::default(),
-            left: Mutex::default(),
-            standing: Mutex::default(),
+            handovers: Mutex::default(),
+            member_status: Mutex::default(),
             ledger: Mutex::default(),
         }
     }
@@ -155,29 +155,29 @@
 
     pub(crate) fn set_table(&self, table: Table) {
         *lock(&self.table) = Some(Arc::new(table));
-        self.changed.notify_waiters();
+        self.routing_changed.notify_waiters();
     }
 
     /// When all that operators have written was last known, by whomever.
-    pub(crate) fn operators_heard(&self) -> Duration {
-        let heard = lock(&self.operators);
-        heard.from_store.max(heard.from_peer)
+    pub(crate) fn operator_log_confirmed_at(&self) -> Duration {
+        let times = lock(&self.operator_log);
+        times.from_store.max(times.from_peer)
     }
 
     /// When the store last told all that operators have written.
-    pub(crate) fn operators_heard_from_store(&self) -> Duration {
-        lock(&self.operators).from_store
+    pub(crate) fn operator_log_read_at(&self) -> Duration {
+        lock(&self.operator_log).from_store
     }
 
     /// The store has told all that operators wrote.
-    pub(crate) fn operators_read(&self, now: Duration) {
-        lock(&self.operators).from_store = now;
+    pub(crate) fn set_operator_log_read(&self, now: Duration) {
+        lock(&self.operator_log).from_store = now;
     }
 
     /// Another daemon has told what operators have written, as the store had told it at `heard`.
-    pub(crate) fn operators_told(&self, heard: Duration) {
-        let operators = &mut lock(&self.operators);
-        operators.from_peer = operators.from_peer.max(heard);
+    pub(crate) fn set_operator_log_confirmed(&self, confirmed_at: Duration) {
+        let times = &mut lock(&self.operator_log);
+        times.from_peer = times.from_peer.max(confirmed_at);
     }
 
     /// Data centres that are to get no new work.
@@ -193,9 +193,9 @@
     /// Whether what is evacuated is known recently enough to start tasks. While the store is away for all it
     /// takes no word of operators, so what was known before is all that there is.
     pub(crate) fn may_start(&self, now: Duration) -> bool {
-        let Some(within) = self.settings.evacuation else { return true };
-        let heard = Some(self.operators_heard()).filter(|heard| !heard.is_zero());
-        self.is_store_away(now) || evacuation::may_start(heard, now, within)
+        let Some(limit) = self.settings.evacuation_limit else { return true };
+        let confirmed_at = Some(self.operator_log_confirmed_at()).filter(|at| !at.is_zero());
+        self.is_store_outage(now) || evacuation::may_start(confirmed_at, now, limit)
     }
 
     pub(crate) fn directory(&self) -> MutexGuard<'_, Directory> {
@@ -212,12 +212,12 @@
 
     pub(crate) fn set_map(&self, map: Map) {
         *lock(&self.map) = Arc::new(map);
-        self.changed.notify_waiters();
+        self.routing_changed.notify_waiters();
     }
 
     pub(crate) fn set_holders(&self, holders: HashMap<u32, Member>) {
         *lock(&self.holders) = Some(holders);
-        self.changed.notify_waiters();
+        self.routing_changed.notify_waiters();
     }
 
     /// Address of the daemon that holds a shard.
@@ -234,7 +234,7 @@
     }
 
     /// Addresses of all daemons that hold some shard, but this one.
-    pub(crate) fn other_daemons(&self) -> Vec<SocketAddr> {
+    pub(crate) fn other_owners(&self) -> Vec<SocketAddr> {
         let owners = self.owners().unwrap_or_default();
         let mut found: Vec<_> = owners.into_iter().map(|owner| owner.address).collect();
         found.dedup();
@@ -247,30 +247,30 @@
     }
 
     /// This daemon leaves a shard: nothing of it is ordered or kept after this.
-    pub(crate) fn leave_shard(&self, shard: u32, handle: &Handle) {
+    pub(crate) fn release_shard(&self, shard: u32, handle: &Handle) {
         if let Some(ended) = handle.stop() {
-            self.note_left(shard, ended.handover(clock::now()));
+            self.save_handover(shard, ended.handover(clock::now()));
         }
     }
 
     /// Keeps what was known of leases in a shard that is left.
-    pub(crate) fn note_left(&self, shard: u32, handover: Handover) {
-        lock(&self.left).insert(shard, handover);
+    pub(crate) fn save_handover(&self, shard: u32, handover: Handover) {
+        lock(&self.handovers).insert(shard, handover);
     }
 
     /// What was known of leases in a shard when this daemon left it, as its owner in `epoch`.
-    pub(crate) fn left(&self, shard: u32, epoch: u64) -> Option<Handover> {
-        let left = lock(&self.left).get(&shard).cloned();
-        left.filter(|handover| handover.epoch == epoch)
+    pub(crate) fn handover(&self, shard: u32, epoch: u64) -> Option<Handover> {
+        let saved = lock(&self.handovers).get(&shard).cloned();
+        saved.filter(|handover| handover.epoch == epoch)
     }
 
     /// This daemon has claimed the fleet and deals out customers' maxima.
-    pub(crate) fn begin_dealing(&self, ledger: Ledger) {
+    pub(crate) fn set_ledger(&self, ledger: Ledger) {
         *lock(&self.ledger) = Some(ledger);
     }
 
     /// The claim with the ledger's term is over; a later one may have begun.
-    pub(crate) fn end_dealing(&self, term: u64) {
+    pub(crate) fn clear_ledger(&self, term: u64) {
         let mut ledger = lock(&self.ledger);
         if ledger.as_ref().is_some_and(|ledger| ledger.term() == term) {
             *ledger = None;
@@ -279,47 +279,47 @@
 
     /// Deals parts of customers' maxima to a shard; none where this daemon does not own the fleet, or the
     /// question is an old one.
-    pub(crate) fn deal(&self, now: Duration, ask: &Request) -> Option<Grant> {
+    pub(crate) fn grant_quota(&self, now: Duration, request: &Request) -> Option<Grant> {
         if !self.may_act(now) || !self.owned().contains_key(&self.fleet_shard()) {
             return None;
         }
         let limits = self.table()?.limits();
         let shards = self.map().by_shard().into_keys().collect();
-        lock(&self.ledger).as_mut()?.grant(ask, &limits, &shards)
+        lock(&self.ledger).as_mut()?.grant(request, &limits, &shards)
     }
 
-    pub(crate) fn standing(&self) -> Standing {
-        *lock(&self.standing)
+    pub(crate) fn member_status(&self) -> MemberStatus {
+        *lock(&self.member_status)
     }
 
     /// A call was sent to the store that is answered at once when the store is well.
-    pub(crate) fn store_asked(&self, now: Duration) {
-        lock(&self.standing).contact.call_sent(now);
+    pub(crate) fn record_store_call(&self, now: Duration) {
+        lock(&self.member_status).reachability.call_sent(now);
     }
 
     /// Whether the store keeps silent towards this daemon.
     pub(crate) fn is_store_silent(&self, now: Duration) -> bool {
-        lock(&self.standing).contact.is_silent(now)
+        lock(&self.member_status).reachability.is_silent(now)
     }
 
     /// The store has answered.
-    pub(crate) fn store_answers(&self, now: Duration) {
-        lock(&self.standing).contact.call_answered(now);
+    pub(crate) fn record_store_answer(&self, now: Duration) {
+        lock(&self.member_status).reachability.call_answered(now);
     }
 
     /// How an append by all ways ended.
-    pub(crate) fn append_ended(&self, now: Duration, failure: Option<&Error>) {
-        let contact = &mut lock(&self.standing).contact;
+    pub(crate) fn record_append_result(&self, now: Duration, failure: Option<&Error>) {
+        let reachability = &mut lock(&self.member_status).reachability;
         match failure {
-            None => contact.append_stored(),
-            Some(error) if error.had_no_effect() => contact.append_refused(now),
+            None => reachability.append_stored(),
+            Some(error) if error.had_no_effect() => reachability.append_refused(now),
             Some(_) => {}
         }
     }
 
     /// How long the store has surely been down for all that this daemon reaches.
     pub(crate) fn store_down_for(&self, now: Duration) -> Option<Duration> {
-        lock(&self.standing).contact.down_for(now)
+        lock(&self.member_status).reachability.down_for(now)
     }
 
     /// Appends records of callers to a shard; nothing is sent to a silent store.
@@ -327,32 +327,32 @@
         if self.is_store_silent(clock::now()) {
             return Err(Error::NotReached);
         }
-        self.store_asked(clock::now());
+        self.record_store_call(clock::now());
         self.store.append(shard_partition(shard), records, Precondition::Unconditional).await?;
-        self.store_answers(clock::now());
+        self.record_store_answer(clock::now());
         Ok(())
     }
 
-    pub(crate) fn set_standing(&self, change: impl FnOnce(&mut Standing)) {
-        change(&mut lock(&self.standing));
+    pub(crate) fn update_member_status(&self, change: impl FnOnce(&mut MemberStatus)) {
+        change(&mut lock(&self.member_status));
     }
 
     /// Whether this daemon may act as owner at `now`.
     pub(crate) fn may_act(&self, now: Duration) -> bool {
-        let standing = self.standing();
-        now < standing.until.max(standing.away_until) && !*self.stopping.borrow()
+        let status = self.member_status();
+        now < status.member_until.max(status.outage_until) && !*self.stopping.borrow()
     }
 
     /// Whether this daemon may act only since the store is away for all.
-    pub(crate) fn is_store_away(&self, now: Duration) -> bool {
-        let standing = self.standing();
-        now >= standing.until && now < standing.away_until
+    pub(crate) fn is_store_outage(&self, now: Duration) -> bool {
+        let status = self.member_status();
+        now >= status.member_until && now < status.outage_until
     }
 
     /// Waits until all workers of a slice are known.
-    pub(crate) async fn workers_known(&self, unit: &PoolSlice) {
-        while !self.directory().covers(unit) {
-            tokio::time::sleep(LIST_PAUSE).await;
+    pub(crate) async fn wait_for_workers(&self, pool_slice: &PoolSlice) {
+        while !self.directory().covers(pool_slice) {
+            tokio::time::sleep(WORKERS_CHECK_INTERVAL).await;
         }
     }
 
--- a/crates/crosspath_node/src/pages.rs
+++ b/crates/crosspath_node/src/pages.rs
@@ -21,11 +21,11 @@
 
     /// Takes in a page. After the last one: all records, and the offset from which to follow. Pages are not one
     /// snapshot, so that is where the partition ended at the first of them.
-    pub fn take(&mut self, page: NewestPage) -> Option<(Vec<Stored>, u64)> {
+    pub fn add(&mut self, page: NewestPage) -> Option<(Vec<Stored>, u64)> {
         let end = *self.end.get_or_insert(page.end);
-        let more = page.more && !page.records.is_empty();
+        let has_more = page.more && !page.records.is_empty();
         self.records.extend(page.records);
-        if more {
+        if has_more {
             return None;
         }
         Some((std::mem::take(self).records, end))
--- a/crates/crosspath_node/src/settings.rs
+++ b/crates/crosspath_node/src/settings.rs
@@ -11,7 +11,7 @@
 
 /// Shortest time in which an evacuation can be in force: a start is through within half a second, and word of the
 /// store may be as old again.
-const LEAST_EVACUATION_MS: u64 = 1_000;
+const MIN_EVACUATION_MS: u64 = 1_000;
 
 /// Settings as written.
 #[derive(Debug, Clone, Deserialize)]
@@ -115,15 +115,15 @@
     /// Partitions of a topic.
     pub shards: u32,
     /// Longest lease that workers give.
-    pub longest_hold: Duration,
+    pub max_lease: Duration,
     /// Shortest silence after which the group forgets a member.
-    pub membership_least: Duration,
+    pub min_member_ttl: Duration,
     /// For which no other daemon may give orders for a VM after one has.
-    pub vm_order: Duration,
+    pub vm_order_exclusion: Duration,
     /// In which no task starts any more in a data centre that is to be evacuated; none where none ever is.
-    pub evacuation: Option<Duration>,
+    pub evacuation_limit: Option<Duration>,
     /// How long an ended job can be asked for.
-    pub keep_ended: Duration,
+    pub ended_job_retention: Duration,
     /// From the signal to stop to being killed.
     pub stop_grace: Duration,
     /// What the deployment pays.
@@ -143,7 +143,7 @@
     },
     /// The file has another shape.
     #[snafu(display("settings {}: field {field}: {source}", file.display()))]
-    Shape {
+    Parse {
         /// The file.
         file: PathBuf,
         /// The field.
@@ -175,7 +175,7 @@
     let decoder = &mut serde_json::Deserializer::from_str(&text);
     let options: Options = serde_path_to_error::deserialize(decoder).map_err(|error| {
         let field = error.path().to_string();
-        Error::Shape { file: file.to_owned(), field, source: error.into_inner() }
+        Error::Parse { file: file.to_owned(), field, source: error.into_inner() }
     })?;
     resolve(file, options)
 }
@@ -197,15 +197,20 @@
     require(shards >= 2, "platform.shards", shards.to_string(), "write 2 or more")?;
     let orders = platform.vm_orders_per_s;
     require(orders > 0.0, "platform.vm_orders_per_s", orders.to_string(), "write more than 0")?;
-    let hold = leases.longest_hold_ms;
-    require(hold >= 1_000, "leases.longest_hold_ms", hold.to_string(), "write 1000 or more")?;
-    let grace = leases.stop_grace_s;
-    require(grace >= 1, "leases.stop_grace_s", grace.to_string(), "write 1 or more")?;
-    let evacuation = leases.evacuation_ms;
+    let max_lease_ms = leases.longest_hold_ms;
     require(
-        evacuation.is_none_or(|bound| bound >= LEAST_EVACUATION_MS),
+        max_lease_ms >= 1_000,
+        "leases.longest_hold_ms",
+        max_lease_ms.to_string(),
+        "write 1000 or more",
+    )?;
+    let stop_grace_s = leases.stop_grace_s;
+    require(stop_grace_s >= 1, "leases.stop_grace_s", stop_grace_s.to_string(), "write 1 or more")?;
+    let evacuation_ms = leases.evacuation_ms;
+    require(
+        evacuation_ms.is_none_or(|bound| bound >= MIN_EVACUATION_MS),
         "leases.evacuation_ms",
-        evacuation.unwrap_or_default().to_string(),
+        evacuation_ms.unwrap_or_default().to_string(),
         "write 1000 or more, or leave it out",
     )?;
     require(
@@ -215,8 +220,13 @@
         "name the VM's own data centre too",
     )?;
     let listeners = [listen.callers, listen.readiness, listen.peers, listen.metrics];
-    let clash = (1..listeners.len()).any(|at| listeners[..at].contains(&listeners[at]));
-    require(!clash, "listen", format!("{listeners:?}"), "give each listener a port of its own")?;
+    let has_duplicates = (1..listeners.len()).any(|at| listeners[..at].contains(&listeners[at]));
+    require(
+        !has_duplicates,
+        "listen",
+        format!("{listeners:?}"),
+        "give each listener a port of its own",
+    )?;
     Ok(Settings {
         name,
         data_centre,
@@ -231,12 +241,12 @@
         vm_orders_per_s: orders,
         advice: platform.advice,
         shards,
-        longest_hold: Duration::from_millis(hold),
-        membership_least: Duration::from_millis(leases.membership_least_ms),
-        vm_order: Duration::from_millis(leases.vm_order_ms),
-        evacuation: evacuation.map(Duration::from_millis),
-        keep_ended: Duration::from_secs(leases.keep_ended_s),
-        stop_grace: Duration::from_secs(grace),
+        max_lease: Duration::from_millis(max_lease_ms),
+        min_member_ttl: Duration::from_millis(leases.membership_least_ms),
+        vm_order_exclusion: Duration::from_millis(leases.vm_order_ms),
+        evacuation_limit: evacuation_ms.map(Duration::from_millis),
+        ended_job_retention: Duration::from_secs(leases.keep_ended_s),
+        stop_grace: Duration::from_secs(stop_grace_s),
         costs,
     })
 }
--- a/crates/crosspath_node/src/shard.rs
+++ b/crates/crosspath_node/src/shard.rs
@@ -26,7 +26,7 @@
 use crate::node::{Node, shard_partition};
 use crate::order::Order;
 use crate::pages::Pages;
-use crate::rpc::{self, Answer, Question};
+use crate::rpc::{self, Reply, Request};
 use crate::shard_log::{append_owned, ask_previous_owner, decode, follow, request_event};
 use crate::watch::{self, Watch};
 
@@ -188,17 +188,17 @@
     async fn run(self, mut receiver: mpsc::UnboundedReceiver<Event>) {
         let store = &*self.node.store;
         let claimed = claim(store, shard_partition(self.number), &self.node.member).await;
-        self.node.workers_known(&self.pool_slice).await;
+        self.node.wait_for_workers(&self.pool_slice).await;
         let (records, end) = self.read_latest().await;
         let terms = Terms {
-            extension: LEASE_EXTENSION.min(self.node.settings.longest_hold),
+            extension: LEASE_EXTENSION.min(self.node.settings.max_lease),
             initial: INITIAL_LEASE,
             clock_slack: CLOCK_SLACK,
         };
         let settings = Settings {
             shard: self.number,
             terms,
-            ended_job_retention: self.node.settings.keep_ended,
+            ended_job_retention: self.node.settings.ended_job_retention,
             membership_ttl: TTL,
         };
         let now = clock::now();
@@ -225,7 +225,7 @@
         let _follower = AbortOnDrop(follower);
         self.serve(ownership, &mut receiver).await;
         if let Some(ended) = scheduler(&self.shared).take() {
-            self.node.note_left(self.number, ended.handover(clock::now()));
+            self.node.save_handover(self.number, ended.handover(clock::now()));
         }
         log::info!("event=shard_left shard={} unit={}", self.number, self.pool_slice);
     }
@@ -362,9 +362,9 @@
                 let (node, events) = (Arc::clone(&self.node), self.events.clone());
                 drop(tokio::spawn(async move {
                     let number = request.number;
-                    let question = Question::Parts(request);
-                    let grant = match rpc::ask_holder(&node, node.fleet_shard(), question).await {
-                        Some(Answer::Parts(grant)) => Some(grant),
+                    let request = Request::Quota(request);
+                    let grant = match rpc::call_holder(&node, node.fleet_shard(), request).await {
+                        Some(Reply::Quota(grant)) => Some(grant),
                         _ => None,
                     };
                     events.send(Event::QuotaAnswered { number, grant }).ok();
--- a/crates/crosspath_node/src/shard_log.rs
+++ b/crates/crosspath_node/src/shard_log.rs
@@ -14,7 +14,7 @@
 use crate::clock;
 use crate::feed::Feed;
 use crate::node::{Node, shard_partition};
-use crate::rpc::{Answer, Question};
+use crate::rpc::{Reply, Request};
 
 /// Time for which a read of the shard waits for a new record.
 const POLL_WAIT: Duration = Duration::from_millis(1_500);
@@ -53,7 +53,7 @@
     loop {
         match node.store.append(partition, records, precondition).await {
             Ok(_) => {
-                node.store_answers(clock::now());
+                node.record_store_answer(clock::now());
                 return true;
             }
             Err(error @ (Error::Fenced { .. } | Error::Sequence { .. })) => {
@@ -77,7 +77,7 @@
     epoch: u64,
     events: mpsc::UnboundedSender<Event>,
 ) {
-    let mut feed = Feed::from(shard_partition(number), from);
+    let mut feed = Feed::starting_at(shard_partition(number), from);
     let mut backoff = Backoff::new(backoff::OWNER_CALLS);
     loop {
         let records = match feed.read(&node, POLL_WAIT).await {
@@ -121,8 +121,8 @@
     events: mpsc::UnboundedSender<Event>,
 ) {
     let Some(previous_owner) = previous_owner else { return };
-    match node.peers.ask(previous_owner, &Question::Left { shard, epoch }).await {
-        Ok(Answer::Left(leases)) => {
+    match node.peers.call(previous_owner, &Request::Handover { shard, epoch }).await {
+        Ok(Reply::Handover(leases)) => {
             let now = clock::now();
             let expiry = |(worker, left_ms)| (worker, now + Duration::from_millis(left_ms));
             // The owner's task may have ended; it needs no events then.
--- a/crates/crosspath_node/src/workers.rs
+++ b/crates/crosspath_node/src/workers.rs
@@ -19,7 +19,7 @@
 use crate::feed::Feed;
 use crate::map::PoolSlice;
 use crate::node::{Node, only_partition};
-use crate::rpc::{self, Answer, Question};
+use crate::rpc::{self, Reply, Request};
 use crate::shard::Handle;
 
 /// Pause between reads of the list. Dozens of workers write at the same time, and reading each
@@ -155,11 +155,11 @@
 
     /// Reads new records of the list from the store.
     async fn read(&mut self) {
-        let whole = !self.feed.is_started();
+        let whole = !self.feed.has_snapshot();
         match self.feed.read(&self.node, Duration::ZERO).await {
             Ok(records) => {
                 self.backoff.reset();
-                let whole = whole && self.feed.is_started();
+                let whole = whole && self.feed.has_snapshot();
                 let read = |record: &_| self.node.store.decode_worker(record);
                 let changes = self.node.directory().apply_records(&records, whole, read);
                 forward_changes(&self.node, changes);
@@ -182,10 +182,10 @@
         self.polled_at = clock::now();
         let shards = reader_shards(&self.node);
         for _ in 0..shards.len() {
-            let question =
-                Question::Workers { units: pool_slices.clone(), cursor: self.cursor.clone() };
-            let answer = rpc::ask_holder(&self.node, shards[self.preferred_reader], question).await;
-            if let Some(Answer::Workers(update)) = answer {
+            let request =
+                Request::Workers { pool_slices: pool_slices.clone(), cursor: self.cursor.clone() };
+            let reply = rpc::call_holder(&self.node, shards[self.preferred_reader], request).await;
+            if let Some(Reply::Workers(update)) = reply {
                 self.apply(update, pool_slices);
                 return true;
             }
@@ -226,10 +226,10 @@
     node: &Node,
     pool_slices: &BTreeSet<PoolSlice>,
     cursor: Option<&Cursor>,
-) -> Answer {
+) -> Reply {
     if !is_reader(node) || !node.may_act(clock::now()) {
-        return Answer::NotOwner;
+        return Reply::NotOwner;
     }
     let update = node.directory().update_since(&node.member, &node.map(), pool_slices, cursor);
-    update.map_or(Answer::NotOwner, Answer::Workers)
+    update.map_or(Reply::NotOwner, Reply::Workers)
 }
--- a/crates/crosspath_node/tests/node/appends.rs
+++ b/crates/crosspath_node/tests/node/appends.rs
@@ -2,14 +2,14 @@
 
 use crosspath_border::ingress::Submitted;
 
-use crate::common::{Daemon, SETTLED, log_of_one_pool};
+use crate::common::{Daemon, SETTLE_TIME, log_with_one_pool};
 
 /// Starts two daemons; the first one returned owns the pool's shard.
 async fn owner_and_other() -> (Daemon, Daemon) {
-    let log = log_of_one_pool().await;
+    let log = log_with_one_pool().await;
     let one = Daemon::start("entry-1", &log).await;
     let other = Daemon::start("entry-2", &log).await;
-    tokio::time::sleep(SETTLED).await;
+    tokio::time::sleep(SETTLE_TIME).await;
     assert_eq!(one.submit(1).await, Submitted::Accepted);
     if one.appends() > 0 { (one, other) } else { (other, one) }
 }
@@ -28,7 +28,7 @@
 #[tokio::test]
 async fn an_owner_refused_by_the_log_is_bypassed() {
     let (owner, other) = owner_and_other().await;
-    owner.refuse();
+    owner.refuse_appends();
     assert_eq!(other.submit(20).await, Submitted::Accepted);
     assert!(other.appends() > 0);
 }
@@ -36,8 +36,8 @@
 #[tokio::test]
 async fn submissions_are_refused_when_the_log_refuses_every_daemon() {
     let (owner, other) = owner_and_other().await;
-    owner.refuse();
-    other.refuse();
+    owner.refuse_appends();
+    other.refuse_appends();
     for daemon in [&owner, &other] {
         let answer = daemon.submit(30).await;
         assert!(matches!(answer, Submitted::NotTaken { .. }), "{answer:?}");
@@ -48,19 +48,19 @@
 async fn each_submission_makes_one_attempt_while_the_log_is_known_to_be_down() {
     let (owner, other) = owner_and_other().await;
     for daemon in [&owner, &other] {
-        daemon.take_log_down(true);
+        daemon.set_log_down(true);
     }
     for job in 40..42 {
         let answer = other.submit(job).await;
         assert!(matches!(answer, Submitted::NotTaken { .. }), "{answer:?}");
     }
-    let before = owner.refused() + other.refused();
+    let before = owner.refused_appends() + other.refused_appends();
     let answer = other.submit(50).await;
     assert!(matches!(answer, Submitted::NotTaken { .. }), "{answer:?}");
-    let tries = owner.refused() + other.refused() - before;
+    let tries = owner.refused_appends() + other.refused_appends() - before;
     assert!(tries <= 4, "{tries} refused appends for a submission that should be refused at once");
     for daemon in [&owner, &other] {
-        daemon.take_log_down(false);
+        daemon.set_log_down(false);
     }
     assert_eq!(other.submit(50).await, Submitted::Accepted, "the log is up again");
 }
--- a/crates/crosspath_node/tests/node/common.rs
+++ b/crates/crosspath_node/tests/node/common.rs
@@ -34,32 +34,32 @@
 const LARGE_MILLICORES: u32 = 250;
 const SMALL_MILLICORES: u32 = 120;
 /// For which callers wait.
-const PATIENCE: Duration = Duration::from_secs(3);
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 /// Between looks whether the daemons are there.
-const PAUSE: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// By which each daemon has read who owns what.
-pub(crate) const SETTLED: Duration = Duration::from_millis(2_000);
+pub(crate) const SETTLE_TIME: Duration = Duration::from_millis(2_000);
 
 /// The log as one daemon reaches it.
 #[derive(Debug)]
-pub(crate) struct Path {
+pub(crate) struct FaultyStore {
     log: Arc<MemoryStore>,
     /// Appends for callers that this daemon has made.
     appends: AtomicUsize,
     /// Whether the log refuses those.
-    refuses: AtomicBool,
+    refuse_appends: AtomicBool,
     /// Whether the log refuses everything.
     down: AtomicBool,
     /// Appends for callers that it has refused.
-    refused: AtomicUsize,
+    refused_appends: AtomicUsize,
     /// Readings of the list of workers.
     worker_reads: AtomicUsize,
     /// Readings of who owns what.
     holder_reads: AtomicUsize,
 }
 
-impl Path {
-    fn up(&self) -> Result<(), Error> {
+impl FaultyStore {
+    fn check_up(&self) -> Result<(), Error> {
         let down = self.down.load(Ordering::SeqCst);
         if down { Err(Error::Refused { status: 503 }) } else { Ok(()) }
     }
@@ -72,51 +72,51 @@
 }
 
 #[async_trait]
-impl Store for Path {
+impl Store for FaultyStore {
     async fn append(
         &self,
         partition: Partition,
         records: &[NewRecord],
-        guard: Precondition,
+        precondition: Precondition,
     ) -> Result<Appended, Error> {
-        if matches!(guard, Precondition::Unconditional) {
-            if self.refuses.load(Ordering::SeqCst) || self.down.load(Ordering::SeqCst) {
-                self.refused.fetch_add(1, Ordering::SeqCst);
+        if matches!(precondition, Precondition::Unconditional) {
+            if self.refuse_appends.load(Ordering::SeqCst) || self.down.load(Ordering::SeqCst) {
+                self.refused_appends.fetch_add(1, Ordering::SeqCst);
                 return Err(Error::Refused { status: 503 });
             }
             self.appends.fetch_add(1, Ordering::SeqCst);
         }
-        self.log.append(partition, records, guard).await
+        self.log.append(partition, records, precondition).await
     }
 
     async fn read(&self, partition: Partition, from: u64, wait: Duration) -> Result<Page, Error> {
-        self.up()?;
+        self.check_up()?;
         self.count(partition);
         let page = self.log.read(partition, from, wait).await?;
         if page.records.is_empty() {
-            tokio::time::sleep(wait.min(PAUSE)).await;
+            tokio::time::sleep(wait.min(POLL_INTERVAL)).await;
         }
         Ok(page)
     }
 
     async fn newest(&self, partition: Partition, after: Option<&str>) -> Result<NewestPage, Error> {
-        self.up()?;
+        self.check_up()?;
         self.count(partition);
         self.log.newest(partition, after).await
     }
 
     async fn join(&self, join: &Join) -> Result<Membership, Error> {
-        self.up()?;
+        self.check_up()?;
         self.log.join(join).await
     }
 
     async fn leave(&self, member: &str) -> Result<(), Error> {
-        self.up()?;
+        self.check_up()?;
         self.log.leave(member).await
     }
 
     async fn holders(&self) -> Result<Vec<Holder>, Error> {
-        self.up()?;
+        self.check_up()?;
         self.holder_reads.fetch_add(1, Ordering::SeqCst);
         self.log.holders().await
     }
@@ -214,8 +214,8 @@
 }
 
 fn spec() -> Spec {
-    let room = Resources { cpu_millis: 1_000, mem_mb: 100, gpus: 0 };
-    let step = Step { tasks: 1, resources: room, estimate_ms: 800, ..Step::default() };
+    let resources = Resources { cpu_millis: 1_000, mem_mb: 100, gpus: 0 };
+    let step = Step { tasks: 1, resources, estimate_ms: 800, ..Step::default() };
     Spec { text: "text".into(), steps: vec![step], repeat: None }
 }
 
@@ -225,7 +225,7 @@
 static HANDLERS: LazyLock<Mutex<HashMap<SocketAddr, Arc<dyn Handler>>>> =
     LazyLock::new(Mutex::default);
 
-fn keep_handler(
+fn register_handler(
     listener: TcpListener,
     _: Limits,
     _: watch::Receiver<Stage>,
@@ -236,7 +236,7 @@
     Box::pin(std::future::pending())
 }
 
-fn serve_nobody(
+fn serve_nothing(
     _: TcpListener,
     _: Limits,
     _: watch::Receiver<Stage>,
@@ -246,7 +246,7 @@
 }
 
 /// Addresses that were given to some daemon of this process.
-static GIVEN: LazyLock<Mutex<HashSet<SocketAddr>>> = LazyLock::new(Mutex::default);
+static ASSIGNED_ADDRESSES: LazyLock<Mutex<HashSet<SocketAddr>>> = LazyLock::new(Mutex::default);
 
 /// An address that no other daemon of this process has. The system may give a port twice before the first daemon
 /// listens on it; the second one then could not start, and its test called the handler of the first.
@@ -254,25 +254,25 @@
     loop {
         let listener = StdListener::bind("127.0.0.1:0").expect("a free port");
         let address = listener.local_addr().expect("an address");
-        if GIVEN.lock().expect("no test has failed").insert(address) {
+        if ASSIGNED_ADDRESSES.lock().expect("no test has failed").insert(address) {
             return address;
         }
     }
 }
 
 pub(crate) struct Daemon {
-    path: Arc<Path>,
+    store: Arc<FaultyStore>,
     handler: Arc<dyn Handler>,
 }
 
 impl Daemon {
     pub(crate) async fn start(name: &str, log: &Arc<MemoryStore>) -> Self {
-        Self::start_with(name, log, Some(Arc::new(Crowded::calm(30)))).await
+        Self::start_with(name, log, Some(Arc::new(FakeFleet::healthy(30)))).await
     }
 
     /// On a VM that is too small to own shards while there are large ones.
     pub(crate) async fn start_small(name: &str, log: &Arc<MemoryStore>) -> Self {
-        Self::start_on(name, log, Some(Arc::new(Crowded::calm(30))), SMALL_MILLICORES).await
+        Self::start_on(name, log, Some(Arc::new(FakeFleet::healthy(30))), SMALL_MILLICORES).await
     }
 
     /// With a list of VMs.
@@ -305,37 +305,37 @@
             vm_orders_per_s: 64.0,
             advice: None,
             shards: SHARDS,
-            longest_hold: Duration::from_secs(6),
-            membership_least: Duration::from_secs(1),
-            vm_order: Duration::from_secs(3),
-            evacuation: None,
-            keep_ended: Duration::from_secs(120),
+            max_lease: Duration::from_secs(6),
+            min_member_ttl: Duration::from_secs(1),
+            vm_order_exclusion: Duration::from_secs(3),
+            evacuation_limit: None,
+            ended_job_retention: Duration::from_secs(120),
             stop_grace: Duration::from_secs(6),
             costs: Costs::default(),
         };
-        let path = Arc::new(Path {
+        let store = Arc::new(FaultyStore {
             log: Arc::clone(log),
             appends: AtomicUsize::new(0),
-            refuses: AtomicBool::new(false),
+            refuse_appends: AtomicBool::new(false),
             down: AtomicBool::new(false),
-            refused: AtomicUsize::new(0),
+            refused_appends: AtomicUsize::new(0),
             worker_reads: AtomicUsize::new(0),
             holder_reads: AtomicUsize::new(0),
         });
         let ports = Ports {
-            store: Arc::clone(&path) as Arc<dyn Store>,
+            store: Arc::clone(&store) as Arc<dyn Store>,
             runner: Arc::new(NoWorkers),
             fleet,
             advisor: None,
-            serve_callers: keep_handler,
-            serve_readiness: serve_nobody,
+            serve_callers: register_handler,
+            serve_readiness: serve_nothing,
         };
         drop(tokio::spawn(crosspath_node::run(settings, ports)));
         loop {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
             let handler = HANDLERS.lock().expect("no test has failed").get(&addresses[0]).cloned();
             if let Some(handler) = handler.filter(|handler| handler.is_ready()) {
-                return Self { path, handler };
+                return Self { store, handler };
             }
         }
     }
@@ -346,12 +346,12 @@
 
     /// Submits a job of a customer.
     pub(crate) async fn submit_for(&self, customer: Option<&str>, job: u64) -> Submitted {
-        self.handler.submit(&access(customer), JobId(job), spec(), PATIENCE).await
+        self.handler.submit(&access(customer), JobId(job), spec(), CALL_TIMEOUT).await
     }
 
     /// Asks for a job of a customer.
     pub(crate) async fn state_for(&self, customer: Option<&str>, job: u64) -> Lookup {
-        self.handler.state(&access(customer), JobId(job), PATIENCE).await
+        self.handler.state(&access(customer), JobId(job), CALL_TIMEOUT).await
     }
 
     /// Where a call with a key leads.
@@ -360,40 +360,40 @@
     }
 
     pub(crate) fn appends(&self) -> usize {
-        self.path.appends.load(Ordering::SeqCst)
+        self.store.appends.load(Ordering::SeqCst)
     }
 
     /// The log refuses everything, or is back.
-    pub(crate) fn take_log_down(&self, down: bool) {
-        self.path.down.store(down, Ordering::SeqCst);
+    pub(crate) fn set_log_down(&self, down: bool) {
+        self.store.down.store(down, Ordering::SeqCst);
     }
 
     pub(crate) fn worker_reads(&self) -> usize {
-        self.path.worker_reads.load(Ordering::SeqCst)
+        self.store.worker_reads.load(Ordering::SeqCst)
     }
 
     pub(crate) fn holder_reads(&self) -> usize {
-        self.path.holder_reads.load(Ordering::SeqCst)
+        self.store.holder_reads.load(Ordering::SeqCst)
     }
 
-    pub(crate) fn refused(&self) -> usize {
-        self.path.refused.load(Ordering::SeqCst)
+    pub(crate) fn refused_appends(&self) -> usize {
+        self.store.refused_appends.load(Ordering::SeqCst)
     }
 
-    pub(crate) fn refuse(&self) {
-        self.path.refuses.store(true, Ordering::SeqCst);
+    pub(crate) fn refuse_appends(&self) {
+        self.store.refuse_appends.store(true, Ordering::SeqCst);
     }
 }
 
 /// A log that holds a configuration of one pool.
-pub(crate) async fn log_of_one_pool() -> Arc<MemoryStore> {
+pub(crate) async fn log_with_one_pool() -> Arc<MemoryStore> {
     let log = Arc::new(MemoryStore::new(SHARDS));
-    configure(&log, "1").await;
+    write_config(&log, "1").await;
     log
 }
 
 /// Writes a configuration, as "VERSION CUSTOMER=KEY,KEY ...".
-pub(crate) async fn configure(log: &MemoryStore, text: &str) {
+pub(crate) async fn write_config(log: &MemoryStore, text: &str) {
     let config = NewRecord { key: "config".into(), value: text.to_owned().into() };
     let operators = Partition { topic: Topic::Operators, number: 0 };
     log.append(operators, &[config], Precondition::Unconditional).await.expect("a log");
@@ -401,20 +401,20 @@
 
 /// A list of VMs that refuses the first calls.
 #[derive(Debug)]
-pub(crate) struct Crowded {
-    refuses: usize,
+pub(crate) struct FakeFleet {
+    refusals: usize,
     vms: usize,
     calls: AtomicUsize,
 }
 
-impl Crowded {
+impl FakeFleet {
     /// A list of `vms` VMs that refuses the first `refuses` calls.
-    pub(crate) fn new(refuses: usize, vms: usize) -> Self {
-        Self { refuses, vms, calls: AtomicUsize::new(0) }
+    pub(crate) fn new(refusals: usize, vms: usize) -> Self {
+        Self { refusals, vms, calls: AtomicUsize::new(0) }
     }
 
     /// A list of `vms` VMs that answers.
-    pub(crate) fn calm(vms: usize) -> Self {
+    pub(crate) fn healthy(vms: usize) -> Self {
         Self::new(0, vms)
     }
 
@@ -424,7 +424,7 @@
 }
 
 #[async_trait]
-impl Fleet for Crowded {
+impl Fleet for FakeFleet {
     async fn list(&self) -> Result<Vec<Vm>, vm::Error> {
         let vm = |number: usize| Vm {
             name: format!("vm-{number}").into(),
@@ -435,7 +435,7 @@
             capacity: Resources { cpu_millis: 32_000, mem_mb: 1, gpus: 0 },
             worker: None,
         };
-        if self.calls.fetch_add(1, Ordering::SeqCst) < self.refuses {
+        if self.calls.fetch_add(1, Ordering::SeqCst) < self.refusals {
             return Err(vm::Error::Refused);
         }
         Ok((0..self.vms).map(vm).collect())
--- a/crates/crosspath_node/tests/node/keys.rs
+++ b/crates/crosspath_node/tests/node/keys.rs
@@ -5,10 +5,10 @@
 use crosspath_border::ingress::{Lookup, Resolved, Submitted};
 use crosspath_job::progress::State;
 
-use crate::common::{Daemon, SETTLED, configure, log_of_one_pool};
+use crate::common::{Daemon, SETTLE_TIME, log_with_one_pool, write_config};
 
 /// In which a configuration has to be in force, less what a test's machine may be late.
-const IN_FORCE: Duration = Duration::from_millis(3_000);
+const CONFIG_PROPAGATION: Duration = Duration::from_millis(3_000);
 
 /// The customer whom a call with a key is for; none when it is refused for good.
 fn customer(daemon: &Daemon, key: &str) -> Option<String> {
@@ -20,28 +20,28 @@
 }
 
 #[tokio::test]
-async fn a_call_needs_a_key_of_the_newest_configuration() {
-    let log = log_of_one_pool().await;
-    configure(&log, "2 water=w-1,w-2 power=p-1").await;
+async fn a_call_needs_a_key_from_the_newest_configuration() {
+    let log = log_with_one_pool().await;
+    write_config(&log, "2 water=w-1,w-2 power=p-1").await;
     let daemon = Daemon::start("entry-1", &log).await;
     assert!(matches!(daemon.resolve(None), Resolved::Unauthorized));
     assert_eq!(customer(&daemon, "w-1").as_deref(), Some("water"));
     assert_eq!(customer(&daemon, "p-1").as_deref(), Some("power"));
     assert_eq!(customer(&daemon, "never"), None);
     // All keys of a customer go at once, and another gets one.
-    configure(&log, "3 water= power=p-1,p-2").await;
-    tokio::time::sleep(IN_FORCE).await;
+    write_config(&log, "3 water= power=p-1,p-2").await;
+    tokio::time::sleep(CONFIG_PROPAGATION).await;
     assert_eq!(customer(&daemon, "w-2"), None);
     assert_eq!(customer(&daemon, "p-2").as_deref(), Some("power"));
 }
 
 #[tokio::test]
-async fn a_job_is_its_customers_alone() {
-    let log = log_of_one_pool().await;
-    configure(&log, "2 water=w-1 power=p-1").await;
+async fn a_job_is_visible_only_to_its_customer() {
+    let log = log_with_one_pool().await;
+    write_config(&log, "2 water=w-1 power=p-1").await;
     let one = Daemon::start("entry-1", &log).await;
     let other = Daemon::start("entry-2", &log).await;
-    tokio::time::sleep(SETTLED).await;
+    tokio::time::sleep(SETTLE_TIME).await;
     for daemon in [&one, &other] {
         assert_eq!(daemon.submit_for(Some("water"), 1).await, Submitted::Accepted);
         assert_eq!(daemon.state_for(Some("water"), 1).await, Lookup::State(State::Queued));
@@ -52,29 +52,29 @@
 
 /// A log that turns one daemon away tells the others, and they tell that one.
 #[tokio::test]
-async fn a_daemon_that_the_log_turns_away_learns_of_keys_from_others() {
-    let log = log_of_one_pool().await;
-    configure(&log, "2 water=w-1 power=p-1").await;
-    let turned_away = Daemon::start("entry-1", &log).await;
+async fn a_daemon_refused_by_the_log_gets_new_keys_from_peers() {
+    let log = log_with_one_pool().await;
+    write_config(&log, "2 water=w-1 power=p-1").await;
+    let refused = Daemon::start("entry-1", &log).await;
     let served = Daemon::start("entry-2", &log).await;
-    tokio::time::sleep(SETTLED).await;
-    turned_away.take_log_down(true);
-    configure(&log, "3 water=w-2 power=p-1").await;
-    tokio::time::sleep(IN_FORCE).await;
-    assert_eq!(customer(&turned_away, "w-1"), None, "it was taken away");
-    assert_eq!(customer(&turned_away, "w-2").as_deref(), Some("water"));
+    tokio::time::sleep(SETTLE_TIME).await;
+    refused.set_log_down(true);
+    write_config(&log, "3 water=w-2 power=p-1").await;
+    tokio::time::sleep(CONFIG_PROPAGATION).await;
+    assert_eq!(customer(&refused, "w-1"), None, "it was taken away");
+    assert_eq!(customer(&refused, "w-2").as_deref(), Some("water"));
     assert_eq!(customer(&served, "w-2").as_deref(), Some("water"));
 }
 
 /// Nobody can say whether there is a newer configuration: an unknown key may stand in it.
 #[tokio::test]
-async fn an_unknown_key_is_refused_for_good_only_by_a_configuration_that_is_surely_new() {
-    let log = log_of_one_pool().await;
-    configure(&log, "2 water=w-1").await;
+async fn an_unknown_key_is_rejected_only_if_the_configuration_is_current() {
+    let log = log_with_one_pool().await;
+    write_config(&log, "2 water=w-1").await;
     let daemon = Daemon::start("entry-1", &log).await;
     assert_eq!(customer(&daemon, "w-2"), None);
-    daemon.take_log_down(true);
-    tokio::time::sleep(IN_FORCE).await;
+    daemon.set_log_down(true);
+    tokio::time::sleep(CONFIG_PROPAGATION).await;
     let answer = daemon.resolve(Some("w-2"));
     assert!(matches!(answer, Resolved::MaybeStale { .. }), "{answer:?}");
     assert_eq!(customer(&daemon, "w-1").as_deref(), Some("water"), "a known key is served on");
--- a/crates/crosspath_node/tests/node/listing.rs
+++ b/crates/crosspath_node/tests/node/listing.rs
@@ -8,13 +8,13 @@
 use crosspath_node::listing::Listing;
 use tokio::sync::Semaphore;
 
-use crate::common::Crowded;
+use crate::common::FakeFleet;
 
 /// A fleet whose list arrives once a permit is added.
 #[derive(Debug)]
 struct Delayed {
     permits: Semaphore,
-    inner: Crowded,
+    inner: FakeFleet,
 }
 
 #[async_trait]
@@ -35,7 +35,7 @@
 
 #[tokio::test]
 async fn a_short_list_arrives_within_the_round() {
-    let fleet = Arc::new(Crowded::calm(30));
+    let fleet = Arc::new(FakeFleet::healthy(30));
     let mut listing = Listing::new(Arc::clone(&fleet) as Arc<dyn Fleet>);
     let list = listing.next(ms(1_000), 0).await.expect("a list");
     assert_eq!((list.requested_at, list.vms.len()), (ms(1_000), 30));
@@ -47,7 +47,7 @@
 
 #[tokio::test]
 async fn rounds_continue_while_a_long_list_is_read() {
-    let fleet = Arc::new(Delayed { permits: Semaphore::new(0), inner: Crowded::calm(6_000) });
+    let fleet = Arc::new(Delayed { permits: Semaphore::new(0), inner: FakeFleet::healthy(6_000) });
     let mut listing = Listing::new(Arc::clone(&fleet) as Arc<dyn Fleet>);
     for round in 0..5 {
         assert!(listing.next(ms(1_000 + round * 100), 0).await.is_none());
--- a/crates/crosspath_node/tests/node/storm.rs
+++ b/crates/crosspath_node/tests/node/storm.rs
@@ -52,7 +52,7 @@
         let record = Stored { offset: 0, key: self.read.to_string(), value: "".into() };
         let page =
             NewestPage { records: vec![record], more: self.read < self.pages_to_read, end: 9 };
-        if self.received.take(page).is_some() {
+        if self.received.add(page).is_some() {
             self.read = 0;
             self.pages_to_read = 1;
             self.complete_at = Some(now);
@@ -169,10 +169,10 @@
     };
     let mut pages = Pages::default();
     assert_eq!(pages.after(), None);
-    assert!(pages.take(page(&["a", "b"], true)).is_none());
+    assert!(pages.add(page(&["a", "b"], true)).is_none());
     assert_eq!(pages.after().as_deref(), Some("b"));
     let later = NewestPage { end: 70, ..page(&["c"], false) };
-    let (records, end) = pages.take(later).expect("the last page");
+    let (records, end) = pages.add(later).expect("the last page");
     assert_eq!(records.len(), 3);
     assert_eq!(end, 40, "changes during the read are read again");
     assert_eq!(pages.after(), None, "the next read starts at the first page");
--- a/crates/crosspath_node/tests/node/vm_count.rs
+++ b/crates/crosspath_node/tests/node/vm_count.rs
@@ -9,7 +9,7 @@
 use crosspath_fakes::memory_store::MemoryStore;
 use crosspath_node::vm_count::{Count, Counter, Source};
 
-use crate::common::{Crowded, Daemon, SHARDS, log_of_one_pool};
+use crate::common::{Daemon, FakeFleet, SHARDS, log_with_one_pool};
 
 /// Limit on the time until the map is written.
 const MAP_TIMEOUT: Duration = Duration::from_secs(20);
@@ -26,8 +26,8 @@
     }
 }
 
-async fn slices_written_with(fleet: &Arc<Crowded>) -> String {
-    let log = log_of_one_pool().await;
+async fn slices_written_with(fleet: &Arc<FakeFleet>) -> String {
+    let log = log_with_one_pool().await;
     let start = |name| Daemon::start_with(name, &log, Some(Arc::clone(fleet) as Arc<dyn Fleet>));
     let daemons = futures::future::join_all([start("entry-1"), start("entry-2"), start("entry-3")]);
     let written = tokio::time::timeout(MAP_TIMEOUT, async {
@@ -39,7 +39,7 @@
 
 #[tokio::test]
 async fn a_refused_vm_list_is_retried() {
-    let fleet = Arc::new(Crowded::new(10, 300));
+    let fleet = Arc::new(FakeFleet::new(10, 300));
     assert_eq!(slices_written_with(&fleet).await, (SHARDS - 1).to_string());
 }
 
@@ -47,8 +47,8 @@
 /// to 40.
 #[tokio::test]
 async fn only_one_daemon_polls_a_refusing_vm_list_with_backoff() {
-    let fleet = Arc::new(Crowded::new(usize::MAX, 0));
-    let log = log_of_one_pool().await;
+    let fleet = Arc::new(FakeFleet::new(usize::MAX, 0));
+    let log = log_with_one_pool().await;
     let start = |name| Daemon::start_with(name, &log, Some(Arc::clone(&fleet) as Arc<dyn Fleet>));
     let daemons = futures::future::join_all([start("entry-1"), start("entry-2"), start("entry-3")]);
     let ready = tokio::time::timeout(Duration::from_secs(2), daemons).await;
--- a/crates/crosspath_node/tests/node/workers.rs
+++ b/crates/crosspath_node/tests/node/workers.rs
@@ -11,7 +11,7 @@
 use crosspath_node::map::{Map, PoolSlice};
 use crosspath_node::workers::{Source, source};
 
-use crate::common::{Daemon, SETTLED, log_of_one_pool};
+use crate::common::{Daemon, SETTLE_TIME, log_with_one_pool};
 
 fn stored(key: &str, value: &str) -> Stored {
     Stored { offset: 9, key: key.to_owned(), value: value.to_owned().into() }
@@ -156,14 +156,14 @@
 /// the list.
 #[tokio::test]
 async fn only_two_daemons_read_the_list() {
-    let log = log_of_one_pool().await;
+    let log = log_with_one_pool().await;
     let mut daemons = Vec::new();
     for number in 0..4 {
         daemons.push(Daemon::start(&format!("entry-{number}"), &log).await);
     }
-    tokio::time::sleep(SETTLED).await;
+    tokio::time::sleep(SETTLE_TIME).await;
     let before: Vec<_> = daemons.iter().map(Daemon::worker_reads).collect();
-    tokio::time::sleep(SETTLED).await;
+    tokio::time::sleep(SETTLE_TIME).await;
     let after = daemons.iter().map(Daemon::worker_reads);
     let readers = after.zip(before).filter(|(after, before)| after > before).count();
     assert_eq!(readers, 2);
