--- a/crates/crosspath_schedule/tests/schedule/cancelled.rs
+++ b/crates/crosspath_schedule/tests/schedule/cancelled.rs
@@ -5,20 +5,22 @@
 use crosspath_job::record::Record;
 use crosspath_schedule::Event;
 
-use crate::common::{Bed, JOB, Ordered, accepted, anyone, kept, ms, running, step, task};
+use crate::common::{
+    Harness, JOB, Order, accepted, anonymous, committed_records, ms, running, step, task,
+};
 
 /// A job of one task that is cancelled while its start has no answer.
-fn cancelled() -> (Bed, Ordered) {
-    let mut bed = Bed::with_workers(&["a"]);
-    bed.submit(vec![step(1, 2)]);
-    let start = bed.starts().remove(0);
-    bed.send(Event::Cancelled(JOB, anyone()));
-    (bed, start)
+fn cancelled() -> (Harness, Order) {
+    let mut harness = Harness::with_workers(&["a"]);
+    harness.submit(vec![step(1, 2)]);
+    let start = harness.take_starts().remove(0);
+    harness.send(Event::Cancelled(JOB, anonymous()));
+    (harness, start)
 }
 
-fn stop_answered(bed: &mut Bed, order: &Ordered) {
-    bed.now += ms(1);
-    bed.send(Event::StopAnswered {
+fn stop_answered(harness: &mut Harness, order: &Order) {
+    harness.now += ms(1);
+    harness.send(Event::StopAnswered {
         worker: order.worker.clone(),
         task: order.task,
         run: order.run,
@@ -26,74 +28,74 @@
     });
 }
 
-fn is_stopped(bed: &mut Bed, order: &Ordered) -> bool {
-    bed.stops().contains(order)
+fn is_stopped(harness: &mut Harness, order: &Order) -> bool {
+    harness.take_stops().contains(order)
 }
 
 #[test]
 fn a_start_that_is_carried_out_after_its_stop_was_answered_is_stopped() {
-    let (mut bed, start) = cancelled();
-    assert!(is_stopped(&mut bed, &start));
-    stop_answered(&mut bed, &start);
-    bed.held("a", Vec::new(), Vec::new());
-    bed.pass(ms(3_000));
-    bed.held("a", vec![running(start.task, start.run)], Vec::new());
-    assert!(is_stopped(&mut bed, &start));
-    assert_eq!(bed.scheduler.state(JOB), Some(State::Cancelled));
+    let (mut harness, start) = cancelled();
+    assert!(is_stopped(&mut harness, &start));
+    stop_answered(&mut harness, &start);
+    harness.polled("a", Vec::new(), Vec::new());
+    harness.advance(ms(3_000));
+    harness.polled("a", vec![running(start.task, start.run)], Vec::new());
+    assert!(is_stopped(&mut harness, &start));
+    assert_eq!(harness.scheduler.state(JOB), Some(State::Cancelled));
 }
 
 #[test]
-fn a_stop_without_an_answer_is_given_again_while_the_task_is_shown() {
-    let (mut bed, start) = cancelled();
-    assert!(is_stopped(&mut bed, &start));
+fn an_unanswered_stop_is_repeated_while_polls_list_the_run() {
+    let (mut harness, start) = cancelled();
+    assert!(is_stopped(&mut harness, &start));
     let (worker, task, run) = (start.worker.clone(), start.task, start.run);
-    bed.send(Event::StopAnswered { worker, task, run, answer: Err(Error::NoAnswer) });
-    bed.pass(ms(1_000));
-    bed.held("a", vec![running(start.task, start.run)], Vec::new());
-    bed.pass(ms(1_000));
-    assert!(is_stopped(&mut bed, &start));
+    harness.send(Event::StopAnswered { worker, task, run, answer: Err(Error::NoAnswer) });
+    harness.advance(ms(1_000));
+    harness.polled("a", vec![running(start.task, start.run)], Vec::new());
+    harness.advance(ms(1_000));
+    assert!(is_stopped(&mut harness, &start));
 }
 
 /// Its starter is gone for good between the start and the cancel.
 #[test]
-fn a_new_owner_stops_what_an_owner_that_is_gone_had_started() {
-    let mut before = Bed::with_workers(&["a"]);
-    before.submit(vec![step(1, 2)]);
-    let start = before.starts().remove(0);
+fn a_new_owner_stops_a_late_start_of_the_previous_owner() {
+    let mut previous = Harness::with_workers(&["a"]);
+    previous.submit(vec![step(1, 2)]);
+    let start = previous.take_starts().remove(0);
     let mut records = vec![Record::Accepted(JOB, accepted(vec![step(1, 2)]))];
-    records.extend(kept(&before.actions));
-    records.push(Record::Cancelled(JOB, anyone()));
-    let mut bed = Bed::new(2);
-    bed.take_over(records, &["a"]);
-    bed.held("a", Vec::new(), Vec::new());
-    bed.pass(ms(2_000));
+    records.extend(committed_records(&previous.actions));
+    records.push(Record::Cancelled(JOB, anonymous()));
+    let mut harness = Harness::new(2);
+    harness.take_over(records, &["a"]);
+    harness.polled("a", Vec::new(), Vec::new());
+    harness.advance(ms(2_000));
     // The start is carried out late.
-    bed.held("a", vec![running(start.task, start.run)], Vec::new());
-    assert!(is_stopped(&mut bed, &start));
-    assert_eq!(bed.starts(), Vec::new());
+    harness.polled("a", vec![running(start.task, start.run)], Vec::new());
+    assert!(is_stopped(&mut harness, &start));
+    assert_eq!(harness.take_starts(), Vec::new());
 }
 
 /// The owner changes, and the cancel comes to the new one.
 #[test]
-fn a_cancel_after_a_takeover_stops_what_was_adopted() {
-    let mut before = Bed::with_workers(&["a"]);
-    before.submit(vec![step(1, 2)]);
-    let start = before.starts().remove(0);
+fn a_cancel_after_a_takeover_stops_the_adopted_run() {
+    let mut previous = Harness::with_workers(&["a"]);
+    previous.submit(vec![step(1, 2)]);
+    let start = previous.take_starts().remove(0);
     let mut records = vec![Record::Accepted(JOB, accepted(vec![step(1, 2)]))];
-    records.extend(kept(&before.actions));
-    let mut bed = Bed::new(2);
-    bed.take_over(records, &["a"]);
-    bed.held("a", vec![running(start.task, start.run)], Vec::new());
-    assert_eq!(bed.stops(), Vec::new());
-    bed.send(Event::Cancelled(JOB, anyone()));
-    assert!(is_stopped(&mut bed, &start));
+    records.extend(committed_records(&previous.actions));
+    let mut harness = Harness::new(2);
+    harness.take_over(records, &["a"]);
+    harness.polled("a", vec![running(start.task, start.run)], Vec::new());
+    assert_eq!(harness.take_stops(), Vec::new());
+    harness.send(Event::Cancelled(JOB, anonymous()));
+    assert!(is_stopped(&mut harness, &start));
 }
 
 /// Only a task of a job whose records are gone can be of a job that nobody knows.
 #[test]
-fn a_task_of_a_job_that_nobody_knows_is_stopped() {
-    let mut bed = Bed::with_workers(&["a"]);
-    let stray = Ordered { worker: "a".into(), task: task(0, 0), run: 7 };
-    bed.held("a", vec![running(stray.task, stray.run)], Vec::new());
-    assert!(is_stopped(&mut bed, &stray));
+fn a_run_of_an_unknown_job_is_stopped() {
+    let mut harness = Harness::with_workers(&["a"]);
+    let stray = Order { worker: "a".into(), task: task(0, 0), run: 7 };
+    harness.polled("a", vec![running(stray.task, stray.run)], Vec::new());
+    assert!(is_stopped(&mut harness, &stray));
 }
--- a/crates/crosspath_schedule/tests/schedule/common.rs
+++ b/crates/crosspath_schedule/tests/schedule/common.rs
@@ -23,8 +23,8 @@
 }
 
 pub(crate) fn step(tasks: u32, cores: u64) -> Step {
-    let room = Resources { cpu_millis: cores * 1_000, mem_mb: 100, gpus: 0 };
-    Step { tasks, resources: room, estimate_ms: 800, ..Step::default() }
+    let resources = Resources { cpu_millis: cores * 1_000, mem_mb: 100, gpus: 0 };
+    Step { tasks, resources, estimate_ms: 800, ..Step::default() }
 }
 
 pub(crate) fn accepted(steps: Vec<Step>) -> Arc<Accepted> {
@@ -42,7 +42,7 @@
 }
 
 /// A caller of a queue that needs no key.
-pub(crate) fn anyone() -> Requester {
+pub(crate) fn anonymous() -> Requester {
     Requester::default()
 }
 
@@ -70,13 +70,13 @@
     Running { task, run, checkpoint: None, percent: 100, gauge: 0 }
 }
 
-pub(crate) fn ended(number: u64, task: TaskId, run: u64, how: Outcome) -> Ended {
-    Ended { number, task, run, outcome: how, checkpoint: None }
+pub(crate) fn ended(number: u64, task: TaskId, run: u64, outcome: Outcome) -> Ended {
+    Ended { number, task, run, outcome, checkpoint: None }
 }
 
 /// A start that the scheduler ordered.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Ordered {
+pub(crate) struct Order {
     pub(crate) worker: Arc<str>,
     pub(crate) task: TaskId,
     pub(crate) run: u64,
@@ -84,33 +84,33 @@
 
 /// A scheduler and its clock.
 #[derive(Debug)]
-pub(crate) struct Bed {
+pub(crate) struct Harness {
     pub(crate) scheduler: Scheduler,
     pub(crate) now: Duration,
     pub(crate) actions: Vec<Action>,
     /// Whether commits are answered at once.
-    pub(crate) keeps: bool,
+    pub(crate) auto_commit: bool,
 }
 
-impl Bed {
+impl Harness {
     pub(crate) fn new(epoch: u64) -> Self {
-        Self::at(epoch, ms(10_000))
+        Self::claimed_at(epoch, ms(10_000))
     }
 
     /// An owner that has claimed the shard at `now`.
-    pub(crate) fn at(epoch: u64, now: Duration) -> Self {
+    pub(crate) fn claimed_at(epoch: u64, now: Duration) -> Self {
         let scheduler = Scheduler::new(settings(), epoch, now);
-        Self { scheduler, now, actions: Vec::new(), keeps: true }
+        Self { scheduler, now, actions: Vec::new(), auto_commit: true }
     }
 
     /// A first owner with these workers, all of which have answered.
     pub(crate) fn with_workers(ids: &[&str]) -> Self {
-        let mut bed = Self::new(1);
-        bed.take_over(Vec::new(), ids);
+        let mut harness = Self::new(1);
+        harness.take_over(Vec::new(), ids);
         for id in ids {
-            bed.held(id, Vec::new(), Vec::new());
+            harness.polled(id, Vec::new(), Vec::new());
         }
-        bed
+        harness
     }
 
     pub(crate) fn take_over(&mut self, records: Vec<Record>, workers: &[&str]) {
@@ -130,14 +130,14 @@
             let actions = self.scheduler.decide(self.now, WALL_MS);
             let commits = actions.iter().any(|action| matches!(action, Action::Commit { .. }));
             self.actions.extend(actions);
-            if !commits || !self.keeps {
+            if !commits || !self.auto_commit {
                 return;
             }
             self.scheduler.handle(self.now, WALL_MS, Event::Committed);
         }
     }
 
-    pub(crate) fn pass(&mut self, time: Duration) {
+    pub(crate) fn advance(&mut self, time: Duration) {
         self.now += time;
         self.send(Event::Tick);
     }
@@ -146,14 +146,14 @@
         self.send(Event::Accepted(JOB, accepted(steps)));
     }
 
-    pub(crate) fn held(&mut self, worker: &str, running: Vec<Running>, ended: Vec<Ended>) {
+    pub(crate) fn polled(&mut self, worker: &str, running: Vec<Running>, ended: Vec<Ended>) {
         let sent = self.now;
         self.now += ms(1);
         let reply = PollReply { clock_ms: 0, started_ms: 0, running, ended };
         self.send(Event::Polled { worker: worker.into(), sent, extended: true, reply });
     }
 
-    pub(crate) fn started(&mut self, order: &Ordered) {
+    pub(crate) fn started(&mut self, order: &Order) {
         self.now += ms(1);
         self.send(Event::StartAnswered {
             worker: Arc::clone(&order.worker),
@@ -164,11 +164,11 @@
     }
 
     /// Starts ordered since the last call.
-    pub(crate) fn starts(&mut self) -> Vec<Ordered> {
+    pub(crate) fn take_starts(&mut self) -> Vec<Order> {
         let mut found = Vec::new();
         self.actions.retain(|action| match action {
             Action::Start { worker, task, run, .. } => {
-                found.push(Ordered { worker: Arc::clone(&worker.id), task: *task, run: *run });
+                found.push(Order { worker: Arc::clone(&worker.id), task: *task, run: *run });
                 false
             }
             _ => true,
@@ -177,11 +177,11 @@
     }
 
     /// Stops ordered since the last call.
-    pub(crate) fn stops(&mut self) -> Vec<Ordered> {
+    pub(crate) fn take_stops(&mut self) -> Vec<Order> {
         let mut found = Vec::new();
         self.actions.retain(|action| match action {
             Action::Stop { worker, task, run } => {
-                found.push(Ordered { worker: Arc::clone(&worker.id), task: *task, run: *run });
+                found.push(Order { worker: Arc::clone(&worker.id), task: *task, run: *run });
                 false
             }
             _ => true,
@@ -191,7 +191,7 @@
 }
 
 /// The newest record of each key that a scheduler committed.
-pub(crate) fn kept(actions: &[Action]) -> Vec<Record> {
+pub(crate) fn committed_records(actions: &[Action]) -> Vec<Record> {
     let mut newest = std::collections::BTreeMap::new();
     for action in actions {
         if let Action::Commit { records } = action {
--- a/crates/crosspath_schedule/tests/schedule/customer.rs
+++ b/crates/crosspath_schedule/tests/schedule/customer.rs
@@ -7,60 +7,65 @@
 use crosspath_quota::Limits;
 use crosspath_schedule::{Action, Event};
 
-use crate::common::{Bed, JOB, accepted, kept, step};
+use crate::common::{Harness, JOB, accepted, committed_records, step};
 
 fn job_of(customer: &str) -> Arc<Accepted> {
     Arc::new(Accepted { customer: Some(customer.into()), ..(*accepted(vec![step(1, 2)])).clone() })
 }
 
-fn asker(customer: &str) -> Requester {
+fn requester(customer: &str) -> Requester {
     Requester { queue: "counter".into(), customer: Some(customer.into()) }
 }
 
 #[test]
 fn a_customer_cannot_cancel_the_job_of_another() {
-    let mut bed = Bed::with_workers(&["a"]);
-    bed.send(Event::Accepted(JOB, job_of("water")));
-    bed.send(Event::Cancelled(JOB, asker("power")));
-    assert_eq!(bed.scheduler.state(JOB), Some(State::Queued));
-    assert_eq!(bed.stops(), Vec::new());
-    bed.send(Event::Cancelled(JOB, asker("water")));
-    assert_eq!(bed.scheduler.state(JOB), Some(State::Cancelled));
+    let mut harness = Harness::with_workers(&["a"]);
+    harness.send(Event::Accepted(JOB, job_of("water")));
+    harness.send(Event::Cancelled(JOB, requester("power")));
+    assert_eq!(harness.scheduler.state(JOB), Some(State::Queued));
+    assert_eq!(harness.take_stops(), Vec::new());
+    harness.send(Event::Cancelled(JOB, requester("water")));
+    assert_eq!(harness.scheduler.state(JOB), Some(State::Cancelled));
 }
 
 #[test]
-fn a_cancel_of_another_that_comes_before_the_job_counts_for_nothing() {
-    let mut bed = Bed::with_workers(&["a"]);
-    bed.send(Event::Limits(Limits::new()));
-    bed.send(Event::Cancelled(JOB, asker("power")));
-    bed.send(Event::Accepted(JOB, job_of("water")));
-    assert_eq!(bed.starts().len(), 1);
+fn a_cancel_by_another_customer_that_precedes_the_job_is_ignored() {
+    let mut harness = Harness::with_workers(&["a"]);
+    harness.send(Event::Limits(Limits::new()));
+    harness.send(Event::Cancelled(JOB, requester("power")));
+    harness.send(Event::Accepted(JOB, job_of("water")));
+    assert_eq!(harness.take_starts().len(), 1);
 }
 
 #[test]
-fn an_identifier_stays_with_the_customer_that_had_it_first_also_over_a_takeover() {
-    let mut bed = Bed::with_workers(&["a"]);
-    let of_water = Record::Accepted(JOB, job_of("water"));
-    bed.send(Event::Accepted(JOB, job_of("water")));
+fn a_job_identifier_stays_with_its_first_customer_after_a_takeover() {
+    let mut harness = Harness::with_workers(&["a"]);
+    let water_record = Record::Accepted(JOB, job_of("water"));
+    harness.send(Event::Accepted(JOB, job_of("water")));
     // Appended by a daemon that did not reach the owner, over the first one's record.
-    let of_power = Record::Accepted(JOB, job_of("power"));
-    bed.send(Event::Accepted(JOB, job_of("power")));
-    assert_eq!(bed.scheduler.accepted(JOB).and_then(|job| job.customer.as_deref()), Some("water"));
+    let power_record = Record::Accepted(JOB, job_of("power"));
+    harness.send(Event::Accepted(JOB, job_of("power")));
+    assert_eq!(
+        harness.scheduler.accepted(JOB).and_then(|job| job.customer.as_deref()),
+        Some("water")
+    );
     let mut records: std::collections::BTreeMap<_, _> =
-        [&of_water, &of_power].map(|record| (record.key(), record.clone())).into();
-    records.extend(kept(&bed.actions).into_iter().map(|record| (record.key(), record)));
-    let mut next = Bed::new(2);
+        [&water_record, &power_record].map(|record| (record.key(), record.clone())).into();
+    records.extend(
+        committed_records(&harness.actions).into_iter().map(|record| (record.key(), record)),
+    );
+    let mut next = Harness::new(2);
     next.take_over(records.into_values().collect(), &["a"]);
-    let owner = next.scheduler.accepted(JOB).and_then(|job| job.customer.as_deref());
-    assert_eq!(owner, Some("water"));
+    let customer = next.scheduler.accepted(JOB).and_then(|job| job.customer.as_deref());
+    assert_eq!(customer, Some("water"));
 }
 
 #[test]
-fn a_job_that_arrives_again_from_its_customer_is_one_job() {
-    let mut bed = Bed::with_workers(&["a"]);
-    bed.send(Event::Accepted(JOB, job_of("water")));
-    bed.actions.clear();
-    bed.send(Event::Accepted(JOB, job_of("water")));
-    let commits = bed.actions.iter().filter(|action| matches!(action, Action::Commit { .. }));
+fn a_repeated_submission_by_the_same_customer_commits_nothing() {
+    let mut harness = Harness::with_workers(&["a"]);
+    harness.send(Event::Accepted(JOB, job_of("water")));
+    harness.actions.clear();
+    harness.send(Event::Accepted(JOB, job_of("water")));
+    let commits = harness.actions.iter().filter(|action| matches!(action, Action::Commit { .. }));
     assert_eq!(commits.count(), 0);
 }
--- a/crates/crosspath_schedule/tests/schedule/main.rs
+++ b/crates/crosspath_schedule/tests/schedule/main.rs
@@ -1,19 +1,19 @@
 //! Tests of the scheduler by its events and actions.
 
 mod cancelled;
+mod capacity;
 mod common;
 mod customer;
-mod doubt;
 mod evacuation;
-mod failing;
-mod form;
-mod lasting;
+mod failed_runs;
+mod incarnations;
+mod job_spec;
 mod limits;
-mod lives;
+mod long_running;
 mod losses;
-mod model;
-mod room;
+mod random_faults;
 mod shares;
+mod simulation;
 mod stall;
 mod takeover;
-mod world;
+mod unconfirmed;
--- a/crates/crosspath_schedule/tests/schedule/world.rs
+++ b/crates/crosspath_schedule/tests/schedule/simulation.rs
@@ -27,24 +27,24 @@
 mod worker;
 
 use self::orders::{Message, Order};
-use self::worker::{SimRun, SimWorker};
+use self::worker::{Run, Worker};
 
-const TTL: Duration = ms_const(1_200);
-const HOLD: Duration = ms_const(5_000);
-const START: Duration = ms_const(2_000);
-const LOOK_EVERY: Duration = ms_const(250);
+const MEMBERSHIP_TTL: Duration = const_ms(1_200);
+const LEASE_EXTENSION: Duration = const_ms(5_000);
+const INITIAL_LEASE: Duration = const_ms(2_000);
+const POLL_INTERVAL: Duration = const_ms(250);
 /// Longest lease that a worker takes.
-const LONGEST_HOLD: Duration = ms_const(10_000);
+const MAX_LEASE: Duration = const_ms(10_000);
 /// Failed runs after which a job has failed.
-const MOST_ATTEMPTS: u32 = 3;
+const MAX_ATTEMPTS: u32 = 3;
 /// Of a worker that begins again: chances in a hundred that the list tells at once, and that it is elsewhere.
-const TOLD_AT_ONCE: u32 = 40;
-const ELSEWHERE: u32 = 20;
+const LIST_UPDATE_PERCENT: u32 = 40;
+const NEW_ADDRESS_PERCENT: u32 = 20;
 
 /// An owner that has not acted for so long gives no orders any more.
-const FORGOTTEN: Duration = ms_const(10_000);
+const FORMER_OWNER_RETENTION: Duration = const_ms(10_000);
 
-const fn ms_const(ms: u64) -> Duration {
+const fn const_ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
@@ -54,42 +54,42 @@
     pub(crate) takeover: u32,
     pub(crate) crash: u32,
     /// Workers that begin again under their identifier.
-    pub(crate) reborn: u32,
-    pub(crate) cut: u32,
-    pub(crate) lost: u32,
-    pub(crate) late: u32,
-    pub(crate) failing: u32,
+    pub(crate) restart: u32,
+    pub(crate) partition: u32,
+    pub(crate) reply_loss: u32,
+    pub(crate) late_delivery: u32,
+    pub(crate) task_failure: u32,
 }
 
 #[derive(Debug)]
 struct Owner {
     scheduler: Scheduler,
     epoch: u64,
-    token: u64,
-    acts_until: Duration,
-    watched: BTreeMap<Arc<str>, Watched>,
+    fencing_token: u64,
+    may_act_until: Duration,
+    pollers: BTreeMap<Arc<str>, Poller>,
 }
 
 /// What looks at a worker, and orders to it, go by.
 #[derive(Debug)]
-struct Watched {
+struct Poller {
     target: Target,
     clock: Clock,
     acknowledged: u64,
-    next: Duration,
-    failing: bool,
+    next_poll: Duration,
+    last_poll_failed: bool,
 }
 
 /// The world.
 #[derive(Debug)]
-pub(crate) struct World {
+pub(crate) struct Simulation {
     rng: StdRng,
     faults: Faults,
     pub(crate) now: Duration,
-    workers: BTreeMap<Arc<str>, SimWorker>,
-    lives: u64,
+    workers: BTreeMap<Arc<str>, Worker>,
+    worker_count: u64,
     /// Entries of lives that have ended.
-    ended: Vec<Entry>,
+    ended_entries: Vec<Entry>,
     records: BTreeMap<String, Record>,
     epoch: u64,
     owners: Vec<Owner>,
@@ -97,14 +97,14 @@
     current: usize,
     messages: Vec<Message>,
     jobs: u64,
-    noted: BTreeSet<TaskId>,
+    acked_done: BTreeSet<TaskId>,
     /// Failed runs that were taken note of.
-    failed: BTreeMap<TaskId, u32>,
+    acked_failed: BTreeMap<TaskId, u32>,
     pub(crate) starts: u64,
     /// Whether some jobs crash the workers that start them.
-    deadly: bool,
+    has_fatal_jobs: bool,
     /// Whether workers that crash begin again under their identifiers.
-    keeps_ids: bool,
+    reuses_ids: bool,
     /// Lives that were lost under tasks, and starts after the third loss.
     losses: BTreeMap<TaskId, Losses>,
 }
@@ -112,53 +112,53 @@
 /// What a task has done to its workers.
 #[derive(Debug, Default)]
 struct Losses {
-    lives: u32,
-    starts_after: u32,
+    incarnations: u32,
+    starts_after_limit: u32,
 }
 
 /// Which jobs crash their workers, in a world with such jobs.
-const DEADLY_EVERY: u64 = 7;
+const FATAL_JOB_INTERVAL: u64 = 7;
 /// From the start of a deadly task to the end of its worker.
-const DEADLY_AFTER: Duration = ms_const(10);
+const FATAL_CRASH_DELAY: Duration = const_ms(10);
 /// Starts after the third loss that break the promise.
-const TOO_MANY_AFTER: u32 = 3;
+const LOSS_LIMIT: u32 = 3;
 
-impl World {
+impl Simulation {
     pub(crate) fn new(seed: u64, faults: Faults) -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             rng: StdRng::seed_from_u64(seed),
             faults,
             now: ms(10_000),
             workers: BTreeMap::new(),
-            lives: 0,
-            ended: Vec::new(),
+            worker_count: 0,
+            ended_entries: Vec::new(),
             records: BTreeMap::new(),
             epoch: 0,
             owners: Vec::new(),
             current: 0,
             messages: Vec::new(),
             jobs: 0,
-            noted: BTreeSet::new(),
-            failed: BTreeMap::new(),
+            acked_done: BTreeSet::new(),
+            acked_failed: BTreeMap::new(),
             starts: 0,
-            deadly: false,
-            keeps_ids: faults.reborn > 0,
+            has_fatal_jobs: false,
+            reuses_ids: faults.restart > 0,
             losses: BTreeMap::new(),
         };
         for n in 0..5 {
-            world.add_worker(&format!("vm-{n}"));
+            simulation.add_worker(&format!("vm-{n}"));
         }
-        world.take_over();
-        world
+        simulation.take_over();
+        simulation
     }
 
     /// A world in which some jobs crash the workers that start them, which then have other identifiers or not.
-    pub(crate) fn deadly(seed: u64, faults: Faults, keeps_ids: bool) -> Self {
-        Self { deadly: true, keeps_ids, ..Self::new(seed, faults) }
+    pub(crate) fn with_fatal_jobs(seed: u64, faults: Faults, reuses_ids: bool) -> Self {
+        Self { has_fatal_jobs: true, reuses_ids, ..Self::new(seed, faults) }
     }
 
-    fn is_deadly(&self, job: JobId) -> bool {
-        self.deadly && job.0.is_multiple_of(DEADLY_EVERY)
+    fn is_fatal(&self, job: JobId) -> bool {
+        self.has_fatal_jobs && job.0.is_multiple_of(FATAL_JOB_INTERVAL)
     }
 
     fn chance(&mut self, percent: u32) -> bool {
@@ -166,14 +166,14 @@
     }
 
     fn add_worker(&mut self, vm: &str) {
-        self.lives += 1;
-        let id = format!("w-{}", self.lives);
-        let entry = Entry { vm: vm.into(), started_ms: self.born_ms(), ..entry(&id) };
-        let clock_began = Duration::ZERO;
-        self.workers.insert(Arc::clone(&entry.id), SimWorker::new(entry, clock_began));
+        self.worker_count += 1;
+        let id = format!("w-{}", self.worker_count);
+        let entry = Entry { vm: vm.into(), started_ms: self.wall_ms(), ..entry(&id) };
+        let clock_zero = Duration::ZERO;
+        self.workers.insert(Arc::clone(&entry.id), Worker::new(entry, clock_zero));
     }
 
-    fn born_ms(&self) -> u64 {
+    fn wall_ms(&self) -> u64 {
         WALL_MS + u64::try_from(self.now.as_millis()).expect("a short time")
     }
 
@@ -181,7 +181,7 @@
         self.workers.values().map(|worker| self.entry(worker)).collect()
     }
 
-    fn entry(&self, worker: &SimWorker) -> Entry {
+    fn entry(&self, worker: &Worker) -> Entry {
         Entry { clock_ms: worker.clock_ms(self.now), ..worker.entry.clone() }
     }
 
@@ -191,24 +191,24 @@
         let records = self.records.values().cloned().collect();
         scheduler.take_over(self.now, WALL_MS, records, self.entries());
         // Some owners end in order, and say what they know of silent workers.
-        if let Some(before) = self.owners.last_mut().filter(|_| self.epoch.is_multiple_of(2)) {
-            before.acts_until = Duration::ZERO;
-            let handover = before.scheduler.handover(self.now);
+        if let Some(previous) = self.owners.last_mut().filter(|_| self.epoch.is_multiple_of(2)) {
+            previous.may_act_until = Duration::ZERO;
+            let handover = previous.scheduler.handover(self.now);
             if handover.epoch + 1 == self.epoch {
                 scheduler.handle(self.now, WALL_MS, Event::LeasesHandedOver(handover.expiries));
             }
         }
         // The owner before acts on until it counts itself out.
         for owner in &mut self.owners {
-            owner.acts_until = owner.acts_until.min(self.now + TTL);
+            owner.may_act_until = owner.may_act_until.min(self.now + MEMBERSHIP_TTL);
         }
         self.current = self.owners.len();
         self.owners.push(Owner {
             scheduler,
             epoch: self.epoch,
-            token: self.epoch,
-            acts_until: Duration::MAX,
-            watched: BTreeMap::new(),
+            fencing_token: self.epoch,
+            may_act_until: Duration::MAX,
+            pollers: BTreeMap::new(),
         });
     }
 
@@ -219,10 +219,10 @@
         second.after = vec![0];
         let job: Arc<Accepted> = accepted(vec![step(3, 6), second]);
         self.records.insert(format!("job/{id}"), Record::Accepted(id, Arc::clone(&job)));
-        self.tell(self.current, Event::Accepted(id, job));
+        self.notify(self.current, Event::Accepted(id, job));
     }
 
-    fn tell(&mut self, owner: usize, event: Event) {
+    fn notify(&mut self, owner: usize, event: Event) {
         let now = self.now;
         self.owners[owner].scheduler.handle(now, WALL_MS, event);
     }
@@ -236,162 +236,163 @@
         if self.chance(self.faults.crash) {
             self.crash();
         }
-        if self.faults.reborn > 0 && self.chance(self.faults.reborn) {
-            let at = self.rng.random_range(0..self.workers.len());
-            let id = Arc::clone(self.workers.keys().nth(at).expect("a worker"));
-            self.begin_again(&id);
+        if self.faults.restart > 0 && self.chance(self.faults.restart) {
+            let index = self.rng.random_range(0..self.workers.len());
+            let id = Arc::clone(self.workers.keys().nth(index).expect("a worker"));
+            self.restart_worker(&id);
         }
-        if self.chance(self.faults.crash.max(self.faults.reborn)) {
-            self.late_entry();
+        if self.chance(self.faults.crash.max(self.faults.restart)) {
+            self.write_late_entry();
         }
-        if self.keeps_ids && self.chance(TOLD_AT_ONCE) {
+        if self.reuses_ids && self.chance(LIST_UPDATE_PERCENT) {
             self.heartbeat();
         }
-        if self.chance(self.faults.cut) {
-            let at = self.rng.random_range(0..self.workers.len());
-            let worker = self.workers.values_mut().nth(at).expect("a worker");
-            worker.cut = !worker.cut;
+        if self.chance(self.faults.partition) {
+            let index = self.rng.random_range(0..self.workers.len());
+            let worker = self.workers.values_mut().nth(index).expect("a worker");
+            worker.is_partitioned = !worker.is_partitioned;
         }
-        self.pass();
+        self.advance_workers();
         self.deliver();
-        let last = self.now.saturating_sub(FORGOTTEN);
+        let oldest = self.now.saturating_sub(FORMER_OWNER_RETENTION);
         for owner in 0..self.owners.len() {
-            if self.owners[owner].acts_until > last {
-                self.act(owner);
+            if self.owners[owner].may_act_until > oldest {
+                self.step_owner(owner);
             }
         }
     }
 
     /// Submits a job now and then.
-    pub(crate) fn load(&mut self) {
+    pub(crate) fn maybe_submit(&mut self) {
         if self.chance(10) {
             self.submit();
         }
     }
 
     fn crash(&mut self) {
-        let at = self.rng.random_range(0..self.workers.len());
-        let id = Arc::clone(self.workers.keys().nth(at).expect("a worker"));
+        let index = self.rng.random_range(0..self.workers.len());
+        let id = Arc::clone(self.workers.keys().nth(index).expect("a worker"));
         self.crash_worker(&id);
     }
 
     fn crash_worker(&mut self, id: &Arc<str>) {
-        let Some(gone) = self.workers.remove(id) else { return };
-        for task in gone.runs.keys() {
-            self.losses.entry(*task).or_default().lives += 1;
+        let Some(crashed_worker) = self.workers.remove(id) else { return };
+        for task in crashed_worker.runs.keys() {
+            self.losses.entry(*task).or_default().incarnations += 1;
         }
-        self.add_worker(&gone.entry.vm);
-        let born = self.entries().into_iter().find(|entry| entry.vm == gone.entry.vm);
+        self.add_worker(&crashed_worker.entry.vm);
+        let new_entry =
+            self.entries().into_iter().find(|entry| entry.vm == crashed_worker.entry.vm);
         for owner in 0..self.owners.len() {
-            self.tell(owner, Event::WorkerUnlisted(Arc::clone(id)));
-            self.tell(owner, Event::WorkerListed(born.clone().expect("a worker")));
+            self.notify(owner, Event::WorkerUnlisted(Arc::clone(id)));
+            self.notify(owner, Event::WorkerListed(new_entry.clone().expect("a worker")));
         }
-        self.ended.push(gone.entry);
+        self.ended_entries.push(crashed_worker.entry);
     }
 
     /// A worker crashes, and another life begins under its identifier.
-    fn begin_again(&mut self, id: &Arc<str>) {
-        let before = self.workers.remove(id).expect("a worker");
-        for task in before.runs.keys() {
-            self.losses.entry(*task).or_default().lives += 1;
+    fn restart_worker(&mut self, id: &Arc<str>) {
+        let previous = self.workers.remove(id).expect("a worker");
+        for task in previous.runs.keys() {
+            self.losses.entry(*task).or_default().incarnations += 1;
         }
-        let mut address: SocketAddr = before.entry.address;
-        if self.chance(ELSEWHERE) {
+        let mut address: SocketAddr = previous.entry.address;
+        if self.chance(NEW_ADDRESS_PERCENT) {
             address.set_port(address.port() + 1);
         }
-        let entry = Entry { started_ms: self.born_ms(), address, ..before.entry.clone() };
-        self.workers.insert(Arc::clone(id), SimWorker::new(entry, self.now));
-        self.ended.push(before.entry);
-        if self.chance(TOLD_AT_ONCE) {
-            self.list(id);
+        let entry = Entry { started_ms: self.wall_ms(), address, ..previous.entry.clone() };
+        self.workers.insert(Arc::clone(id), Worker::new(entry, self.now));
+        self.ended_entries.push(previous.entry);
+        if self.chance(LIST_UPDATE_PERCENT) {
+            self.write_entry(id);
         }
     }
 
     /// A worker writes its entry again.
     fn heartbeat(&mut self) {
-        let at = self.rng.random_range(0..self.workers.len());
-        let id = Arc::clone(self.workers.keys().nth(at).expect("a worker"));
-        self.list(&id);
+        let index = self.rng.random_range(0..self.workers.len());
+        let id = Arc::clone(self.workers.keys().nth(index).expect("a worker"));
+        self.write_entry(&id);
     }
 
-    fn list(&mut self, id: &Arc<str>) {
+    fn write_entry(&mut self, id: &Arc<str>) {
         let entry = self.entry(&self.workers[id]);
         for owner in 0..self.owners.len() {
-            self.tell(owner, Event::WorkerListed(entry.clone()));
+            self.notify(owner, Event::WorkerListed(entry.clone()));
         }
     }
 
     /// An entry of a life that has ended is written after those of the next.
-    fn late_entry(&mut self) {
-        let Some(entry) = self.ended.pop() else { return };
+    fn write_late_entry(&mut self) {
+        let Some(entry) = self.ended_entries.pop() else { return };
         for owner in 0..self.owners.len() {
-            self.tell(owner, Event::WorkerListed(entry.clone()));
+            self.notify(owner, Event::WorkerListed(entry.clone()));
         }
     }
 
     /// Time passes on workers: runs end, leases lapse, deadly tasks crash their workers.
-    fn pass(&mut self) {
+    fn advance_workers(&mut self) {
         let now = self.now;
-        let is_fatal =
-            |(task, run): (&TaskId, &SimRun)| self.is_deadly(task.job) && now >= run.ends;
-        let crashed = self.workers.iter().filter(|(_, worker)| worker.runs.iter().any(is_fatal));
+        let crashes_now =
+            |(task, run): (&TaskId, &Run)| self.is_fatal(task.job) && now >= run.ends_at;
+        let crashed = self.workers.iter().filter(|(_, worker)| worker.runs.iter().any(crashes_now));
         let crashed: Vec<_> = crashed.map(|(id, _)| Arc::clone(id)).collect();
         for id in crashed {
-            if self.keeps_ids {
-                self.begin_again(&id);
+            if self.reuses_ids {
+                self.restart_worker(&id);
             } else {
                 self.crash_worker(&id);
             }
         }
-        let mut ends = Vec::new();
+        let mut ended = Vec::new();
         for worker in self.workers.values() {
-            let lapsed = now > worker.deadline;
+            let lease_expired = now > worker.lease_expiry;
             for (task, run) in &worker.runs {
-                if lapsed {
-                    ends.push((Arc::clone(&worker.entry.id), *task, Outcome::Lapsed));
-                } else if now >= run.ends {
-                    ends.push((Arc::clone(&worker.entry.id), *task, Outcome::Done));
+                if lease_expired {
+                    ended.push((Arc::clone(&worker.entry.id), *task, Outcome::Lapsed));
+                } else if now >= run.ends_at {
+                    ended.push((Arc::clone(&worker.entry.id), *task, Outcome::Done));
                 }
             }
         }
-        for (worker, task, how) in ends {
-            let fails = how == Outcome::Done && self.chance(self.faults.failing);
-            let how = if fails { Outcome::Failed } else { how };
-            self.workers.get_mut(&worker).expect("a worker").end(task, how);
+        for (worker, task, outcome) in ended {
+            let fails = outcome == Outcome::Done && self.chance(self.faults.task_failure);
+            let outcome = if fails { Outcome::Failed } else { outcome };
+            self.workers.get_mut(&worker).expect("a worker").end_run(task, outcome);
         }
     }
 
-    fn act(&mut self, owner: usize) {
+    fn step_owner(&mut self, owner: usize) {
         let now = self.now;
-        let acts = now < self.owners[owner].acts_until;
-        self.tell(owner, Event::MayAct(acts));
-        self.tell(owner, Event::Tick);
+        let may_act = now < self.owners[owner].may_act_until;
+        self.notify(owner, Event::MayAct(may_act));
+        self.notify(owner, Event::Tick);
         let actions = self.owners[owner].scheduler.decide(now, WALL_MS);
         for action in actions {
-            self.carry_out(owner, action);
+            self.execute(owner, action);
         }
-        let watched = self.owners[owner].watched.values();
-        let due: Vec<_> = watched
-            .filter(|watched| now >= watched.next)
-            .map(|watched| Arc::clone(&watched.target.id))
+        let pollers = self.owners[owner].pollers.values();
+        let due: Vec<_> = pollers
+            .filter(|poller| now >= poller.next_poll)
+            .map(|poller| Arc::clone(&poller.target.id))
             .collect();
         for worker in due {
-            let watched = self.owners[owner].watched.get_mut(&worker).expect("watched");
-            watched.next = Duration::MAX;
+            let poller = self.owners[owner].pollers.get_mut(&worker).expect("watched");
+            poller.next_poll = Duration::MAX;
             // A worker that was silent may let leases run out.
-            let acknowledged = watched.acknowledged;
-            let extended = acts && !watched.failing;
-            let deadline_ms = extended.then(|| watched.clock.deadline_ms(now, HOLD));
-            let look = Order::Look { acknowledged, deadline_ms, beside: false };
-            self.send(owner, &worker, look);
+            let acknowledged = poller.acknowledged;
+            let extended = may_act && !poller.last_poll_failed;
+            let deadline_ms = extended.then(|| poller.clock.deadline_ms(now, LEASE_EXTENSION));
+            let poll = Order::Poll { acknowledged, deadline_ms, one_off: false };
+            self.send(owner, &worker, poll);
         }
     }
 
-    fn carry_out(&mut self, owner: usize, action: Action) {
+    fn execute(&mut self, owner: usize, action: Action) {
         match action {
             Action::Start { worker, task, run, .. } => {
-                let Some(watched) = self.owners[owner].watched.get(&worker.id) else { return };
-                let deadline_ms = watched.clock.deadline_ms(self.now, START);
+                let Some(poller) = self.owners[owner].pollers.get(&worker.id) else { return };
+                let deadline_ms = poller.clock.deadline_ms(self.now, INITIAL_LEASE);
                 self.send(owner, &worker.id, Order::Start { task, run, deadline_ms });
             }
             Action::Stop { worker, task, run } => {
@@ -400,35 +401,35 @@
             Action::Commit { records } => {
                 if self.owners[owner].epoch < self.epoch {
                     // Fenced: nothing of it is kept, and this owner ends.
-                    self.owners[owner].acts_until = Duration::ZERO;
+                    self.owners[owner].may_act_until = Duration::ZERO;
                     return;
                 }
                 self.records.extend(records.into_iter().map(|record| (record.key(), record)));
-                self.tell(owner, Event::Committed);
+                self.notify(owner, Event::Committed);
             }
             Action::Acknowledge { worker, number } => {
-                if let Some(watched) = self.owners[owner].watched.get_mut(&worker) {
-                    watched.acknowledged = watched.acknowledged.max(number);
+                if let Some(poller) = self.owners[owner].pollers.get_mut(&worker) {
+                    poller.acknowledged = poller.acknowledged.max(number);
                 }
             }
             Action::StartPolling { worker, clock_ms } => {
-                let watched = Watched {
+                let poller = Poller {
                     target: worker,
                     clock: Clock { reading_ms: clock_ms, received: self.now },
                     acknowledged: 0,
-                    next: self.now,
-                    failing: false,
+                    next_poll: self.now,
+                    last_poll_failed: false,
                 };
-                self.owners[owner].watched.insert(Arc::clone(&watched.target.id), watched);
+                self.owners[owner].pollers.insert(Arc::clone(&poller.target.id), poller);
             }
             Action::StopPolling { worker } => {
-                self.owners[owner].watched.remove(&worker.id);
+                self.owners[owner].pollers.remove(&worker.id);
             }
             Action::Poll { worker } => {
-                let Some(watched) = self.owners[owner].watched.get(&worker.id) else { return };
-                let acknowledged = watched.acknowledged;
-                let look = Order::Look { acknowledged, deadline_ms: None, beside: true };
-                self.send(owner, &worker.id, look);
+                let Some(poller) = self.owners[owner].pollers.get(&worker.id) else { return };
+                let acknowledged = poller.acknowledged;
+                let poll = Order::Poll { acknowledged, deadline_ms: None, one_off: true };
+                self.send(owner, &worker.id, poll);
             }
             Action::Throttle { .. }
             | Action::RequestAdvice { .. }
@@ -440,7 +441,7 @@
     pub(crate) fn settle(&mut self) {
         self.faults = Faults::default();
         for worker in self.workers.values_mut() {
-            worker.cut = false;
+            worker.is_partitioned = false;
         }
         self.take_over();
         for _ in 0..2_000 {
@@ -457,12 +458,12 @@
     }
 }
 
-impl World {
+impl Simulation {
     /// After all has settled: jobs that crash their workers have failed, and no others have.
-    pub(crate) fn check_deadly(&self) {
+    pub(crate) fn check_fatal_jobs(&self) {
         let current = &self.owners[self.current].scheduler;
         for job in (1..=self.jobs).map(JobId) {
-            let expected = if self.is_deadly(job) { State::Failed } else { State::Completed };
+            let expected = if self.is_fatal(job) { State::Failed } else { State::Completed };
             assert_eq!(current.state(job), Some(expected), "job {job}, {:?}", self.faults);
         }
     }
--- /dev/null
+++ b/crates/crosspath_schedule/tests/schedule/simulation/worker.rs
@@ -0,0 +1,76 @@
+//! A worker of the world: runs under a lease, ends that are listed until they are acknowledged.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use crosspath_border::worker::{Ended, Entry, Outcome, PollReply, Running};
+use crosspath_job::TaskId;
+
+use super::MAX_LEASE;
+use crate::common::ms;
+
+#[derive(Debug)]
+pub(super) struct Run {
+    pub(super) number: u64,
+    pub(super) ends_at: Duration,
+}
+
+#[derive(Debug)]
+pub(super) struct Worker {
+    pub(super) entry: Entry,
+    /// When its clock showed 0.
+    pub(super) clock_zero: Duration,
+    pub(super) fencing_token: u64,
+    pub(super) lease_expiry: Duration,
+    pub(super) runs: BTreeMap<TaskId, Run>,
+    /// Highest number per task that ended or was stopped here.
+    pub(super) refused_up_to: BTreeMap<TaskId, u64>,
+    pub(super) ended: Vec<Ended>,
+    pub(super) end_count: u64,
+    pub(super) is_partitioned: bool,
+}
+
+impl Worker {
+    pub(super) fn new(entry: Entry, clock_zero: Duration) -> Self {
+        Self {
+            entry,
+            clock_zero,
+            fencing_token: 0,
+            lease_expiry: Duration::ZERO,
+            runs: BTreeMap::new(),
+            refused_up_to: BTreeMap::new(),
+            ended: Vec::new(),
+            end_count: 0,
+            is_partitioned: false,
+        }
+    }
+
+    pub(super) fn clock_ms(&self, now: Duration) -> u64 {
+        u64::try_from(now.saturating_sub(self.clock_zero).as_millis()).expect("a short time")
+    }
+
+    /// When a deadline on its clock has passed; no lease is longer than the longest.
+    pub(super) fn expiry(&self, now: Duration, deadline_ms: u64) -> Duration {
+        (self.clock_zero + ms(deadline_ms)).min(now + MAX_LEASE)
+    }
+
+    pub(super) fn end_run(&mut self, task: TaskId, outcome: Outcome) {
+        let Some(run) = self.runs.remove(&task) else { return };
+        self.refused_up_to.insert(task, run.number);
+        self.end_count += 1;
+        let number = self.end_count;
+        self.ended.push(Ended { number, task, run: run.number, outcome, checkpoint: None });
+    }
+
+    pub(super) fn poll_reply(&self, now: Duration) -> PollReply {
+        let running = self.runs.iter().map(|(task, run)| Running {
+            task: *task,
+            run: run.number,
+            checkpoint: None,
+            percent: 50,
+            gauge: 0,
+        });
+        let (clock_ms, started_ms) = (self.clock_ms(now), self.entry.started_ms);
+        PollReply { clock_ms, started_ms, running: running.collect(), ended: self.ended.clone() }
+    }
+}
--- a/crates/crosspath_schedule/tests/schedule/takeover.rs
+++ b/crates/crosspath_schedule/tests/schedule/takeover.rs
@@ -5,332 +5,336 @@
 use crosspath_schedule::Event;
 
 use crate::common::{
-    Bed, JOB, Ordered, WALL_MS, accepted, ended, entry, kept, ms, running, step, task,
+    Harness, JOB, Order, WALL_MS, accepted, committed_records, ended, entry, ms, running, step,
+    task,
 };
 
 /// An owner before that has started the job's one task on one of `workers`, and what it kept.
-fn owner_before(workers: &[&str]) -> (Ordered, Vec<Record>) {
-    let mut before = Bed::with_workers(workers);
-    before.submit(vec![step(1, 2)]);
+fn start_under_previous_owner(workers: &[&str]) -> (Order, Vec<Record>) {
+    let mut previous = Harness::with_workers(workers);
+    previous.submit(vec![step(1, 2)]);
     let mut records = vec![Record::Accepted(JOB, accepted(vec![step(1, 2)]))];
-    records.extend(kept(&before.actions));
-    (before.starts().remove(0), records)
+    records.extend(committed_records(&previous.actions));
+    (previous.take_starts().remove(0), records)
 }
 
 /// A new owner, after one that had not started anything.
-fn inherited(workers: &[&str]) -> Bed {
-    let mut bed = Bed::new(2);
+fn new_owner(workers: &[&str]) -> Harness {
+    let mut harness = Harness::new(2);
     let record = Record::Accepted(JOB, accepted(vec![step(1, 2)]));
-    bed.take_over(vec![record], workers);
-    bed
+    harness.take_over(vec![record], workers);
+    harness
 }
 
-fn silent(bed: &mut Bed, worker: &str) {
-    let (worker, sent, error) = (worker.into(), bed.now, Error::NoAnswer);
-    bed.send(Event::PollFailed { worker, sent, extended: false, error });
+fn poll_unanswered(harness: &mut Harness, worker: &str) {
+    let (worker, sent, error) = (worker.into(), harness.now, Error::NoAnswer);
+    harness.send(Event::PollFailed { worker, sent, extended: false, error });
 }
 
 #[test]
 fn an_adopted_run_is_not_started_again() {
-    let (order, records) = owner_before(&["a", "b"]);
-    let mut bed = Bed::new(2);
-    bed.take_over(records, &["a", "b"]);
+    let (order, records) = start_under_previous_owner(&["a", "b"]);
+    let mut harness = Harness::new(2);
+    harness.take_over(records, &["a", "b"]);
     for worker in ["a", "b"] {
-        let there = *worker == *order.worker;
-        let rows = there.then(|| running(order.task, order.run));
-        bed.held(worker, rows.into_iter().collect(), Vec::new());
+        let is_here = *worker == *order.worker;
+        let rows = is_here.then(|| running(order.task, order.run));
+        harness.polled(worker, rows.into_iter().collect(), Vec::new());
     }
-    bed.pass(ms(20_000));
-    assert_eq!(bed.starts(), Vec::new());
-    assert_eq!(bed.stops(), Vec::new());
+    harness.advance(ms(20_000));
+    assert_eq!(harness.take_starts(), Vec::new());
+    assert_eq!(harness.take_stops(), Vec::new());
 }
 
 #[test]
-fn a_task_without_a_place_in_the_log_starts_as_soon_as_some_worker_answers() {
-    let mut bed = inherited(&["a", "b"]);
-    bed.held("a", Vec::new(), Vec::new());
-    assert_eq!(bed.starts().len(), 1);
+fn a_task_without_a_placement_record_starts_as_soon_as_a_worker_answers() {
+    let mut harness = new_owner(&["a", "b"]);
+    harness.polled("a", Vec::new(), Vec::new());
+    assert_eq!(harness.take_starts().len(), 1);
 }
 
 #[test]
-fn a_task_that_its_worker_does_not_show_starts_elsewhere_once_that_has_answered() {
-    let (order, records) = owner_before(&["a", "b"]);
+fn a_task_that_its_worker_does_not_report_starts_once_that_worker_has_answered() {
+    let (order, records) = start_under_previous_owner(&["a", "b"]);
     let other = if *order.worker == *"a" { "b" } else { "a" };
-    let mut bed = Bed::new(2);
-    bed.take_over(records, &["a", "b"]);
-    bed.held(other, Vec::new(), Vec::new());
-    assert_eq!(bed.starts(), Vec::new());
+    let mut harness = Harness::new(2);
+    harness.take_over(records, &["a", "b"]);
+    harness.polled(other, Vec::new(), Vec::new());
+    assert_eq!(harness.take_starts(), Vec::new());
     let worker = order.worker.to_string();
-    bed.held(&worker, Vec::new(), Vec::new());
-    let starts = bed.starts();
+    harness.polled(&worker, Vec::new(), Vec::new());
+    let starts = harness.take_starts();
     assert_eq!(starts.len(), 1);
     assert!(starts[0].run > order.run, "run numbers rise over owners");
 }
 
 /// Passes time with `answering` answering and `quiet` not, until something starts.
-fn time_to_start(bed: &mut Bed, answering: &str, quiet: &str) -> std::time::Duration {
-    let began = bed.now;
-    bed.held(answering, Vec::new(), Vec::new());
-    silent(bed, quiet);
+fn time_to_start(harness: &mut Harness, answering: &str, silent: &str) -> std::time::Duration {
+    let started_at = harness.now;
+    harness.polled(answering, Vec::new(), Vec::new());
+    poll_unanswered(harness, silent);
     loop {
-        if !bed.starts().is_empty() {
-            return bed.now - began;
+        if !harness.take_starts().is_empty() {
+            return harness.now - started_at;
         }
-        assert!(bed.now < began + ms(30_000), "nothing starts");
-        bed.pass(ms(100));
-        bed.held(answering, Vec::new(), Vec::new());
+        assert!(harness.now < started_at + ms(30_000), "nothing starts");
+        harness.advance(ms(100));
+        harness.polled(answering, Vec::new(), Vec::new());
     }
 }
 
 #[test]
-fn a_silent_worker_holds_its_tasks_up_until_its_leases_must_have_ended() {
-    let (order, records) = owner_before(&["a", "b"]);
+fn a_silent_worker_delays_its_tasks_until_its_leases_have_expired() {
+    let (order, records) = start_under_previous_owner(&["a", "b"]);
     let other = if *order.worker == *"a" { "b" } else { "a" };
-    let mut bed = Bed::new(2);
-    bed.take_over(records, &["a", "b"]);
+    let mut harness = Harness::new(2);
+    harness.take_over(records, &["a", "b"]);
     let worker = order.worker.to_string();
-    let waited = time_to_start(&mut bed, other, &worker);
+    let waited = time_to_start(&mut harness, other, &worker);
     assert!(waited > ms(1_200) + ms(5_000), "{waited:?}");
     assert!(waited < ms(8_000), "{waited:?}");
 }
 
 #[test]
-fn a_place_outlives_an_owner_that_did_not_see_the_run() {
-    let (order, mut records) = owner_before(&["a", "b"]);
+fn a_placement_record_survives_an_owner_that_did_not_see_the_run() {
+    let (order, mut records) = start_under_previous_owner(&["a", "b"]);
     let other = if *order.worker == *"a" { "b" } else { "a" };
-    let mut second = Bed::new(2);
+    let mut second = Harness::new(2);
     second.take_over(records.clone(), &["a", "b"]);
-    second.held(other, Vec::new(), Vec::new());
-    let keep = second.scheduler.progress(JOB, WALL_MS).expect("a known job");
-    records.push(Record::Progress(JOB, keep));
-    let mut third = Bed::new(3);
+    second.polled(other, Vec::new(), Vec::new());
+    let progress = second.scheduler.progress(JOB, WALL_MS).expect("a known job");
+    records.push(Record::Progress(JOB, progress));
+    let mut third = Harness::new(3);
     third.take_over(records, &["a", "b"]);
-    third.held(other, Vec::new(), Vec::new());
-    assert_eq!(third.starts(), Vec::new(), "the first owner's run may be on {}", order.worker);
+    third.polled(other, Vec::new(), Vec::new());
+    assert_eq!(third.take_starts(), Vec::new(), "the first owner's run may be on {}", order.worker);
 }
 
 #[test]
-fn a_silent_worker_that_leaves_the_list_is_waited_for_all_the_same() {
-    let (order, records) = owner_before(&["a", "b"]);
+fn a_silent_worker_that_is_unlisted_still_delays_its_tasks() {
+    let (order, records) = start_under_previous_owner(&["a", "b"]);
     let other = if *order.worker == *"a" { "b" } else { "a" };
-    let mut bed = Bed::new(2);
-    bed.take_over(records, &["a", "b"]);
-    let began = bed.now;
-    silent(&mut bed, &order.worker);
-    bed.send(Event::WorkerUnlisted(order.worker.clone()));
-    while bed.now < began + ms(6_000) {
-        bed.pass(ms(100));
-        bed.held(other, Vec::new(), Vec::new());
-        assert_eq!(bed.starts(), Vec::new(), "after {:?}", bed.now - began);
+    let mut harness = Harness::new(2);
+    harness.take_over(records, &["a", "b"]);
+    let started_at = harness.now;
+    poll_unanswered(&mut harness, &order.worker);
+    harness.send(Event::WorkerUnlisted(order.worker.clone()));
+    while harness.now < started_at + ms(6_000) {
+        harness.advance(ms(100));
+        harness.polled(other, Vec::new(), Vec::new());
+        assert_eq!(harness.take_starts(), Vec::new(), "after {:?}", harness.now - started_at);
     }
-    bed.pass(ms(2_000));
-    assert_eq!(bed.starts().len(), 1);
+    harness.advance(ms(2_000));
+    assert_eq!(harness.take_starts().len(), 1);
 }
 
 #[test]
-fn a_task_that_no_record_places_does_not_wait_for_silent_workers() {
-    let mut bed = Bed::new(2);
+fn a_task_without_a_placement_record_does_not_wait_for_silent_workers() {
+    let mut harness = Harness::new(2);
     let record = Record::Accepted(JOB, accepted(vec![step(1, 2)]));
-    bed.take_over(vec![record], &["a", "b"]);
-    assert_eq!(bed.starts(), Vec::new(), "no worker has answered yet");
-    bed.held("b", Vec::new(), Vec::new());
-    bed.pass(ms(100));
-    assert_eq!(bed.starts().len(), 1);
+    harness.take_over(vec![record], &["a", "b"]);
+    assert_eq!(harness.take_starts(), Vec::new(), "no worker has answered yet");
+    harness.polled("b", Vec::new(), Vec::new());
+    harness.advance(ms(100));
+    assert_eq!(harness.take_starts().len(), 1);
 }
 
 #[test]
-fn nothing_is_started_before_its_place_is_kept() {
-    let mut bed = Bed::with_workers(&["a"]);
-    bed.keeps = false;
-    bed.submit(vec![step(2, 2)]);
-    bed.pass(ms(100));
-    assert_eq!(bed.starts(), Vec::new());
-    bed.send(Event::Committed);
-    assert_eq!(bed.starts().len(), 2);
+fn nothing_is_started_before_its_placement_is_durable() {
+    let mut harness = Harness::with_workers(&["a"]);
+    harness.auto_commit = false;
+    harness.submit(vec![step(2, 2)]);
+    harness.advance(ms(100));
+    assert_eq!(harness.take_starts(), Vec::new());
+    harness.send(Event::Committed);
+    assert_eq!(harness.take_starts().len(), 2);
 }
 
 #[test]
-fn while_the_store_is_away_nothing_is_started_without_a_record() {
-    let mut bed = Bed::with_workers(&["a"]);
-    bed.keeps = false;
-    bed.submit(vec![step(2, 2)]);
+fn during_a_store_outage_nothing_is_started_without_a_record() {
+    let mut harness = Harness::with_workers(&["a"]);
+    harness.auto_commit = false;
+    harness.submit(vec![step(2, 2)]);
     // Far longer than membership lasts; the owner may act on since the store is away for all.
     for _ in 0..60 {
-        bed.pass(ms(100));
-        bed.send(Event::MayAct(true));
-        assert_eq!(bed.starts(), Vec::new());
+        harness.advance(ms(100));
+        harness.send(Event::MayAct(true));
+        assert_eq!(harness.take_starts(), Vec::new());
     }
     // The record that was under way is kept once the store is back.
-    bed.send(Event::Committed);
-    assert_eq!(bed.starts().len(), 2);
-    bed.send(Event::Committed);
-    assert_eq!(bed.starts(), Vec::new(), "nothing is started twice");
+    harness.send(Event::Committed);
+    assert_eq!(harness.take_starts().len(), 2);
+    harness.send(Event::Committed);
+    assert_eq!(harness.take_starts(), Vec::new(), "nothing is started twice");
 }
 
 #[test]
-fn an_end_that_the_owner_before_kept_but_did_not_acknowledge_counts_once() {
-    let mut first = Bed::with_workers(&["a"]);
+fn an_end_that_the_previous_owner_stored_but_did_not_acknowledge_counts_once() {
+    let mut first = Harness::with_workers(&["a"]);
     first.submit(vec![step(1, 2)]);
-    let order = first.starts().remove(0);
+    let order = first.take_starts().remove(0);
     first.started(&order);
-    first.held("a", Vec::new(), vec![ended(1, order.task, order.run, Outcome::Failed)]);
-    first.pass(ms(50));
+    first.polled("a", Vec::new(), vec![ended(1, order.task, order.run, Outcome::Failed)]);
+    first.advance(ms(50));
     let mut records = vec![Record::Accepted(JOB, accepted(vec![step(1, 2)]))];
-    records.extend(kept(&first.actions));
-    let mut bed = Bed::new(2);
-    bed.take_over(records, &["a"]);
+    records.extend(committed_records(&first.actions));
+    let mut harness = Harness::new(2);
+    harness.take_over(records, &["a"]);
     // Listed again, and then one more failure: with max_attempts 3 a third attempt is due.
-    bed.held("a", Vec::new(), vec![ended(1, order.task, order.run, Outcome::Failed)]);
-    let order = bed.starts().remove(0);
-    bed.started(&order);
-    bed.held("a", Vec::new(), vec![ended(2, order.task, order.run, Outcome::Failed)]);
-    bed.pass(ms(5_000));
-    assert_eq!(bed.starts().len(), 1, "the third attempt is due");
+    harness.polled("a", Vec::new(), vec![ended(1, order.task, order.run, Outcome::Failed)]);
+    let order = harness.take_starts().remove(0);
+    harness.started(&order);
+    harness.polled("a", Vec::new(), vec![ended(2, order.task, order.run, Outcome::Failed)]);
+    harness.advance(ms(5_000));
+    assert_eq!(harness.take_starts().len(), 1, "the third attempt is due");
 }
 
 #[test]
-fn of_two_lives_of_a_vm_the_one_that_ran_the_task_is_asked() {
-    let mut bed = Bed::new(2);
-    let (order, records) = owner_before(&["a-new"]);
+fn of_two_incarnations_of_a_vm_the_one_that_ran_the_task_must_answer() {
+    let mut harness = Harness::new(2);
+    let (order, records) = start_under_previous_owner(&["a-new"]);
     // The list still has the life before, and gives it last.
     let old = Entry { vm: "vm".into(), ..entry("z-old") };
     let new = Entry { vm: "vm".into(), ..entry("a-new") };
-    bed.scheduler.take_over(bed.now, WALL_MS, records, vec![new, old]);
-    bed.decide();
-    bed.pass(ms(100));
-    assert_eq!(bed.starts(), Vec::new(), "the later life has not told what runs there");
-    bed.held("a-new", vec![running(order.task, order.run)], Vec::new());
-    bed.pass(ms(100));
-    assert_eq!(bed.starts(), Vec::new());
+    harness.scheduler.take_over(harness.now, WALL_MS, records, vec![new, old]);
+    harness.decide();
+    harness.advance(ms(100));
+    assert_eq!(harness.take_starts(), Vec::new(), "the later life has not told what runs there");
+    harness.polled("a-new", vec![running(order.task, order.run)], Vec::new());
+    harness.advance(ms(100));
+    assert_eq!(harness.take_starts(), Vec::new());
     assert_eq!(order.task, task(0, 0));
 }
 
 #[test]
-fn a_late_entry_of_an_earlier_life_does_not_end_the_one_that_answers() {
-    let mut bed = Bed::new(1);
+fn a_late_entry_of_an_earlier_incarnation_does_not_end_the_one_that_answers() {
+    let mut harness = Harness::new(1);
     let new = Entry { vm: "vm".into(), ..entry("new") };
     let late = Entry { vm: "vm".into(), ..entry("old") };
-    bed.scheduler.take_over(bed.now, WALL_MS, Vec::new(), vec![new]);
-    bed.decide();
-    bed.held("new", Vec::new(), Vec::new());
-    bed.submit(vec![step(1, 2)]);
-    let order = bed.starts().remove(0);
-    bed.started(&order);
-    bed.send(Event::WorkerListed(entry("other")));
-    bed.held("other", Vec::new(), Vec::new());
-    bed.send(Event::WorkerListed(late));
-    bed.pass(ms(100));
-    assert_eq!(bed.starts(), Vec::new(), "the task runs where it was");
+    harness.scheduler.take_over(harness.now, WALL_MS, Vec::new(), vec![new]);
+    harness.decide();
+    harness.polled("new", Vec::new(), Vec::new());
+    harness.submit(vec![step(1, 2)]);
+    let order = harness.take_starts().remove(0);
+    harness.started(&order);
+    harness.send(Event::WorkerListed(entry("other")));
+    harness.polled("other", Vec::new(), Vec::new());
+    harness.send(Event::WorkerListed(late));
+    harness.advance(ms(100));
+    assert_eq!(harness.take_starts(), Vec::new(), "the task runs where it was");
     // The earlier life does not answer, and the later one does.
-    silent(&mut bed, "old");
-    bed.held("new", vec![running(order.task, order.run)], Vec::new());
-    bed.pass(ms(1_000));
-    assert_eq!(bed.starts(), Vec::new());
+    poll_unanswered(&mut harness, "old");
+    harness.polled("new", vec![running(order.task, order.run)], Vec::new());
+    harness.advance(ms(1_000));
+    assert_eq!(harness.take_starts(), Vec::new());
 }
 
 #[test]
-fn of_two_lives_in_the_list_the_one_that_answers_is_there() {
-    let mut bed = Bed::new(2);
-    let (order, records) = owner_before(&["new"]);
+fn of_two_listed_incarnations_the_one_that_answers_is_current() {
+    let mut harness = Harness::new(2);
+    let (order, records) = start_under_previous_owner(&["new"]);
     let new = Entry { vm: "vm".into(), ..entry("new") };
     let late = Entry { vm: "vm".into(), ..entry("old") };
-    bed.scheduler.take_over(bed.now, WALL_MS, records, vec![new, late, entry("other")]);
-    bed.decide();
-    bed.held("other", Vec::new(), Vec::new());
-    bed.pass(ms(100));
-    assert_eq!(bed.starts(), Vec::new(), "the life that was recorded may run the task");
-    bed.held("new", vec![running(order.task, order.run)], Vec::new());
-    bed.pass(ms(100));
-    assert_eq!(bed.starts(), Vec::new());
+    harness.scheduler.take_over(harness.now, WALL_MS, records, vec![new, late, entry("other")]);
+    harness.decide();
+    harness.polled("other", Vec::new(), Vec::new());
+    harness.advance(ms(100));
+    assert_eq!(harness.take_starts(), Vec::new(), "the life that was recorded may run the task");
+    harness.polled("new", vec![running(order.task, order.run)], Vec::new());
+    harness.advance(ms(100));
+    assert_eq!(harness.take_starts(), Vec::new());
 }
 
 #[test]
-fn a_life_that_answers_ends_those_before_it() {
-    let mut bed = Bed::new(1);
+fn an_incarnation_that_answers_ends_the_earlier_ones() {
+    let mut harness = Harness::new(1);
     let old = Entry { vm: "vm".into(), ..entry("old") };
     let new = Entry { vm: "vm".into(), ..entry("new") };
-    bed.scheduler.take_over(bed.now, WALL_MS, Vec::new(), vec![old]);
-    bed.decide();
-    bed.held("old", Vec::new(), Vec::new());
-    bed.submit(vec![step(1, 2)]);
-    let order = bed.starts().remove(0);
-    bed.started(&order);
-    bed.send(Event::WorkerListed(new));
-    bed.held("new", Vec::new(), Vec::new());
-    bed.pass(ms(50));
-    assert_eq!(bed.starts().len(), 1, "what ran in the life before is gone with it");
+    harness.scheduler.take_over(harness.now, WALL_MS, Vec::new(), vec![old]);
+    harness.decide();
+    harness.polled("old", Vec::new(), Vec::new());
+    harness.submit(vec![step(1, 2)]);
+    let order = harness.take_starts().remove(0);
+    harness.started(&order);
+    harness.send(Event::WorkerListed(new));
+    harness.polled("new", Vec::new(), Vec::new());
+    harness.advance(ms(50));
+    assert_eq!(harness.take_starts().len(), 1, "what ran in the life before is gone with it");
 }
 
 /// How long the job's one task waits under the last of some owners, of which each takes over `between`
 /// after the one before, while the task's worker is silent and, from the first of them on, not listed.
-fn wait_under_last_owner(between: &[u64], hears: bool) -> std::time::Duration {
-    let (order, records) = owner_before(&["a", "b"]);
+fn wait_under_last_owner(pauses: &[u64], with_handover: bool) -> std::time::Duration {
+    let (order, records) = start_under_previous_owner(&["a", "b"]);
     let other = if *order.worker == *"a" { "b" } else { "a" };
-    let mut owner = Bed::new(2);
+    let mut owner = Harness::new(2);
     owner.take_over(records.clone(), &["a", "b"]);
-    owner.held(other, Vec::new(), Vec::new());
-    silent(&mut owner, &order.worker);
-    for (epoch, pause) in (3..).zip(between) {
-        owner.pass(ms(*pause));
+    owner.polled(other, Vec::new(), Vec::new());
+    poll_unanswered(&mut owner, &order.worker);
+    for (epoch, pause) in (3..).zip(pauses) {
+        owner.advance(ms(*pause));
         let handover = owner.scheduler.handover(owner.now);
         assert_eq!(handover.epoch + 1, epoch);
-        let mut next = Bed::at(epoch, owner.now);
+        let mut next = Harness::claimed_at(epoch, owner.now);
         next.take_over(records.clone(), &[other]);
-        if hears {
+        if with_handover {
             next.send(Event::LeasesHandedOver(handover.expiries));
         }
-        next.held(other, Vec::new(), Vec::new());
+        next.polled(other, Vec::new(), Vec::new());
         owner = next;
     }
-    let began = owner.now;
-    while owner.starts().is_empty() {
-        assert!(owner.now < began + ms(30_000), "nothing starts");
-        owner.pass(ms(100));
-        owner.held(other, Vec::new(), Vec::new());
+    let started_at = owner.now;
+    while owner.take_starts().is_empty() {
+        assert!(owner.now < started_at + ms(30_000), "nothing starts");
+        owner.advance(ms(100));
+        owner.polled(other, Vec::new(), Vec::new());
     }
-    owner.now - began
+    owner.now - started_at
 }
 
 #[test]
-fn an_owner_that_leaves_tells_the_next_how_long_it_has_waited_already() {
-    let alone = wait_under_last_owner(&[1_000, 4_000], false);
-    assert!(alone > ms(6_400), "{alone:?}");
-    let told = wait_under_last_owner(&[1_000, 4_000], true);
-    assert!(told < alone - ms(4_000), "{told:?} instead of {alone:?}");
-    assert!(told > ms(1_000), "leases last: {told:?}");
+fn a_handover_shortens_the_wait_by_what_the_previous_owner_has_waited() {
+    let without_handover = wait_under_last_owner(&[1_000, 4_000], false);
+    assert!(without_handover > ms(6_400), "{without_handover:?}");
+    let with_handover = wait_under_last_owner(&[1_000, 4_000], true);
+    assert!(
+        with_handover < without_handover - ms(4_000),
+        "{with_handover:?} instead of {without_handover:?}"
+    );
+    assert!(with_handover > ms(1_000), "leases last: {with_handover:?}");
 }
 
 #[test]
-fn with_an_owner_after_the_other_the_wait_ends_all_the_same() {
-    let told = wait_under_last_owner(&[1_000, 2_000, 1_000, 1_500], true);
-    assert!(told <= ms(1_600), "{told:?}");
-    let alone = wait_under_last_owner(&[1_000, 2_000, 1_000, 1_500], false);
-    assert!(alone > ms(6_400), "{alone:?}");
+fn with_successive_owners_and_handovers_the_wait_still_ends() {
+    let with_handover = wait_under_last_owner(&[1_000, 2_000, 1_000, 1_500], true);
+    assert!(with_handover <= ms(1_600), "{with_handover:?}");
+    let without_handover = wait_under_last_owner(&[1_000, 2_000, 1_000, 1_500], false);
+    assert!(without_handover > ms(6_400), "{without_handover:?}");
 }
 
 #[test]
-fn a_worker_that_its_owner_has_looked_at_may_have_heard_that_until_the_owner_left() {
-    let mut first = Bed::with_workers(&["a"]);
-    first.pass(ms(3_000));
-    let over = first.scheduler.handover(first.now).expiries;
-    assert!(over["a"] >= first.now + ms(5_000), "{over:?}");
+fn a_polled_worker_may_have_extended_its_leases_until_the_handover() {
+    let mut first = Harness::with_workers(&["a"]);
+    first.advance(ms(3_000));
+    let expiries = first.scheduler.handover(first.now).expiries;
+    assert!(expiries["a"] >= first.now + ms(5_000), "{expiries:?}");
 }
 
 #[test]
-fn a_look_on_its_way_holds_up_what_the_owner_before_gave_free() {
-    let (order, records) = owner_before(&["a", "b"]);
+fn a_poll_in_flight_delays_tasks_whose_leases_were_handed_over_as_expired() {
+    let (order, records) = start_under_previous_owner(&["a", "b"]);
     let other = if *order.worker == *"a" { "b" } else { "a" };
-    let mut bed = Bed::new(2);
-    bed.take_over(records, &["a", "b"]);
-    let over = [(order.worker.clone(), bed.now)].into();
-    bed.send(Event::LeasesHandedOver(over));
-    bed.held(other, Vec::new(), Vec::new());
-    bed.pass(ms(500));
-    assert_eq!(bed.starts(), Vec::new(), "its first look may extend what runs there");
+    let mut harness = Harness::new(2);
+    harness.take_over(records, &["a", "b"]);
+    let expiries = [(order.worker.clone(), harness.now)].into();
+    harness.send(Event::LeasesHandedOver(expiries));
+    harness.polled(other, Vec::new(), Vec::new());
+    harness.advance(ms(500));
+    assert_eq!(harness.take_starts(), Vec::new(), "its first look may extend what runs there");
     // That look fails, and may have been heard.
-    let (worker, sent) = (order.worker.clone(), bed.now);
+    let (worker, sent) = (order.worker.clone(), harness.now);
     let error = Error::NoAnswer;
-    bed.send(Event::PollFailed { worker, sent, extended: true, error });
-    bed.pass(ms(3_000));
-    assert_eq!(bed.starts(), Vec::new(), "it may have been heard");
+    harness.send(Event::PollFailed { worker, sent, extended: true, error });
+    harness.advance(ms(3_000));
+    assert_eq!(harness.take_starts(), Vec::new(), "it may have been heard");
 }
