--- a/crates/crosspath_soak/src/audit.rs
+++ b/crates/crosspath_soak/src/audit.rs
@@ -151,8 +151,8 @@
     }
 }
 
-impl worker::Audit for Audit {
-    fn began(&self, worker: &str, task: &str, run: u64, text: &str) -> u64 {
+impl worker::Observer for Audit {
+    fn run_started(&self, worker: &str, task: &str, run: u64, text: &str) -> u64 {
         let Ok(id) = task.parse::<TaskId>() else {
             self.violation(format!("{task} run {run}: no name of a task"));
             return 0;
@@ -176,7 +176,7 @@
         before
     }
 
-    fn ended(&self, worker: &str, task: &str, run: u64, how: &str) {
+    fn run_ended(&self, worker: &str, task: &str, run: u64, how: &str) {
         let Ok(id) = task.parse::<TaskId>() else { return };
         let mut state = self.lock();
         if state.running.get(&id).is_some_and(|(at, there)| at == worker && *there == run) {
@@ -190,7 +190,7 @@
         }
     }
 
-    fn noted(&self, task: &str, how: &str) {
+    fn end_acknowledged(&self, task: &str, how: &str) {
         let Ok(id) = task.parse::<TaskId>() else { return };
         if how == "done" {
             self.lock().noted.insert(id);
--- a/crates/crosspath_soak/src/run.rs
+++ b/crates/crosspath_soak/src/run.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crosspath_platform_stand_in::caller::{Job, Shown};
+use crosspath_platform_stand_in::caller::{Job, Lookup};
 use crosspath_platform_stand_in::store::{Mode, PARTITIONS, Route, Store};
 use crosspath_platform_stand_in::worker::Worker;
 use futures::future::join_all;
@@ -102,7 +102,7 @@
             let proxy = proxy.context(SetupSnafu { what: "proxy" })?;
             worker.publish(&site.store, proxy.address);
             if plan.reborn {
-                worker.keep_id();
+                worker.reuse_id();
             }
             site.workers.push(worker);
             site.worker_proxies.push(proxy);
@@ -188,21 +188,21 @@
     let shown = traffic.state(job).await;
     let running = audit.running(job.id);
     match &shown {
-        Shown::State(state) if state == "completed" => {
+        Lookup::State(state) if state == "completed" => {
             (!audit.is_done(job)).then(|| format!("job {} is shown as done and is not", job.id))
         }
-        Shown::State(state) if state == "failed" && audit.may_be_given_up(job) => {
+        Lookup::State(state) if state == "failed" && audit.may_be_given_up(job) => {
             (running > 0).then(|| format!("job {} was given up and runs", job.id))
         }
-        Shown::State(state) if state == "cancelled" && told.cancel_tried => {
+        Lookup::State(state) if state == "cancelled" && told.cancel_tried => {
             (running > 0).then(|| format!("cancelled job {} runs", job.id))
         }
-        Shown::State(state) if state == "running" && job.work.lasts && !told.cancelled => {
+        Lookup::State(state) if state == "running" && job.work.long_running && !told.cancelled => {
             let all = job.steps.iter().sum::<u32>() as usize;
             (running < all)
                 .then(|| format!("lasting job {} runs only {running} of {all} tasks", job.id))
         }
-        Shown::None if !told.accepted => None,
+        Lookup::None if !told.accepted => None,
         other => Some(format!("job {} may not be shown as {other:?} now ({told:?})", job.id)),
     }
 }
@@ -237,7 +237,7 @@
 /// Cancels what lasts, which must then stop.
 async fn end_lasting(audit: &Audit, traffic: &Traffic) {
     let jobs = audit.jobs().into_iter().map(|(job, _)| job);
-    let lasting: Vec<Job> = jobs.filter(|job| job.work.lasts).collect();
+    let lasting: Vec<Job> = jobs.filter(|job| job.work.long_running).collect();
     for job in &lasting {
         if audit.running(job.id) > 0 && !traffic.end(job).await {
             audit.violation(format!("job {} cannot be cancelled", job.id));
--- a/crates/crosspath_soak/src/traffic.rs
+++ b/crates/crosspath_soak/src/traffic.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crosspath_job::JobId;
-use crosspath_platform_stand_in::caller::{Caller, Job, Outcome, Shown};
+use crosspath_platform_stand_in::caller::{Caller, Job, Lookup, Outcome};
 use crosspath_platform_stand_in::worker::Work;
 use rand::rngs::StdRng;
 use rand::{RngExt as _, SeedableRng as _};
@@ -25,14 +25,14 @@
 
 fn job(rng: &mut StdRng) -> Job {
     let steps = (0..rng.random_range(1..=3)).map(|_| rng.random_range(1..=4)).collect();
-    let lasts = chance(rng, 5);
+    let long_running = chance(rng, 5);
     Job {
         id: JobId(rng.random()),
         queue: QUEUES[rng.random_range(0..QUEUES.len())].to_owned(),
-        steps: if lasts { vec![2] } else { steps },
+        steps: if long_running { vec![2] } else { steps },
         work: Work {
-            takes_ms: rng.random_range(30..600),
-            lasts,
+            duration_ms: rng.random_range(30..600),
+            long_running,
             fails_first: chance(rng, 10),
             crashes: false,
         },
@@ -89,7 +89,7 @@
                     break;
                 }
                 Outcome::Refused => {}
-                Outcome::Unknown | Outcome::Doubtful => {
+                Outcome::NotFound | Outcome::Unconfirmed => {
                     self.audit.told(job.id, |told| told.doubtful = true);
                 }
             }
@@ -124,14 +124,14 @@
     }
 
     /// A job's state, as the first daemon that knows something shows it.
-    pub(crate) async fn state(&self, job: &Job) -> Shown {
+    pub(crate) async fn state(&self, job: &Job) -> Lookup {
         for caller in &self.callers {
             let shown = caller.state(job).await;
-            if shown != Shown::Nothing {
+            if shown != Lookup::Nothing {
                 return shown;
             }
         }
-        Shown::Nothing
+        Lookup::Nothing
     }
 
     /// Cancels a job at whichever daemon takes it.
