--- a/crates/crosspath_schedule/tests/schedule/cancelled.rs
+++ b/crates/crosspath_schedule/tests/schedule/cancelled.rs
@@ -1,4 +1,5 @@
-//! A task that runs on after its job was cancelled is seen by a look and stopped, whoever started it.
+//! Runs that continue after their job was cancelled: once a poll lists such a run, it is stopped,
+//! whichever owner started it.
 
 use crosspath_border::worker::Error;
 use crosspath_job::progress::State;
@@ -9,7 +10,7 @@
     Harness, JOB, Order, accepted, anonymous, committed_records, ms, running, step, task,
 };
 
-/// A job of one task that is cancelled while its start has no answer.
+/// A job of one task that is cancelled before its start is answered.
 fn cancelled() -> (Harness, Order) {
     let mut harness = Harness::with_workers(&["a"]);
     harness.submit(vec![step(1, 2)]);
@@ -56,7 +57,8 @@
     assert!(is_stopped(&mut harness, &start));
 }
 
-/// Its starter is gone for good between the start and the cancel.
+/// The first owner is gone for good before the cancellation, so the order to stop the run must come
+/// from the next owner.
 #[test]
 fn a_new_owner_stops_a_late_start_of_the_previous_owner() {
     let mut previous = Harness::with_workers(&["a"]);
@@ -69,13 +71,13 @@
     harness.take_over(records, &["a"]);
     harness.polled("a", Vec::new(), Vec::new());
     harness.advance(ms(2_000));
-    // The start is carried out late.
+    // The worker executes the start late.
     harness.polled("a", vec![running(start.task, start.run)], Vec::new());
     assert!(is_stopped(&mut harness, &start));
     assert_eq!(harness.take_starts(), Vec::new());
 }
 
-/// The owner changes, and the cancel comes to the new one.
+/// The job is cancelled after the new owner has adopted the run.
 #[test]
 fn a_cancel_after_a_takeover_stops_the_adopted_run() {
     let mut previous = Harness::with_workers(&["a"]);
@@ -91,7 +93,7 @@
     assert!(is_stopped(&mut harness, &start));
 }
 
-/// Only a task of a job whose records are gone can be of a job that nobody knows.
+/// A job with a run can be unknown only if its records have been deleted.
 #[test]
 fn a_run_of_an_unknown_job_is_stopped() {
     let mut harness = Harness::with_workers(&["a"]);
--- a/crates/crosspath_schedule/tests/schedule/capacity.rs
+++ b/crates/crosspath_schedule/tests/schedule/capacity.rs
@@ -1,4 +1,5 @@
-//! Room of workers: whether a pool lacks it, which its owner looks out for more often then, and room that changes.
+//! Capacity of workers: whether a pool lacks workers, which makes its owner read the worker list
+//! more often, and capacity that changes.
 
 use std::sync::Arc;
 
@@ -14,12 +15,12 @@
     let mut harness = Harness::with_workers(&["a"]);
     assert!(!harness.scheduler.lacks_workers());
     harness.submit(vec![step(2, 20)]);
-    assert_eq!(harness.take_starts().len(), 1, "32 cores hold one of them");
+    assert_eq!(harness.take_starts().len(), 1, "32 cores fit one of the tasks");
     assert!(harness.scheduler.lacks_workers());
     harness.send(Event::WorkerListed(entry("b")));
     harness.polled("b", Vec::new(), Vec::new());
     harness.advance(ms(100));
-    assert_eq!(harness.take_starts().len(), 1, "the other");
+    assert_eq!(harness.take_starts().len(), 1, "the other task");
     assert!(!harness.scheduler.lacks_workers());
 }
 
@@ -27,10 +28,11 @@
 fn a_worker_whose_capacity_shrinks_gets_no_more_than_it_then_has() {
     let mut harness = Harness::with_workers(&["a"]);
     harness.submit(vec![step(2, 8), step(2, 8)]);
-    assert_eq!(harness.take_starts().len(), 4, "32 cores hold all of them");
+    assert_eq!(harness.take_starts().len(), 4, "32 cores fit all of the tasks");
     let small = Resources { cpu_millis: 16_000, ..entry("a").capacity };
     harness.send(Event::WorkerListed(Entry { capacity: small, ..entry("a") }));
-    // Half of what runs is more than it has by now; nothing else is started until that has ended.
+    // The runs now use twice the capacity. Nothing else may start until enough of them have ended
+    // to leave 8 cores free.
     let other = JobId(2);
     harness.send(Event::Accepted(other, accepted(vec![step(1, 8)])));
     harness.advance(ms(100));
@@ -42,9 +44,9 @@
         harness.polled("a", rows(from), ends.collect());
         harness.advance(ms(100));
         let starts = harness.take_starts();
-        assert_eq!(starts.len(), usize::from(from == 3), "{from} of four have ended");
+        assert_eq!(starts.len(), usize::from(from == 3), "{from} of four runs have ended");
     }
-    // It grows again, and is used again.
+    // The capacity grows back and is used again.
     harness.send(Event::WorkerListed(entry("a")));
     harness.send(Event::Accepted(JobId(3), accepted(vec![step(2, 8)])));
     harness.advance(ms(100));
--- a/crates/crosspath_schedule/tests/schedule/common.rs
+++ b/crates/crosspath_schedule/tests/schedule/common.rs
@@ -1,4 +1,4 @@
-//! A scheduler with a clock, and short ways to feed it.
+//! Test harness: a scheduler with a simulated clock, and helpers to build and send its events.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -41,7 +41,7 @@
     })
 }
 
-/// A caller of a queue that needs no key.
+/// Requester of a queue that needs no key.
 pub(crate) fn anonymous() -> Requester {
     Requester::default()
 }
@@ -74,7 +74,7 @@
     Ended { number, task, run, outcome, checkpoint: None }
 }
 
-/// A start that the scheduler ordered.
+/// Start or stop that the scheduler has ordered.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Order {
     pub(crate) worker: Arc<str>,
@@ -82,13 +82,13 @@
     pub(crate) run: u64,
 }
 
-/// A scheduler and its clock.
+/// Scheduler with a simulated clock, and the actions that it has returned.
 #[derive(Debug)]
 pub(crate) struct Harness {
     pub(crate) scheduler: Scheduler,
     pub(crate) now: Duration,
     pub(crate) actions: Vec<Action>,
-    /// Whether commits are answered at once.
+    /// Whether commits are confirmed as durable at once.
     pub(crate) auto_commit: bool,
 }
 
@@ -97,13 +97,13 @@
         Self::claimed_at(epoch, ms(10_000))
     }
 
-    /// An owner that has claimed the shard at `now`.
+    /// Owner that claimed the shard at `now`.
     pub(crate) fn claimed_at(epoch: u64, now: Duration) -> Self {
         let scheduler = Scheduler::new(settings(), epoch, now);
         Self { scheduler, now, actions: Vec::new(), auto_commit: true }
     }
 
-    /// A first owner with these workers, all of which have answered.
+    /// First owner of the shard, with these workers, all of which have answered a poll.
     pub(crate) fn with_workers(ids: &[&str]) -> Self {
         let mut harness = Self::new(1);
         harness.take_over(Vec::new(), ids);
@@ -124,7 +124,8 @@
         self.decide();
     }
 
-    /// Decides; what is to be kept is kept at once, if `keeps` is set.
+    /// Lets the scheduler decide and collects its actions; with `auto_commit`, confirms its
+    /// commits.
     pub(crate) fn decide(&mut self) {
         loop {
             let actions = self.scheduler.decide(self.now, WALL_MS);
@@ -163,7 +164,7 @@
         });
     }
 
-    /// Starts ordered since the last call.
+    /// Removes and returns the starts ordered since the last call.
     pub(crate) fn take_starts(&mut self) -> Vec<Order> {
         let mut found = Vec::new();
         self.actions.retain(|action| match action {
@@ -176,7 +177,7 @@
         found
     }
 
-    /// Stops ordered since the last call.
+    /// Removes and returns the stops ordered since the last call.
     pub(crate) fn take_stops(&mut self) -> Vec<Order> {
         let mut found = Vec::new();
         self.actions.retain(|action| match action {
@@ -190,7 +191,7 @@
     }
 }
 
-/// The newest record of each key that a scheduler committed.
+/// Newest record of each key among the commits in `actions`.
 pub(crate) fn committed_records(actions: &[Action]) -> Vec<Record> {
     let mut newest = std::collections::BTreeMap::new();
     for action in actions {
--- a/crates/crosspath_schedule/tests/schedule/customer.rs
+++ b/crates/crosspath_schedule/tests/schedule/customer.rs
@@ -1,4 +1,4 @@
-//! Jobs belong to customers.
+//! Ownership of jobs: a customer can neither cancel nor replace the job of another.
 
 use std::sync::Arc;
 
@@ -42,7 +42,8 @@
     let mut harness = Harness::with_workers(&["a"]);
     let water_record = Record::Accepted(JOB, job_of("water"));
     harness.send(Event::Accepted(JOB, job_of("water")));
-    // Appended by a daemon that did not reach the owner, over the first one's record.
+    // A daemon that could not reach the owner appends this record, which replaces the first one's
+    // under the same key.
     let power_record = Record::Accepted(JOB, job_of("power"));
     harness.send(Event::Accepted(JOB, job_of("power")));
     assert_eq!(
--- a/crates/crosspath_schedule/tests/schedule/evacuation.rs
+++ b/crates/crosspath_schedule/tests/schedule/evacuation.rs
@@ -1,4 +1,5 @@
-//! Data centres that get no new work: what is started there, what goes on there, what leaves.
+//! Evacuated data centres: no task starts there, finite tasks without checkpoints run to their end,
+//! and long-running ones move elsewhere.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -13,7 +14,7 @@
     Event::Evacuated(Arc::new(names.iter().map(|name| Arc::from(*name)).collect()))
 }
 
-/// Two workers of one data centre and one of another.
+/// Two workers in data centre a and one in data centre b.
 fn harness() -> Harness {
     let mut harness = Harness::with_workers(&["a1", "a2"]);
     harness.send(Event::WorkerListed(Entry { data_centre: "b".into(), ..entry("b1") }));
@@ -27,7 +28,7 @@
     harness.send(evacuated(&["a"]));
     harness.submit(vec![step(3, 20)]);
     let starts = harness.take_starts();
-    assert_eq!(starts.len(), 1, "32 cores hold one of them");
+    assert_eq!(starts.len(), 1, "32 cores fit one of the tasks");
     assert_eq!(&*starts[0].worker, "b1");
     harness.advance(ms(10_000));
     assert!(harness.take_starts().is_empty());
@@ -35,7 +36,7 @@
     assert_eq!(harness.take_starts().len(), 2);
 }
 
-/// The place of a run was being kept when its data centre was evacuated.
+/// The data centre of a planned run is evacuated while the commit of its placement is in flight.
 #[test]
 fn a_run_that_was_placed_before_the_evacuation_starts_elsewhere() {
     let mut harness = harness();
@@ -43,7 +44,7 @@
     harness.auto_commit = false;
     harness.submit(vec![step(1, 20)]);
     harness.advance(ms(50));
-    assert!(harness.take_starts().is_empty(), "its place is not kept yet");
+    assert!(harness.take_starts().is_empty(), "its placement is not durable yet");
     harness.send(evacuated(&["a"]));
     harness.auto_commit = true;
     harness.send(Event::Committed);
@@ -62,13 +63,14 @@
     harness.send(evacuated(&["a", "b"]));
     harness.polled(&order.worker, vec![running(order.task, order.run)], Vec::new());
     harness.advance(ms(1_000));
-    assert!(harness.take_stops().is_empty(), "it has no checkpoint to go on from");
+    assert!(harness.take_stops().is_empty(), "it has no checkpoint to resume from");
     harness.polled(&order.worker, Vec::new(), vec![ended(1, order.task, order.run, Outcome::Done)]);
     harness.advance(ms(100));
     assert!(harness.take_starts().is_empty());
 }
 
-/// Lasting tasks leave one by one, as many as their step may miss, and only where there is room.
+/// Long-running tasks are stopped only while fewer than `max_unavailable` tasks of their step are
+/// unavailable and another worker can take them.
 #[test]
 fn long_running_tasks_leave_within_max_unavailable() {
     let mut harness = Harness::with_workers(&["a1", "a2"]);
@@ -85,7 +87,10 @@
     harness.advance(ms(100));
     harness.send(evacuated(&["a"]));
     harness.advance(ms(1_000));
-    assert!(harness.take_stops().is_empty(), "there is nowhere to go");
+    assert!(
+        harness.take_stops().is_empty(),
+        "no worker outside the data centre can take the tasks"
+    );
     for id in ["b1", "b2"] {
         harness.send(Event::WorkerListed(Entry { data_centre: "b".into(), ..entry(id) }));
         harness.polled(id, Vec::new(), Vec::new());
@@ -111,7 +116,8 @@
     assert_eq!(usable, BTreeSet::from(["vm-b1".into()]));
 }
 
-/// An owner that has not heard for long whether something is evacuated starts nothing, and goes on with what runs.
+/// An owner whose set of evacuated data centres may be outdated starts nothing, and leaves the runs
+/// that exist alone.
 #[test]
 fn nothing_starts_while_evacuation_requests_may_be_outdated() {
     let mut harness = harness();
--- a/crates/crosspath_schedule/tests/schedule/failed_runs.rs
+++ b/crates/crosspath_schedule/tests/schedule/failed_runs.rs
@@ -1,4 +1,4 @@
-//! Failed runs: each counts once, whenever it is heard of.
+//! Failed runs: each counts once towards `max_attempts`, whenever it is reported.
 
 use crosspath_border::worker::{Error, Outcome};
 use crosspath_job::progress::State;
@@ -6,7 +6,7 @@
 
 use crate::common::{Harness, JOB, Order, ended, ms, step};
 
-/// Starts the job's one task, on `worker`.
+/// Confirms the start of the job's one task, which must be on `worker`.
 fn start_on(harness: &mut Harness, worker: &str) -> Order {
     let order = harness.take_starts().remove(0);
     assert_eq!(*order.worker, *worker);
@@ -37,7 +37,7 @@
     let mut harness = Harness::with_workers(&["a", "b"]);
     harness.submit(vec![step(1, 2)]);
     let first = start_on(&mut harness, "a");
-    // Worker a falls silent for longer than its lease; the task goes on elsewhere.
+    // Worker a is silent until its leases have expired, so the task is started on b.
     let sent = harness.now;
     harness.send(Event::PollFailed {
         worker: "a".into(),
@@ -49,7 +49,7 @@
     harness.polled("b", Vec::new(), Vec::new());
     let second = start_on(&mut harness, "b");
     harness.polled("b", Vec::new(), vec![ended(1, second.task, second.run, Outcome::Failed)]);
-    // Now a is back and lists the end of the first run: the second of three attempts.
+    // Worker a answers again and reports the end of the first run: the second of three failures.
     harness.polled("a", Vec::new(), vec![ended(1, first.task, first.run, Outcome::Failed)]);
     harness.advance(ms(10_000));
     let third = harness.take_starts().remove(0);
--- a/crates/crosspath_schedule/tests/schedule/incarnations.rs
+++ b/crates/crosspath_schedule/tests/schedule/incarnations.rs
@@ -1,4 +1,5 @@
-//! Lives of a worker under one identifier: what the life before ran is over, and ends are numbered anew.
+//! Incarnations of a worker under one identifier: all runs of the previous incarnation have ended,
+//! and the new one numbers its reports of ended runs from 1.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,7 +21,7 @@
     Entry { started_ms, ..entry(id) }
 }
 
-/// An answer of the life that began at `born_ms`.
+/// Sends the poll reply of the incarnation that started at `started_ms`.
 fn polled(
     harness: &mut Harness,
     id: &str,
@@ -34,7 +35,7 @@
     harness.send(Event::Polled { worker: id.into(), sent, extended: true, reply });
 }
 
-/// A worker's first life, with a task of a job running there.
+/// First incarnation of worker a, with a job of `tasks` tasks running there.
 fn harness(tasks: u32) -> Harness {
     let mut harness = Harness::new(1);
     harness.take_over(Vec::new(), &[]);
@@ -60,13 +61,14 @@
 fn a_task_of_the_previous_incarnation_starts_again() {
     let mut harness = harness(1);
     harness.send(Event::WorkerListed(entry_started("a", SECOND_START_MS)));
-    assert!(harness.take_starts().is_empty(), "the new life has not answered yet");
+    assert!(harness.take_starts().is_empty(), "the new incarnation has not answered yet");
     polled(&mut harness, "a", SECOND_START_MS, Vec::new(), Vec::new());
     harness.advance(ms(100));
     assert_eq!(harness.take_starts().len(), 1);
 }
 
-/// The life before had told of two ends; the first end of the new one has number 1 again.
+/// If numbers of ended runs were compared over incarnations, the first end of the new one, number
+/// 1, would count as acknowledged, since the previous incarnation has reported two.
 #[test]
 fn ends_of_a_new_incarnation_are_numbered_and_acknowledged_from_one() {
     let mut harness = harness(3);
@@ -77,11 +79,11 @@
     polled(&mut harness, "a", FIRST_START_MS, vec![running(task(0, 2), 10_001)], ends);
     harness.advance(ms(100));
     assert_eq!(acknowledged(&harness), [2]);
-    // The look finds out first; the list is late.
+    // The poll reply shows the new incarnation before the worker list does.
     polled(&mut harness, "a", SECOND_START_MS, Vec::new(), Vec::new());
     let polling_starts =
         harness.actions.iter().filter(|action| matches!(action, Action::StartPolling { .. }));
-    assert_eq!(polling_starts.count(), 2, "a new look knows of no end");
+    assert_eq!(polling_starts.count(), 2, "polling starts anew, with no end acknowledged");
     harness.advance(ms(100));
     let order = harness.take_starts().remove(0);
     harness.started(&order);
@@ -97,7 +99,7 @@
     assert_eq!(acknowledged(&harness), [2, 1]);
 }
 
-/// An end of the life before is being kept while the new one begins.
+/// The commit of an end of the previous incarnation is in flight while the new one starts.
 #[test]
 fn an_end_that_becomes_durable_late_is_not_acknowledged_to_a_later_incarnation() {
     let mut harness = harness(2);
@@ -110,7 +112,7 @@
     assert!(acknowledged(&harness).is_empty());
 }
 
-/// Its wall clock was set back before it began again.
+/// The worker's wall clock is set back before its restart.
 #[test]
 fn the_incarnation_that_answers_a_later_poll_is_the_later_one_whatever_its_start_time() {
     let mut harness = harness(1);
@@ -141,7 +143,7 @@
     assert!(harness.take_stops().is_empty() && harness.take_starts().is_empty());
 }
 
-/// A task that crashes each life of its workers, under whichever identifier.
+/// All incarnations have the same identifier, so losses must be counted by incarnation.
 #[test]
 fn a_task_that_crashes_incarnation_after_incarnation_fails_its_job() {
     let mut harness = harness(1);
@@ -158,7 +160,8 @@
     assert_eq!(harness.scheduler.state(JOB), Some(State::Failed));
 }
 
-/// Where looks go, and the clock that they begin with.
+/// Address and start of the incarnation that was last chosen for polling, and the worker's clock in
+/// ms at that time.
 fn last_start_polling(harness: &Harness) -> Option<(SocketAddr, u64, u64)> {
     let start_polling = |action: &Action| match action {
         Action::StartPolling { worker, clock_ms } => {
@@ -189,9 +192,9 @@
     harness.send(Event::PollFailed { worker: "a".into(), sent, extended: true, error });
     harness.actions.clear();
     harness.send(Event::WorkerListed(entry_started("a", FIRST_START_MS)));
-    assert_eq!(last_start_polling(&harness), None, "a late entry of the life that is over");
+    assert_eq!(last_start_polling(&harness), None, "a late entry of the ended incarnation");
     harness.send(Event::WorkerListed(entry_started("a", SECOND_START_MS)));
-    assert!(last_start_polling(&harness).is_some(), "the life that is there");
+    assert!(last_start_polling(&harness).is_some(), "an entry of the current incarnation");
 }
 
 #[test]
@@ -217,7 +220,8 @@
     assert_eq!(harness.take_starts().len(), 2);
 }
 
-/// The worker has begun again elsewhere; what was under way to the life before meets a stranger at the old address.
+/// The worker has restarted at another address. Orders in flight to the previous incarnation reach
+/// another process at the old address, which answers `OtherLife`.
 #[test]
 fn orders_answered_by_another_process_do_not_end_a_later_incarnation() {
     let mut harness = harness(2);
@@ -246,7 +250,7 @@
     harness.send(Event::WorkerListed(entry_started("b", FIRST_START_MS)));
     polled(&mut harness, "b", FIRST_START_MS, Vec::new(), Vec::new());
     harness.advance(ms(100));
-    assert!(harness.take_starts().is_empty(), "the later life runs them");
+    assert!(harness.take_starts().is_empty(), "the later incarnation runs both tasks");
 }
 
 #[test]
@@ -274,7 +278,7 @@
         starts += owner.take_starts().len();
         records.extend(committed_records(&owner.actions));
         records.sort_by_key(Record::key);
-        // The newest record of each key comes last, and stands.
+        // The newest record of each key is the last one; only that one is retained.
         records.reverse();
         records.dedup_by_key(|record| record.key());
     }
--- a/crates/crosspath_schedule/tests/schedule/job_spec.rs
+++ b/crates/crosspath_schedule/tests/schedule/job_spec.rs
@@ -1,4 +1,5 @@
-//! Every part of a job's form: order of steps, places, gangs, advice, times, fill work, checkpoints.
+//! Parts of a job's specification: order of steps, placement constraints, gangs, advice,
+//! repetition, best-effort steps and checkpoints; also cancellation and draining workers.
 
 use std::sync::Arc;
 
@@ -93,7 +94,7 @@
 fn a_worker_is_never_filled_beyond_its_capacity() {
     let mut harness = Harness::with_workers(&["a"]);
     harness.submit(vec![step(5, 10)]);
-    assert_eq!(harness.take_starts().len(), 3, "32 cores hold three tasks of 10");
+    assert_eq!(harness.take_starts().len(), 3, "32 cores fit three tasks of 10");
 }
 
 #[test]
@@ -235,7 +236,7 @@
         harness.scheduler.handle(harness.now, wall_ms, Event::Tick);
         harness.decide();
         let starts = harness.take_starts();
-        assert_eq!(starts.len(), 1, "time {number}");
+        assert_eq!(starts.len(), 1, "occurrence {number}");
         assert_eq!(u64::from(starts[0].task.occurrence) + 1, number);
         complete(&mut harness, number, &starts[0]);
         let is_completed = harness.scheduler.state(JOB) == Some(State::Completed);
@@ -276,7 +277,10 @@
         poll(&mut harness, 20);
     }
     assert_eq!(speeds(&harness).last(), Some(&100));
-    assert!(speeds(&harness).iter().filter(|percent| **percent == 100).count() == 1, "stays there");
+    assert!(
+        speeds(&harness).iter().filter(|percent| **percent == 100).count() == 1,
+        "full speed is ordered once"
+    );
 }
 
 #[test]
--- a/crates/crosspath_schedule/tests/schedule/limits.rs
+++ b/crates/crosspath_schedule/tests/schedule/limits.rs
@@ -1,4 +1,4 @@
-//! What customers may have running.
+//! Customers' maxima: limits on the resources that the running tasks of a customer may use.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -17,13 +17,13 @@
     [("water".into(), resources)].into()
 }
 
-/// A job of one step of tasks with 4 cores each.
+/// Job of one step, whose tasks need 4 cores each.
 fn job_of(customer: &str, tasks: u32) -> Arc<Accepted> {
     let job = accepted(vec![step(tasks, 4)]);
     Arc::new(Accepted { customer: Some(customer.into()), ..(*job).clone() })
 }
 
-/// The last question for parts since the last call.
+/// Removes all requests for allotments since the last call and returns the last one.
 fn take_quota_request(harness: &mut Harness) -> Option<Request> {
     let mut found = None;
     harness.actions.retain(|action| match action {
@@ -36,7 +36,7 @@
     found
 }
 
-/// Answers all questions by a ledger of this one shard, until none is due.
+/// Answers up to four requests in a row from a ledger that knows only this shard.
 fn grant_requests(harness: &mut Harness, ledger: &mut Ledger, limits: &Limits) {
     let shards = BTreeSet::from([0]);
     for _ in 0..4 {
@@ -80,7 +80,8 @@
     harness.send(Event::Accepted(JOB, job_of("water", 6)));
     grant_requests(&mut harness, &mut ledger, &limits(10));
     let mut running = harness.take_starts();
-    // Two fit, and one more task starts while anything is left.
+    // Two tasks fit. A third starts because part of the allotment is left, which is enough for one
+    // more task.
     assert_eq!(running.len(), 3);
     let mut ends = 0;
     let mut started = running.len();
@@ -105,11 +106,11 @@
     let mut records = vec![Record::Accepted(JOB, job_of("water", 3))];
     records.extend(committed_records(&previous.actions));
     let mut harness = Harness::new(2);
-    // The worker does not answer.
+    // The worker does not answer, so the three runs may exist.
     harness.take_over(records, &["a"]);
     harness.send(Event::Limits(limits(16)));
     harness.send(Event::Accepted(JobId(7), job_of("water", 1)));
-    let request = take_quota_request(&mut harness).expect("a question");
+    let request = take_quota_request(&mut harness).expect("a request for allotments");
     assert_eq!(request.demands["water"].keep.cpu_millis, 12_000);
 }
 
@@ -121,7 +122,7 @@
     assert_eq!((report.waiting_millis, report.unplaced_millis), (0, 0));
 }
 
-/// An owner that starts may read the shard before it reads the configuration.
+/// A new owner may take over the shard before it has read the configuration.
 #[test]
 fn nothing_of_a_customer_starts_before_maxima_are_known() {
     let mut harness = Harness::with_workers(&["a"]);
--- a/crates/crosspath_schedule/tests/schedule/long_running.rs
+++ b/crates/crosspath_schedule/tests/schedule/long_running.rs
@@ -1,4 +1,5 @@
-//! Lasting tasks: moved one by one, and only while the others are at work.
+//! Moving tasks off VMs that are to be vacated. Long-running tasks are moved one by one, and only
+//! while the others of their step are available.
 
 use std::collections::BTreeSet;
 
@@ -11,7 +12,8 @@
 
 const WORKERS: [&str; 4] = ["a", "b", "c", "d"];
 
-/// Three tasks of which one may be away, each on a worker of its own, at work.
+/// Three long-running tasks of a step, each available on a worker of its own; one may be
+/// unavailable.
 fn harness() -> (Harness, Vec<Order>) {
     let mut harness = Harness::with_workers(&WORKERS);
     let long_running_step =
@@ -26,7 +28,7 @@
     (harness, starts)
 }
 
-/// Each worker shows what runs there.
+/// Has each worker list its runs in a poll reply.
 fn poll_all(harness: &mut Harness, runs: &[Order]) {
     for worker in WORKERS {
         let on_worker = runs.iter().filter(|order| *order.worker == *worker);
@@ -47,7 +49,7 @@
     vacate(&mut harness, &[&starts[0], &starts[1]]);
     assert_eq!(harness.take_stops().len(), 1);
     harness.advance(ms(100));
-    assert_eq!(harness.take_stops(), Vec::new(), "one is away already");
+    assert_eq!(harness.take_stops(), Vec::new(), "one is unavailable already");
 }
 
 #[test]
@@ -60,7 +62,8 @@
     assert_eq!(harness.take_stops(), Vec::new());
 }
 
-/// The owner before has ordered a stop and lost the shard: the run is shown as at work until its stop is through.
+/// The previous owner may have ordered a stop before it lost the shard. Until the stop is
+/// completed, polls list that run as available, so the new owner could stop a second one.
 #[test]
 fn a_new_owner_moves_none_while_the_previous_owner_may_be_stopping_one() {
     let (previous, starts) = harness();
@@ -76,7 +79,7 @@
     assert_eq!(harness.take_stops(), Vec::new());
     poll_all(&mut harness, &starts);
     harness.advance(ms(700));
-    assert_eq!(harness.take_stops().len(), 1, "no stop was under way");
+    assert_eq!(harness.take_stops().len(), 1, "no stop of the previous owner was in flight");
 }
 
 #[test]
@@ -123,8 +126,8 @@
     }
 }
 
-/// Whether a checkpointed task of a job with an estimate of 4 s, that is due after 7 s, is stopped on a
-/// VM that is to leave, `after_ms` from its start and at `percent`.
+/// Whether a task with a checkpoint is stopped on a VM that is to be vacated, `after_ms` after its
+/// start and at a progress of `percent`. Its job has an estimate of 4 s and is due after 7 s.
 fn is_moved(after_ms: u64, percent: u32) -> bool {
     let mut harness = Harness::with_workers(&["a", "b"]);
     harness.submit(vec![Step { checkpoints: true, estimate_ms: 4_000, ..step(1, 2) }]);
@@ -141,7 +144,7 @@
 
 #[test]
 fn a_checkpointed_task_is_moved_unless_that_misses_its_deadline() {
-    assert!(is_moved(1_000, 25), "2 s to spare");
-    assert!(!is_moved(2_500, 25), "half a second to spare, and a move takes longer");
-    assert!(is_moved(5_000, 25), "late in any case");
+    assert!(is_moved(1_000, 25), "the job has 2 s to spare");
+    assert!(!is_moved(2_500, 25), "the job has 0.5 s to spare, and a move takes longer");
+    assert!(is_moved(5_000, 25), "the job is late in any case");
 }
--- a/crates/crosspath_schedule/tests/schedule/losses.rs
+++ b/crates/crosspath_schedule/tests/schedule/losses.rs
@@ -1,11 +1,11 @@
 //! Tasks that crash the workers that start them.
 //!
-//! What users saw: one pool's workers started anew some nine times a second, and of its jobs a third ended in
-//! time. A few tasks ended the life of each worker within 10 ms of their start. A worker that crashes lists no
-//! end, so nothing counted against `max_attempts`: each task went back to the queue with no memory of it, and
-//! from there to the fullest worker, beside as many others as fitted. What proved it: the same tasks were
-//! started each 3.3 s, by three owners one after the other, on a different worker each time, and each time
-//! another life answered for the worker next.
+//! Guards against a few tasks that keep the workers of a pool restarting: some 9 restarts a second,
+//! with only a third of the pool's jobs on time. Such a task crashes its worker within 10 ms of its
+//! start. A crashed worker reports no end, so nothing counts towards `max_attempts`. Unless losses
+//! are counted, and stored for the next owner, the task returns to the queue as if it had never
+//! run, is placed on the fullest worker beside as many others as fit, and is started again every
+//! 3.3 s, each time on another worker and under one owner after another.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -22,12 +22,14 @@
 };
 use crate::simulation::{Faults, Simulation};
 
-/// Starts of a task after which it must be over: three under which a worker was lost, and fewer than three more.
+/// Maximum number of starts of a task that crashes its workers: three that end in losses, and two
+/// more.
 const MAX_STARTS: usize = 5;
-/// For which a worker that crashed is away.
+/// Time until a crashed worker is replaced.
 const DOWNTIME_MS: u64 = 3_000;
 
-/// The worker's life ends, and another life of its VM answers in its place; that one's identifier.
+/// Ends a worker and starts another one, with another identifier, on its VM; returns that
+/// identifier.
 fn crash(harness: &mut Harness, worker: &str) -> String {
     let sent = harness.now;
     let error = Error::OtherLife;
@@ -41,7 +43,8 @@
     next
 }
 
-/// Crashes the worker of each start of the job's one task until there is none; the number of starts.
+/// Crashes the worker at each start of the job's one task until no start follows; returns the
+/// number of starts.
 fn crash_each_start(harness: &mut Harness) -> usize {
     let mut starts = 0;
     for _ in 0..2 * MAX_STARTS {
@@ -77,7 +80,7 @@
         records.extend(
             committed_records(&harness.actions).into_iter().map(|record| (record.key(), record)),
         );
-        // The owner ends as its worker does, so the next one finds another life.
+        // The owner ends together with the worker, so the next owner finds the worker replaced.
         harness = Harness::claimed_at(epoch, harness.now + ms(DOWNTIME_MS));
         for worker_id in worker_ids.iter_mut().filter(|worker_id| ***worker_id == *order.worker) {
             *worker_id = format!("{worker_id}'");
@@ -94,7 +97,7 @@
     assert_eq!(harness.scheduler.state(JOB), Some(State::Failed));
 }
 
-/// Worlds in which each seventh job crashes its workers, with owners that come and go.
+/// Simulates workers that every seventh job crashes, without and with changes of owner.
 fn simulate_fatal_jobs(reuses_ids: bool) {
     let no_faults = Faults::default();
     let fault_sets = [no_faults, Faults { takeover: 1, ..no_faults }];
@@ -122,8 +125,8 @@
 }
 
 #[test]
-fn a_new_owner_counts_the_losses_under_the_previous_one() {
-    // The owner ends after two losses that it has kept; its next life is the third one's witness.
+fn a_job_that_failed_by_losses_stays_failed_under_the_next_owner() {
+    // The first owner records all three losses, and so the failure of the job, before it ends.
     let mut harness = Harness::with_workers(&["a", "b", "c", "d"]);
     harness.submit(vec![step(1, 2)]);
     let mut last = None;
@@ -154,7 +157,7 @@
     harness.submit(vec![copies]);
     let first = harness.take_starts().remove(0);
     harness.started(&first);
-    // A copy of an owner before is found on another worker.
+    // A poll lists a copy that a previous owner has started on another worker.
     let copy = TaskId { ..first.task };
     harness.polled("b", vec![running(copy, 7)], Vec::new());
     crash(&mut harness, &first.worker);
@@ -182,11 +185,13 @@
         workers.push(used.len());
         crash(&mut harness, &starts[0].worker);
     }
-    // The first two times beside as many as fit, to keep workers free; then on all that are left.
+    // After no or one loss the tasks are packed on one worker, to keep others free. After two they
+    // are spread over the three workers that are listed then; the crashed one is not replaced yet.
     assert_eq!(workers, [1, 1, 3]);
 }
 
-/// An owner that takes over a job whose one task was lost so many times, in company.
+/// Owner that takes over a job of one task with `losses` losses, each while other runs were on the
+/// worker.
 fn harness_with_losses(losses: u64, workers: &[&str]) -> Harness {
     let lost = (1..=losses).map(|run| {
         let worker = format!("gone-{run}").into();
@@ -208,7 +213,7 @@
     harness.advance(ms(100));
     let suspect = harness.take_starts().remove(0);
     harness.started(&suspect);
-    // More than the worker has room for, and nothing is started there.
+    // Many tasks wait, and none of them starts beside the isolated one.
     harness.send(Event::Accepted(JobId(2), accepted(vec![step(60, 2)])));
     harness.advance(ms(100));
     assert_eq!(harness.take_starts(), Vec::new());
@@ -237,14 +242,14 @@
     harness.advance(ms(100));
     let suspect = harness.take_starts().remove(0);
     harness.started(&suspect);
-    // Something else has just been started there too.
+    // A run of another job has just been started on the same worker.
     let other = TaskId { job: JobId(2), ..crate::common::task(0, 0) };
     harness.send(Event::Accepted(JobId(2), accepted(vec![step(4, 2)])));
     harness.polled("a", vec![running(suspect.task, suspect.run), running(other, 7)], Vec::new());
     harness.polled("b", Vec::new(), Vec::new());
     crash(&mut harness, "a");
     assert_eq!(harness.scheduler.state(JOB), Some(State::Running));
-    // The fourth is alone, and tells.
+    // The fourth start is isolated, so its loss fails the job.
     harness.advance(ms(10_000));
     let starts = harness.take_starts();
     let fourth = starts.iter().find(|order| order.task.job == JOB).expect("a start");
@@ -260,14 +265,14 @@
 #[test]
 fn a_full_worker_is_reserved_for_an_isolated_task() {
     let mut harness = harness_with_losses(3, &["a"]);
-    // Sixteen tasks run there already; as many again wait.
+    // Sixteen tasks run on the worker already, and as many wait.
     let others = TaskId { job: JobId(2), ..crate::common::task(0, 0) };
     harness.send(Event::Accepted(JobId(2), accepted(vec![step(32, 2)])));
     let rows = (0..16).map(|index| running(TaskId { index, ..others }, 7));
     let rows: Vec<_> = rows.collect();
     harness.polled("a", rows.clone(), Vec::new());
     assert_eq!(harness.take_starts(), Vec::new());
-    // Half of them end: nothing takes their places.
+    // Half of them end, and none of the waiting ones takes their place.
     let ends = (1..).zip(&rows[..8]).map(|(number, row)| ended(number, row.task, 7, Outcome::Done));
     harness.polled("a", rows[8..].to_vec(), ends.collect());
     harness.advance(ms(100));
@@ -311,7 +316,7 @@
         harness.advance(ms(1_000));
     }
     crash(&mut harness, "a");
-    // The third loss, in company: either may be to blame.
+    // This is the third loss, and either task may have caused it.
     assert_eq!(harness.scheduler.state(JOB), Some(State::Running));
 }
 
@@ -379,7 +384,8 @@
     let mut harness = Harness::with_workers(&["a", "b"]);
     harness.submit(vec![step(1, 2)]);
     let order = harness.take_starts().remove(0);
-    // The look hears of the other life first, the start's answer says that nothing began.
+    // The poll finds the other incarnation first; the answer to the start then says that nothing
+    // was started.
     crash(&mut harness, &order.worker);
     let Order { worker, task, run } = order;
     harness.send(Event::StartAnswered { worker, task, run, answer: Err(Error::OtherLife) });
--- a/crates/crosspath_schedule/tests/schedule/main.rs
+++ b/crates/crosspath_schedule/tests/schedule/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the scheduler by its events and actions.
+//! Tests of the scheduler, through its events and actions.
 
 mod cancelled;
 mod capacity;
--- a/crates/crosspath_schedule/tests/schedule/random_faults.rs
+++ b/crates/crosspath_schedule/tests/schedule/random_faults.rs
@@ -1,12 +1,13 @@
-//! Owners in a world of faults, with fixed seeds: 60 worlds of 2,000 steps each, and as many again
-//! until all jobs have ended. `CROSSPATH_SEED` plays worlds from another seed on.
+//! Simulations of owners and workers with random faults and fixed seeds: 20 for each set of faults,
+//! with 2,000 steps under faults and 2,000 without, by the end of which all jobs must have ended.
+//! The environment variable `CROSSPATH_SEED` sets another first seed.
 
 use crate::simulation::{Faults, Simulation};
 
 const SIMULATIONS: u64 = 60;
 const STEPS: usize = 2_000;
 
-/// Workers that begin again under their identifier.
+/// Workers that restart under their identifiers, among other faults.
 const RESTARTS: Faults = Faults {
     takeover: 1,
     restart: 3,
--- a/crates/crosspath_schedule/tests/schedule/shares.rs
+++ b/crates/crosspath_schedule/tests/schedule/shares.rs
@@ -1,4 +1,4 @@
-//! What customers get while all is full, in virtual time.
+//! Customers' shares of a pool that is full, in virtual time.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,9 +12,9 @@
 
 use crate::common::{Harness, WALL_MS, accepted, ended, ms, running, step};
 
-/// How long a task runs; 16 fit, so that some 22 end each second.
+/// Duration of a task. The worker runs 16 at a time, so that some 22 end each second.
 const TASK_DURATION: Duration = Duration::from_millis(700);
-/// Jobs end in time within this: `stretch` times their estimate and 600 ms.
+/// Time from a job's acceptance to its deadline: `stretch` times its estimate, plus 600 ms.
 const TIME_TO_DEADLINE: Duration = Duration::from_millis(1_880);
 const STEP: Duration = Duration::from_millis(10);
 const SIMULATED_MS: u64 = 20_000;
@@ -25,14 +25,14 @@
     Arc::new(Accepted { customer: Some(customer.into()), at_ms: WALL_MS + at_ms, ..(*job).clone() })
 }
 
-/// Jobs of a customer: sent, and ended in time.
+/// Number of jobs that a customer sent, and of those that ended in time.
 #[derive(Debug, Default, Clone, Copy)]
 struct Count {
     sent: u32,
     in_time: u32,
 }
 
-/// One worker, and the jobs of customers.
+/// One worker, and customers that send jobs to it.
 #[derive(Debug)]
 struct Load {
     harness: Harness,
@@ -41,7 +41,7 @@
     ends: Vec<Ended>,
     sent: BTreeMap<JobId, (String, Duration)>,
     counts: BTreeMap<String, Count>,
-    /// Longest time, in steps, in which something waited and the worker had room.
+    /// Number of consecutive steps in which a job waited although the worker had free resources.
     idle_steps: usize,
 }
 
@@ -64,8 +64,8 @@
 
     fn send(&mut self, customer: &str) {
         let id = JobId(self.sent.len() as u64 + 1);
-        let at_ms =
-            u64::try_from((self.harness.now - self.started_at).as_millis()).expect("seconds");
+        let at_ms = u64::try_from((self.harness.now - self.started_at).as_millis())
+            .expect("a time that fits in 64 bits");
         self.sent.insert(id, (customer.to_owned(), self.harness.now));
         self.counts.entry(customer.to_owned()).or_default().sent += 1;
         self.harness.send(Event::Accepted(id, job_of(customer, at_ms)));
@@ -102,16 +102,17 @@
     }
 }
 
-/// Customers that send one job a second, and one that sends ten.
+/// Simulates [`SMALL_CUSTOMERS`] customers that send one job a second and one that sends ten.
+/// Returns the lowest fraction of jobs in time among the former, and that of the latter.
 fn simulate(weights: Weights) -> (f64, f64) {
     let mut load = Load::new(weights);
     let mut sent = [0_u64; SMALL_CUSTOMERS + 1];
     while load.harness.now < load.started_at + ms(SIMULATED_MS) {
-        let elapsed_ms =
-            u64::try_from((load.harness.now - load.started_at).as_millis()).expect("seconds");
+        let elapsed_ms = u64::try_from((load.harness.now - load.started_at).as_millis())
+            .expect("a time that fits in 64 bits");
         for (number, sent) in sent.iter_mut().enumerate() {
             let interval_ms = if number == SMALL_CUSTOMERS { 100 } else { 1_000 };
-            // Each at moments of its own.
+            // Customers send at different times.
             let offset_ms = 53 * number as u64 % interval_ms;
             if elapsed_ms >= *sent * interval_ms + offset_ms {
                 *sent += 1;
@@ -119,7 +120,7 @@
             }
         }
         load.step();
-        assert!(load.idle_steps < 10, "something waits while there is room");
+        assert!(load.idle_steps < 10, "jobs wait while the worker has free resources");
     }
     let small =
         (0..SMALL_CUSTOMERS).map(|number| load.fraction_in_time(&format!("customer-{number}")));
@@ -134,15 +135,18 @@
 #[test]
 fn customers_within_their_shares_are_served_beside_one_far_over_its_share() {
     let (worst, large) = simulate(weights());
-    // 0.70 and 0.73 by latest start alone, 0.95 and 0.14 by shares.
-    assert!(worst >= 0.9, "the worst-served of those within their shares: {worst:.2}");
-    assert!(large >= 0.1, "the one beyond gets what it is owed too: {large:.2}");
+    // Placement by latest start alone gives 0.70 and 0.73; with shares it is 0.95 and 0.14.
+    assert!(worst >= 0.9, "worst customer within its share: {worst:.2} in time");
+    assert!(large >= 0.1, "customer over its share: {large:.2} in time");
 }
 
 #[test]
 fn without_shares_all_customers_are_late() {
     let (worst, large) = simulate(Weights::new());
-    assert!(worst < 0.8 && large > 0.6, "least {worst:.2}, large {large:.2}");
+    assert!(
+        worst < 0.8 && large > 0.6,
+        "worst small customer {worst:.2}, large customer {large:.2}"
+    );
 }
 
 #[test]
@@ -155,7 +159,8 @@
     harness.take_over(records, &[]);
     harness.send(Event::Limits(Limits::new()));
     harness.send(Event::Weights { weights: customers, shard_fraction: 1.0 });
-    // Two may be saved up. The first in the list was accepted last, so it is the one beyond.
+    // The customer's token bucket holds two jobs. Job 1 is the first in the list but was accepted
+    // last, so it is the one over the share.
     let mut small = crate::common::entry("a");
     small.capacity.cpu_millis = 4_000;
     harness.send(Event::WorkerListed(small));
--- a/crates/crosspath_schedule/tests/schedule/simulation.rs
+++ b/crates/crosspath_schedule/tests/schedule/simulation.rs
@@ -1,11 +1,13 @@
-//! A small world for owners: workers, the log, and messages that are late, lost and overtaken.
+//! Simulation of owners, workers and the log, with messages that are delayed, lost and reordered.
 //!
-//! It checks what must always hold whenever a worker begins a task: no other run of the task is
-//! live, none has ended successfully and been acknowledged, fewer have failed and been acknowledged than
-//! its queue allows, and run numbers rise on each worker.
+//! Checked whenever a worker starts a run: no other run of the task exists, no run of it that ended
+//! successfully has been acknowledged, and fewer failed ones have been acknowledged than
+//! `max_attempts`. Workers refuse run numbers that are not above those that ended or were stopped
+//! there.
 //!
-//! A worker may begin again under its identifier, at another address and with another clock. Looks reach whichever life is
-//! there when they arrive, and what goes by the life, as do orders, the one that is meant or none.
+//! A worker may restart under its identifier, at another address and with another clock. A poll
+//! reaches whichever incarnation exists when it arrives. Starts and stops, and the acknowledgements
+//! and lease extensions of a poll, reach the incarnation that they are meant for or none.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -33,30 +35,34 @@
 const LEASE_EXTENSION: Duration = const_ms(5_000);
 const INITIAL_LEASE: Duration = const_ms(2_000);
 const POLL_INTERVAL: Duration = const_ms(250);
-/// Longest lease that a worker takes.
+/// Maximum length of a lease that a worker grants.
 const MAX_LEASE: Duration = const_ms(10_000);
-/// Failed runs after which a job has failed.
+/// Number of failed runs of a task that fails its job.
 const MAX_ATTEMPTS: u32 = 3;
-/// Of a worker that begins again: chances in a hundred that the list tells at once, and that it is elsewhere.
+/// Probability that a restarted worker's entry is written at once, and that any worker's entry is
+/// written in a step.
 const LIST_UPDATE_PERCENT: u32 = 40;
+/// Probability that a worker restarts at another address.
 const NEW_ADDRESS_PERCENT: u32 = 20;
 
-/// An owner that has not acted for so long gives no orders any more.
+/// Time for which an owner is still simulated after it may no longer act.
 const FORMER_OWNER_RETENTION: Duration = const_ms(10_000);
 
 const fn const_ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-/// Faults in a hundred steps or messages.
+/// Probability of each fault per step, message or run, in percent.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Faults {
     pub(crate) takeover: u32,
     pub(crate) crash: u32,
-    /// Workers that begin again under their identifier.
+    /// A worker restarts under its identifier.
     pub(crate) restart: u32,
+    /// A worker is cut off from all owners, or reachable again.
     pub(crate) partition: u32,
     pub(crate) reply_loss: u32,
+    /// A message whose reply is lost is also delivered late.
     pub(crate) late_delivery: u32,
     pub(crate) task_failure: u32,
 }
@@ -70,7 +76,7 @@
     pollers: BTreeMap<Arc<str>, Poller>,
 }
 
-/// What looks at a worker, and orders to it, go by.
+/// Periodic polls of a worker; its target and clock are also used for orders.
 #[derive(Debug)]
 struct Poller {
     target: Target,
@@ -80,7 +86,6 @@
     last_poll_failed: bool,
 }
 
-/// The world.
 #[derive(Debug)]
 pub(crate) struct Simulation {
     rng: StdRng,
@@ -88,39 +93,41 @@
     pub(crate) now: Duration,
     workers: BTreeMap<Arc<str>, Worker>,
     worker_count: u64,
-    /// Entries of lives that have ended.
+    /// Entries of incarnations that have ended.
     ended_entries: Vec<Entry>,
     records: BTreeMap<String, Record>,
     epoch: u64,
     owners: Vec<Owner>,
-    /// Which of the owners the log accepts.
+    /// Index of the owner whose commits the log accepts.
     current: usize,
     messages: Vec<Message>,
     jobs: u64,
     acked_done: BTreeSet<TaskId>,
-    /// Failed runs that were taken note of.
+    /// Number of acknowledged failed runs by task.
     acked_failed: BTreeMap<TaskId, u32>,
     pub(crate) starts: u64,
     /// Whether some jobs crash the workers that start them.
     has_fatal_jobs: bool,
-    /// Whether workers that crash begin again under their identifiers.
+    /// Whether workers that a fatal job crashes restart under their identifiers.
     reuses_ids: bool,
-    /// Lives that were lost under tasks, and starts after the third loss.
     losses: BTreeMap<TaskId, Losses>,
 }
 
-/// What a task has done to its workers.
+/// Losses of a task.
 #[derive(Debug, Default)]
 struct Losses {
+    /// Number of worker incarnations that ended while they ran the task.
     incarnations: u32,
+    /// Number of starts of the task after [`LOSS_LIMIT`] losses.
     starts_after_limit: u32,
 }
 
-/// Which jobs crash their workers, in a world with such jobs.
+/// Every job whose number is a multiple of this crashes its workers, if there are fatal jobs.
 const FATAL_JOB_INTERVAL: u64 = 7;
-/// From the start of a deadly task to the end of its worker.
+/// Time from the start of a fatal task to the crash of its worker.
 const FATAL_CRASH_DELAY: Duration = const_ms(10);
-/// Starts after the third loss that break the promise.
+/// Number of losses from which the starts of a fatal task are counted, and number of such starts
+/// that fails the simulation: callers are promised at most two.
 const LOSS_LIMIT: u32 = 3;
 
 impl Simulation {
@@ -152,7 +159,8 @@
         simulation
     }
 
-    /// A world in which some jobs crash the workers that start them, which then have other identifiers or not.
+    /// Simulation in which some jobs crash the workers that start them. Crashed workers restart
+    /// under the same identifier if `reuses_ids` is set, and under a new one otherwise.
     pub(crate) fn with_fatal_jobs(seed: u64, faults: Faults, reuses_ids: bool) -> Self {
         Self { has_fatal_jobs: true, reuses_ids, ..Self::new(seed, faults) }
     }
@@ -174,7 +182,7 @@
     }
 
     fn wall_ms(&self) -> u64 {
-        WALL_MS + u64::try_from(self.now.as_millis()).expect("a short time")
+        WALL_MS + u64::try_from(self.now.as_millis()).expect("a time that fits in 64 bits")
     }
 
     fn entries(&self) -> Vec<Entry> {
@@ -190,7 +198,8 @@
         let mut scheduler = Scheduler::new(settings(), self.epoch, self.now);
         let records = self.records.values().cloned().collect();
         scheduler.take_over(self.now, WALL_MS, records, self.entries());
-        // Some owners end in order, and say what they know of silent workers.
+        // At every second takeover the previous owner hands over the lease expiries that it knows,
+        // and stops acting.
         if let Some(previous) = self.owners.last_mut().filter(|_| self.epoch.is_multiple_of(2)) {
             previous.may_act_until = Duration::ZERO;
             let handover = previous.scheduler.handover(self.now);
@@ -198,7 +207,7 @@
                 scheduler.handle(self.now, WALL_MS, Event::LeasesHandedOver(handover.expiries));
             }
         }
-        // The owner before acts on until it counts itself out.
+        // The others act until their membership expires.
         for owner in &mut self.owners {
             owner.may_act_until = owner.may_act_until.min(self.now + MEMBERSHIP_TTL);
         }
@@ -227,7 +236,7 @@
         self.owners[owner].scheduler.handle(now, WALL_MS, event);
     }
 
-    /// One step of the world.
+    /// Advances the simulation by one step.
     pub(crate) fn step(&mut self) {
         self.now += ms(self.rng.random_range(5..60));
         if self.chance(self.faults.takeover) {
@@ -262,7 +271,7 @@
         }
     }
 
-    /// Submits a job now and then.
+    /// Submits a job with a probability of 10 %.
     pub(crate) fn maybe_submit(&mut self) {
         if self.chance(10) {
             self.submit();
@@ -290,7 +299,7 @@
         self.ended_entries.push(crashed_worker.entry);
     }
 
-    /// A worker crashes, and another life begins under its identifier.
+    /// Crashes a worker and starts another incarnation under its identifier.
     fn restart_worker(&mut self, id: &Arc<str>) {
         let previous = self.workers.remove(id).expect("a worker");
         for task in previous.runs.keys() {
@@ -308,7 +317,7 @@
         }
     }
 
-    /// A worker writes its entry again.
+    /// Has some worker write its entry again.
     fn heartbeat(&mut self) {
         let index = self.rng.random_range(0..self.workers.len());
         let id = Arc::clone(self.workers.keys().nth(index).expect("a worker"));
@@ -322,7 +331,7 @@
         }
     }
 
-    /// An entry of a life that has ended is written after those of the next.
+    /// Writes an entry of an ended incarnation, after those of the next one.
     fn write_late_entry(&mut self) {
         let Some(entry) = self.ended_entries.pop() else { return };
         for owner in 0..self.owners.len() {
@@ -330,7 +339,8 @@
         }
     }
 
-    /// Time passes on workers: runs end, leases lapse, deadly tasks crash their workers.
+    /// Advances the workers to the current time: runs end, leases expire, fatal tasks crash
+    /// workers.
     fn advance_workers(&mut self) {
         let now = self.now;
         let crashes_now =
@@ -377,9 +387,9 @@
             .map(|poller| Arc::clone(&poller.target.id))
             .collect();
         for worker in due {
-            let poller = self.owners[owner].pollers.get_mut(&worker).expect("watched");
+            let poller = self.owners[owner].pollers.get_mut(&worker).expect("a poller");
             poller.next_poll = Duration::MAX;
-            // A worker that was silent may let leases run out.
+            // The poll after a failed one lets the leases on a silent worker expire.
             let acknowledged = poller.acknowledged;
             let extended = may_act && !poller.last_poll_failed;
             let deadline_ms = extended.then(|| poller.clock.deadline_ms(now, LEASE_EXTENSION));
@@ -400,7 +410,7 @@
             }
             Action::Commit { records } => {
                 if self.owners[owner].epoch < self.epoch {
-                    // Fenced: nothing of it is kept, and this owner ends.
+                    // The log fences this owner: it stores none of the records, and the owner ends.
                     self.owners[owner].may_act_until = Duration::ZERO;
                     return;
                 }
@@ -437,7 +447,7 @@
         }
     }
 
-    /// Faults end; everything submitted must complete.
+    /// Ends all faults, and checks that all jobs then reach a terminal state.
     pub(crate) fn settle(&mut self) {
         self.faults = Faults::default();
         for worker in self.workers.values_mut() {
@@ -459,7 +469,8 @@
 }
 
 impl Simulation {
-    /// After all has settled: jobs that crash their workers have failed, and no others have.
+    /// Checks after [`Simulation::settle`] that all fatal jobs have failed and all others have
+    /// completed.
     pub(crate) fn check_fatal_jobs(&self) {
         let current = &self.owners[self.current].scheduler;
         for job in (1..=self.jobs).map(JobId) {
--- a/crates/crosspath_schedule/tests/schedule/simulation/orders.rs
+++ b/crates/crosspath_schedule/tests/schedule/simulation/orders.rs
@@ -1,4 +1,4 @@
-//! Orders of owners on their way to workers, and their answers.
+//! Messages of owners to workers in flight, their execution, and the replies.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,7 +24,7 @@
         task: TaskId,
         run: u64,
     },
-    /// `beside` the looks that follow one another: nothing is heard of its failure.
+    /// `one_off` is set for a poll besides the periodic ones; its failure is not reported.
     Poll {
         acknowledged: u64,
         deadline_ms: Option<u64>,
@@ -40,8 +40,10 @@
     pub(super) fencing_token: u64,
     pub(super) worker: Target,
     pub(super) order: Order,
+    /// Whether the reply reaches the owner.
     pub(super) answered: bool,
-    /// The life that carries it out late, if one does.
+    /// Start of the incarnation that a delayed message reaches if it still exists then; `None` if
+    /// the message is not delayed.
     pub(super) late_incarnation: Option<u64>,
 }
 
@@ -144,7 +146,8 @@
                 Ok(Reply::Stopped)
             }
             Order::Poll { acknowledged, deadline_ms, .. } => {
-                // No life is told of ends of another, or of a time on another's clock.
+                // Another incarnation numbers its ends anew and has another clock, so that neither
+                // acknowledgements nor deadlines apply to it.
                 let is_same_incarnation = message.worker.started_ms == worker.entry.started_ms;
                 let acknowledged = if is_same_incarnation { *acknowledged } else { 0 };
                 for ended in worker.ended.iter().filter(|ended| ended.number <= acknowledged) {
@@ -163,18 +166,21 @@
         }
     }
 
-    /// A worker begins a task: what must always hold is checked here.
+    /// Starts a run on a worker, after checks of the invariants.
     fn start_run(&mut self, id: &Arc<str>, task: TaskId, run: u64) {
         for worker in self.workers.values() {
             assert!(
                 !worker.runs.contains_key(&task),
-                "{task} run {run} begins on {id} while it runs on {}",
+                "{task} run {run} starts on {id} while the task runs on {}",
                 worker.entry.id
             );
         }
-        assert!(!self.acked_done.contains(&task), "{task} run {run} begins after a kept end");
+        assert!(
+            !self.acked_done.contains(&task),
+            "{task} run {run} starts after an acknowledged end"
+        );
         let failed = self.acked_failed.get(&task).copied().unwrap_or_default();
-        assert!(failed < MAX_ATTEMPTS, "{task} run {run} begins after {failed} failed runs");
+        assert!(failed < MAX_ATTEMPTS, "{task} run {run} starts after {failed} failed runs");
         let duration = ms(self.rng.random_range(50..1_500));
         let fatal = self.is_fatal(task.job);
         let ends_at = self.now + if fatal { FATAL_CRASH_DELAY } else { duration };
@@ -182,7 +188,7 @@
         losses.starts_after_limit += u32::from(losses.incarnations >= LOSS_LIMIT);
         assert!(
             !fatal || losses.starts_after_limit < LOSS_LIMIT,
-            "{task} run {run} begins on {id} after {losses:?}"
+            "{task} run {run} starts on {id} after {losses:?}"
         );
         let worker = self.workers.get_mut(id).expect("a worker");
         worker.runs.insert(task, Run { number: run, ends_at });
@@ -214,7 +220,7 @@
             Order::Poll { deadline_ms, .. } => {
                 let (sent, extended) = (message.sent, deadline_ms.is_some());
                 let Some(poller) = self.owners[owner].pollers.get_mut(&worker) else { return };
-                // An earlier watch has ended, and nobody hears its answers.
+                // The poll belongs to a poller that has been replaced; its reply is discarded.
                 if poller.target != message.worker {
                     return;
                 }
--- a/crates/crosspath_schedule/tests/schedule/simulation/worker.rs
+++ b/crates/crosspath_schedule/tests/schedule/simulation/worker.rs
@@ -1,4 +1,4 @@
-//! A worker of the world: runs under a lease, ends that are listed until they are acknowledged.
+//! Simulated worker: runs under a lease, and ends that it reports until they are acknowledged.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,12 +18,13 @@
 #[derive(Debug)]
 pub(super) struct Worker {
     pub(super) entry: Entry,
-    /// When its clock showed 0.
+    /// Time at which the worker's clock showed 0.
     pub(super) clock_zero: Duration,
+    /// Highest token among the messages received.
     pub(super) fencing_token: u64,
     pub(super) lease_expiry: Duration,
     pub(super) runs: BTreeMap<TaskId, Run>,
-    /// Highest number per task that ended or was stopped here.
+    /// Highest number of a run that ended or was stopped here, by task. Only higher ones may start.
     pub(super) refused_up_to: BTreeMap<TaskId, u64>,
     pub(super) ended: Vec<Ended>,
     pub(super) end_count: u64,
@@ -46,10 +47,11 @@
     }
 
     pub(super) fn clock_ms(&self, now: Duration) -> u64 {
-        u64::try_from(now.saturating_sub(self.clock_zero).as_millis()).expect("a short time")
+        u64::try_from(now.saturating_sub(self.clock_zero).as_millis())
+            .expect("a time that fits in 64 bits")
     }
 
-    /// When a deadline on its clock has passed; no lease is longer than the longest.
+    /// Time at which a deadline on the worker's clock passes, at most [`MAX_LEASE`] from now.
     pub(super) fn expiry(&self, now: Duration, deadline_ms: u64) -> Duration {
         (self.clock_zero + ms(deadline_ms)).min(now + MAX_LEASE)
     }
--- a/crates/crosspath_schedule/tests/schedule/stall.rs
+++ b/crates/crosspath_schedule/tests/schedule/stall.rs
@@ -1,4 +1,4 @@
-//! Runs that stand still on a worker that answers.
+//! Runs that make no progress on a worker that answers.
 
 use crosspath_border::worker::{Outcome, Running};
 
--- a/crates/crosspath_schedule/tests/schedule/takeover.rs
+++ b/crates/crosspath_schedule/tests/schedule/takeover.rs
@@ -1,4 +1,5 @@
-//! Taking over: what runs is adopted, what may run unseen is waited for.
+//! Takeover of a shard: runs that workers report are adopted, and tasks that may run on silent
+//! workers wait until the leases there have expired.
 
 use crosspath_border::worker::{Entry, Error, Outcome};
 use crosspath_job::record::Record;
@@ -9,7 +10,8 @@
     task,
 };
 
-/// An owner before that has started the job's one task on one of `workers`, and what it kept.
+/// Start of the job's one task by a previous owner, on one of `workers`, and the records that this
+/// owner committed.
 fn start_under_previous_owner(workers: &[&str]) -> (Order, Vec<Record>) {
     let mut previous = Harness::with_workers(workers);
     previous.submit(vec![step(1, 2)]);
@@ -18,7 +20,7 @@
     (previous.take_starts().remove(0), records)
 }
 
-/// A new owner, after one that had not started anything.
+/// New owner, after one that has not started anything.
 fn new_owner(workers: &[&str]) -> Harness {
     let mut harness = Harness::new(2);
     let record = Record::Accepted(JOB, accepted(vec![step(1, 2)]));
@@ -65,10 +67,10 @@
     harness.polled(&worker, Vec::new(), Vec::new());
     let starts = harness.take_starts();
     assert_eq!(starts.len(), 1);
-    assert!(starts[0].run > order.run, "run numbers rise over owners");
+    assert!(starts[0].run > order.run, "run numbers increase from owner to owner");
 }
 
-/// Passes time with `answering` answering and `quiet` not, until something starts.
+/// Time until a task starts while worker `answering` answers polls and worker `silent` does not.
 fn time_to_start(harness: &mut Harness, answering: &str, silent: &str) -> std::time::Duration {
     let started_at = harness.now;
     harness.polled(answering, Vec::new(), Vec::new());
@@ -107,7 +109,12 @@
     let mut third = Harness::new(3);
     third.take_over(records, &["a", "b"]);
     third.polled(other, Vec::new(), Vec::new());
-    assert_eq!(third.take_starts(), Vec::new(), "the first owner's run may be on {}", order.worker);
+    assert_eq!(
+        third.take_starts(),
+        Vec::new(),
+        "the run of the first owner may exist on {}",
+        order.worker
+    );
 }
 
 #[test]
@@ -155,13 +162,14 @@
     let mut harness = Harness::with_workers(&["a"]);
     harness.auto_commit = false;
     harness.submit(vec![step(2, 2)]);
-    // Far longer than membership lasts; the owner may act on since the store is away for all.
+    // Far longer than the membership TTL. The owner may continue to act because the store is
+    // unavailable to all daemons, so that no other can take over.
     for _ in 0..60 {
         harness.advance(ms(100));
         harness.send(Event::MayAct(true));
         assert_eq!(harness.take_starts(), Vec::new());
     }
-    // The record that was under way is kept once the store is back.
+    // The record in flight becomes durable once the store is available again.
     harness.send(Event::Committed);
     assert_eq!(harness.take_starts().len(), 2);
     harness.send(Event::Committed);
@@ -180,7 +188,8 @@
     records.extend(committed_records(&first.actions));
     let mut harness = Harness::new(2);
     harness.take_over(records, &["a"]);
-    // Listed again, and then one more failure: with max_attempts 3 a third attempt is due.
+    // The worker reports the first failure again, then one more. With `max_attempts` of 3 a third
+    // attempt is due.
     harness.polled("a", Vec::new(), vec![ended(1, order.task, order.run, Outcome::Failed)]);
     let order = harness.take_starts().remove(0);
     harness.started(&order);
@@ -193,13 +202,17 @@
 fn of_two_incarnations_of_a_vm_the_one_that_ran_the_task_must_answer() {
     let mut harness = Harness::new(2);
     let (order, records) = start_under_previous_owner(&["a-new"]);
-    // The list still has the life before, and gives it last.
+    // The worker list still has an earlier incarnation, as its last entry.
     let old = Entry { vm: "vm".into(), ..entry("z-old") };
     let new = Entry { vm: "vm".into(), ..entry("a-new") };
     harness.scheduler.take_over(harness.now, WALL_MS, records, vec![new, old]);
     harness.decide();
     harness.advance(ms(100));
-    assert_eq!(harness.take_starts(), Vec::new(), "the later life has not told what runs there");
+    assert_eq!(
+        harness.take_starts(),
+        Vec::new(),
+        "the later incarnation has not reported its runs"
+    );
     harness.polled("a-new", vec![running(order.task, order.run)], Vec::new());
     harness.advance(ms(100));
     assert_eq!(harness.take_starts(), Vec::new());
@@ -221,8 +234,8 @@
     harness.polled("other", Vec::new(), Vec::new());
     harness.send(Event::WorkerListed(late));
     harness.advance(ms(100));
-    assert_eq!(harness.take_starts(), Vec::new(), "the task runs where it was");
-    // The earlier life does not answer, and the later one does.
+    assert_eq!(harness.take_starts(), Vec::new(), "the task still runs on the later incarnation");
+    // The earlier incarnation does not answer, and the later one does.
     poll_unanswered(&mut harness, "old");
     harness.polled("new", vec![running(order.task, order.run)], Vec::new());
     harness.advance(ms(1_000));
@@ -239,7 +252,7 @@
     harness.decide();
     harness.polled("other", Vec::new(), Vec::new());
     harness.advance(ms(100));
-    assert_eq!(harness.take_starts(), Vec::new(), "the life that was recorded may run the task");
+    assert_eq!(harness.take_starts(), Vec::new(), "the incarnation in the record may run the task");
     harness.polled("new", vec![running(order.task, order.run)], Vec::new());
     harness.advance(ms(100));
     assert_eq!(harness.take_starts(), Vec::new());
@@ -259,11 +272,17 @@
     harness.send(Event::WorkerListed(new));
     harness.polled("new", Vec::new(), Vec::new());
     harness.advance(ms(50));
-    assert_eq!(harness.take_starts().len(), 1, "what ran in the life before is gone with it");
+    assert_eq!(
+        harness.take_starts().len(),
+        1,
+        "the run of the earlier incarnation has ended with it"
+    );
 }
 
-/// How long the job's one task waits under the last of some owners, of which each takes over `between`
-/// after the one before, while the task's worker is silent and, from the first of them on, not listed.
+/// Time for which the job's one task waits under the last of several owners. Each of them takes
+/// over after the next of `pauses`, in ms, and receives the handover of the previous one if
+/// `with_handover` is set. The worker that the task was started on is silent throughout, and not
+/// listed by these owners.
 fn wait_under_last_owner(pauses: &[u64], with_handover: bool) -> std::time::Duration {
     let (order, records) = start_under_previous_owner(&["a", "b"]);
     let other = if *order.worker == *"a" { "b" } else { "a" };
@@ -301,7 +320,7 @@
         with_handover < without_handover - ms(4_000),
         "{with_handover:?} instead of {without_handover:?}"
     );
-    assert!(with_handover > ms(1_000), "leases last: {with_handover:?}");
+    assert!(with_handover > ms(1_000), "the leases have not expired before: {with_handover:?}");
 }
 
 #[test]
@@ -330,11 +349,15 @@
     harness.send(Event::LeasesHandedOver(expiries));
     harness.polled(other, Vec::new(), Vec::new());
     harness.advance(ms(500));
-    assert_eq!(harness.take_starts(), Vec::new(), "its first look may extend what runs there");
-    // That look fails, and may have been heard.
+    assert_eq!(
+        harness.take_starts(),
+        Vec::new(),
+        "the first poll may extend the leases of runs there"
+    );
+    // That poll gets no answer, but the worker may have received it.
     let (worker, sent) = (order.worker.clone(), harness.now);
     let error = Error::NoAnswer;
     harness.send(Event::PollFailed { worker, sent, extended: true, error });
     harness.advance(ms(3_000));
-    assert_eq!(harness.take_starts(), Vec::new(), "it may have been heard");
+    assert_eq!(harness.take_starts(), Vec::new(), "the worker may have received the poll");
 }
--- a/crates/crosspath_schedule/tests/schedule/unconfirmed.rs
+++ b/crates/crosspath_schedule/tests/schedule/unconfirmed.rs
@@ -1,4 +1,4 @@
-//! Orders without an answer: how soon a task goes on elsewhere.
+//! Orders without an answer: how soon their tasks can start on another worker.
 
 use std::sync::Arc;
 
@@ -32,14 +32,10 @@
     assert_eq!(count_polls(&harness), 0, "the stop is not answered yet");
     stop_answered(&mut harness, &order);
     assert_eq!(count_polls(&harness), 1);
-    assert_eq!(
-        harness.take_starts(),
-        Vec::new(),
-        "the run may have been there when it was stopped"
-    );
+    assert_eq!(harness.take_starts(), Vec::new(), "the run may have existed until the stop");
     harness.advance(ms(1));
     harness.polled(&order.worker, Vec::new(), Vec::new());
-    assert_eq!(harness.take_starts().len(), 1, "nothing is there, and never will be");
+    assert_eq!(harness.take_starts().len(), 1, "the run does not exist and can no longer start");
 }
 
 #[test]
@@ -51,9 +47,5 @@
     harness.send(Event::Cancelled(order.task.job, anonymous()));
     assert_eq!(harness.take_stops().len(), 1);
     stop_answered(&mut harness, &order);
-    assert_eq!(
-        count_polls(&harness),
-        0,
-        "the worker lists the end, which ends the look that waits"
-    );
+    assert_eq!(count_polls(&harness), 0, "the end of the run completes the pending poll");
 }
