--- a/crates/crosspath_bench/src/baseline.rs
+++ b/crates/crosspath_bench/src/baseline.rs
@@ -17,21 +17,24 @@
 pub struct OneAtATime;
 
 impl Strategy for OneAtATime {
-    fn next(&self, state: &State, observed: &BTreeMap<VmName, Observed>) -> Vec<Change> {
-        let changes = Planner.next(state, observed);
-        let mut busy: BTreeSet<PoolName> = out(state).map(|vm| vm.spec.pool.clone()).collect();
-        let one = |change: &Change| match change {
+    fn next_changes(&self, state: &State, observed: &BTreeMap<VmName, Observed>) -> Vec<Change> {
+        let changes = Planner.next_changes(state, observed);
+        let mut busy_pools: BTreeSet<PoolName> =
+            in_maintenance(state).map(|vm| vm.spec.pool.clone()).collect();
+        let is_first_of_pool = |change: &Change| match change {
             Change::Step { vm, step: Step::Drain { .. } } => {
                 let pool = state.vms.get(vm).map(|vm| vm.spec.pool.clone());
-                pool.is_some_and(|pool| busy.insert(pool))
+                pool.is_some_and(|pool| busy_pools.insert(pool))
             }
             _ => true,
         };
-        changes.into_iter().filter(one).collect()
+        changes.into_iter().filter(is_first_of_pool).collect()
     }
 }
 
-fn out(state: &State) -> impl Iterator<Item = &crosspath_state::Stored<vm::Spec, vm::Phase>> {
+fn in_maintenance(
+    state: &State,
+) -> impl Iterator<Item = &crosspath_state::Stored<vm::Spec, vm::Phase>> {
     state.vms.values().filter(|vm| vm.status.wave().is_some())
 }
 
@@ -41,24 +44,24 @@
 pub struct FixedBatches;
 
 impl Strategy for FixedBatches {
-    fn next(&self, state: &State, observed: &BTreeMap<VmName, Observed>) -> Vec<Change> {
-        let mut changes = Planner.next(state, observed);
-        let drains = crate::wave::drains(&changes).len();
+    fn next_changes(&self, state: &State, observed: &BTreeMap<VmName, Observed>) -> Vec<Change> {
+        let mut changes = Planner.next_changes(state, observed);
+        let drain_count = crate::wave::drained_vms(&changes).len();
         changes.retain(|change| !matches!(change, Change::Step { step: Step::Drain { .. }, .. }));
-        if drains > 0 {
-            changes.extend(in_list_order(state));
+        if drain_count > 0 {
+            changes.extend(drain_batches(state));
         }
         changes
     }
 }
 
-fn in_list_order(state: &State) -> Vec<Change> {
-    let busy: BTreeSet<&PoolName> = out(state).map(|vm| &vm.spec.pool).collect();
+fn drain_batches(state: &State) -> Vec<Change> {
+    let busy_pools: BTreeSet<&PoolName> = in_maintenance(state).map(|vm| &vm.spec.pool).collect();
     let mut changes = Vec::new();
     for (name, wave) in state.waves.iter().filter(|(_, w)| !w.status.phase.is_final()) {
-        for pool in wave.spec.pools.iter().filter(|pool| !busy.contains(pool)) {
+        for pool in wave.spec.pools.iter().filter(|pool| !busy_pools.contains(pool)) {
             let Some(spec) = state.pools.get(pool) else { continue };
-            let width = spec.spec.max_unavailable.saturating_sub(spec.spec.reserve) as usize;
+            let batch_size = spec.spec.max_unavailable.saturating_sub(spec.spec.reserve) as usize;
             let due = wave.status.due().filter(|vm| {
                 let vm = state.vms.get(*vm);
                 vm.is_some_and(|vm| vm.spec.pool == *pool && vm.status.takes_work())
@@ -67,7 +70,7 @@
                 vm: vm.clone(),
                 step: Step::Drain { wave: name.clone() },
             };
-            changes.extend(due.take(width).map(drain));
+            changes.extend(due.take(batch_size).map(drain));
         }
     }
     changes
@@ -75,24 +78,24 @@
 
 /// Jobs go to the first VM with room, and jobs that could be suspended are moved like the others.
 #[derive(Debug, Clone, Copy)]
-pub struct FirstFitMovingAll;
+pub struct FirstFitMoveAll;
 
-impl Strategy for FirstFitMovingAll {
-    fn next(&self, state: &State, observed: &BTreeMap<VmName, Observed>) -> Vec<Change> {
+impl Strategy for FirstFitMoveAll {
+    fn next_changes(&self, state: &State, observed: &BTreeMap<VmName, Observed>) -> Vec<Change> {
         let draining =
             state.vms.iter().filter(|(_, vm)| matches!(vm.status, vm::Phase::Draining { .. }));
-        let mut moves = Vec::new();
+        let mut placements = Vec::new();
         for (name, vm) in draining {
-            moves.extend(first_fit(state, name, &vm.spec.pool));
+            placements.extend(first_fit(state, name, &vm.spec.pool));
         }
-        if !moves.is_empty() {
-            return moves;
+        if !placements.is_empty() {
+            return placements;
         }
         let view = View::new(state);
         let mut rooms = Rooms::new(&view);
         let mut changes = wave::advance(&view, &mut rooms, observed);
         changes.extend(evacuate::resume(state));
-        changes.extend(in_list_order_free(state));
+        changes.extend(drain_within_budget(state));
         changes.extend(place::pending(&view, &mut rooms).changes);
         changes
     }
@@ -106,8 +109,8 @@
         .filter(|(_, job)| matches!(job.status.phase, job::Phase::Running { .. }));
     let mut changes = Vec::new();
     for (name, job) in running {
-        let first = rooms.of(pool).iter().find(|(_, free)| free.fits(&job.spec));
-        let Some(to) = first.map(|(vm, _)| vm.clone()) else { continue };
+        let target = rooms.of(pool).iter().find(|(_, free)| free.fits(&job.spec));
+        let Some(to) = target.map(|(vm, _)| vm.clone()) else { continue };
         rooms.take(pool, &to, &job.spec);
         changes.push(place::place(name, to));
     }
@@ -115,8 +118,8 @@
 }
 
 /// Starts VMs in list order whenever the budget has room.
-fn in_list_order_free(state: &State) -> Vec<Change> {
-    let mut taken: BTreeMap<PoolName, usize> = BTreeMap::new();
+fn drain_within_budget(state: &State) -> Vec<Change> {
+    let mut used_budget: BTreeMap<PoolName, usize> = BTreeMap::new();
     let mut changes = Vec::new();
     for (wave_name, wave) in state.waves.iter().filter(|(_, w)| !w.status.phase.is_final()) {
         for vm in wave.status.due() {
@@ -125,9 +128,9 @@
             };
             let pool = &stored.spec.pool;
             let Some(spec) = state.pools.get(pool) else { continue };
-            let free = crosspath_state::budget::Usage::of(state, pool).free(&spec.spec) as usize;
-            let used = taken.entry(pool.clone()).or_default();
-            if *used < free {
+            let budget = crosspath_state::budget::Usage::of(state, pool).free(&spec.spec) as usize;
+            let used = used_budget.entry(pool.clone()).or_default();
+            if *used < budget {
                 *used += 1;
                 let step = Step::Drain { wave: wave_name.clone() };
                 changes.push(Change::Step { vm: vm.clone(), step });
--- a/crates/crosspath_bench/src/figure.rs
+++ b/crates/crosspath_bench/src/figure.rs
@@ -8,7 +8,8 @@
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Figure {
     /// Its name.
-    pub figure: String,
+    #[serde(rename = "figure")]
+    pub name: String,
     /// Its value.
     pub value: f64,
     /// Its unit.
@@ -22,20 +23,20 @@
 impl Figure {
     /// A figure without a baseline; its bound comes from the file.
     #[must_use]
-    pub fn new(figure: impl Into<String>, value: f64, unit: &'static str) -> Self {
+    pub fn new(name: impl Into<String>, value: f64, unit: &'static str) -> Self {
         let value = (value * 1_000.0).round() / 1_000.0;
-        Self { figure: figure.into(), value, unit, bound: None, baseline: None }
+        Self { name: name.into(), value, unit, bound: None, baseline: None }
     }
 
     /// Adds what the plain way gives.
     #[must_use]
-    pub fn against(self, baseline: f64) -> Self {
+    pub fn with_baseline(self, baseline: f64) -> Self {
         Self { baseline: Some((baseline * 1_000.0).round() / 1_000.0), ..self }
     }
 
     /// Whether the bound is kept.
     #[must_use]
-    pub fn is_kept(&self) -> bool {
+    pub fn is_within_bound(&self) -> bool {
         self.bound.is_none_or(|bound| self.value <= bound)
     }
 }
@@ -52,8 +53,8 @@
 
 /// Puts the committed bounds beside the figures.
 #[must_use]
-pub fn bounded(figures: Vec<Figure>) -> Vec<Figure> {
+pub fn with_bounds(figures: Vec<Figure>) -> Vec<Figure> {
     let bounds = bounds();
-    let bound = |figure: Figure| Figure { bound: bounds.get(&figure.figure).copied(), ..figure };
+    let bound = |figure: Figure| Figure { bound: bounds.get(&figure.name).copied(), ..figure };
     figures.into_iter().map(bound).collect()
 }
--- a/crates/crosspath_bench/src/fleet.rs
+++ b/crates/crosspath_bench/src/fleet.rs
@@ -18,20 +18,20 @@
 
 /// Folds changes as one writer.
 #[derive(Debug, Clone, Default)]
-pub struct Folded {
+pub struct Fleet {
     /// The state so far.
     pub state: State,
     /// Batches so far.
     pub batches: u64,
 }
 
-impl Folded {
+impl Fleet {
     /// Folds one batch; one verdict for each change.
     ///
     /// # Panics
     ///
     /// Never: offsets are dense here.
-    pub fn fold(&mut self, changes: Vec<Change>) -> Vec<Result<Revision, Conflict>> {
+    pub fn apply(&mut self, changes: Vec<Change>) -> Vec<Result<Revision, Conflict>> {
         self.batches += 1;
         let daemon = "bench".parse().expect("a name");
         let writer = Writer { daemon, incarnation: Incarnation(1) };
@@ -41,14 +41,14 @@
         let offset = self.state.applied.next();
         match self.state.apply(offset, &Entry::Batch(batch)) {
             Ok(Applied::Batch(verdicts)) => verdicts,
-            other => panic!("not folded: {other:?}"),
+            other => panic!("not applied: {other:?}"),
         }
     }
 
     fn declare(&mut self, kind: Kind, name: &str, spec: Spec) {
         let id = Id::new(kind, ResourceName::new(name).expect("a name"));
         let change = Change::Put { id, spec: Box::new(spec), expected: None };
-        for verdict in self.fold(vec![change]) {
+        for verdict in self.apply(vec![change]) {
             verdict.unwrap_or_else(|conflict| panic!("{kind}/{name}: {conflict}"));
         }
     }
@@ -56,25 +56,25 @@
 
 /// Cobros Unidos, as in `examples/`.
 #[must_use]
-pub fn cobros() -> Folded {
+pub fn cobros() -> Fleet {
     from_json(COBROS)
 }
 
 /// The Association, as in `examples/`.
 #[must_use]
-pub fn association() -> Folded {
+pub fn association() -> Fleet {
     from_json(ASSOCIATION)
 }
 
-fn from_json(text: &str) -> Folded {
+fn from_json(text: &str) -> Fleet {
     let resources: Vec<Declared> = serde_json::from_str(text).expect("an example is well formed");
-    let mut fleet = Folded::default();
+    let mut fleet = Fleet::default();
     for resource in resources {
         let tagged = json!({ "kind": resource.kind, "spec": resource.spec });
         let spec = serde_json::from_value(tagged).expect("an example's spec is well formed");
         fleet.declare(resource.kind, &resource.name, spec);
     }
-    placed(fleet)
+    place_jobs(fleet)
 }
 
 /// Size of a made-up fleet.
@@ -92,14 +92,14 @@
 
 impl Size {
     /// Two years from now.
-    pub const LATER: Self = Self { workers: 780, pools: 35, data_centres: 8, teams: 25 };
+    pub const PROJECTED: Self = Self { workers: 780, pools: 35, data_centres: 8, teams: 25 };
 
     /// The same proportions at another number of workers.
     #[must_use]
-    pub fn of(workers: usize) -> Self {
-        let pools = (workers * Self::LATER.pools / Self::LATER.workers).max(5);
-        let teams = (workers * Self::LATER.teams / Self::LATER.workers).max(3);
-        Self { workers, pools, teams, data_centres: Self::LATER.data_centres }
+    pub fn scaled_to(workers: usize) -> Self {
+        let pools = (workers * Self::PROJECTED.pools / Self::PROJECTED.workers).max(5);
+        let teams = (workers * Self::PROJECTED.teams / Self::PROJECTED.workers).max(3);
+        Self { workers, pools, teams, data_centres: Self::PROJECTED.data_centres }
     }
 }
 
@@ -109,15 +109,15 @@
 ///
 /// Never: everything it declares is valid.
 #[must_use]
-pub fn generated(size: Size, seed: u64) -> Folded {
+pub fn generate(size: Size, seed: u64) -> Fleet {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut fleet = Folded::default();
+    let mut fleet = Fleet::default();
     let pool_of = |number: usize| (number * number + number) % size.pools;
-    let mut counts = vec![0_u32; size.pools];
+    let mut vm_counts = vec![0_u32; size.pools];
     for number in 0..size.workers {
-        counts[pool_of(number)] += 1;
+        vm_counts[pool_of(number)] += 1;
     }
-    for (number, count) in counts.iter().enumerate() {
+    for (number, count) in vm_counts.iter().enumerate() {
         let max_unavailable = (count / 5).max(2);
         let spec = Pool { max_unavailable, reserve: 1, min_available: 1 };
         fleet.declare(Kind::Pool, &format!("pool-{number}"), Spec::Pool(spec));
@@ -127,7 +127,7 @@
         fleet.declare(Kind::Team, &format!("team-{number}"), spec);
     }
     for number in 0..size.workers {
-        let spec = worker(number, pool_of(number), size.data_centres);
+        let spec = vm_spec(number, pool_of(number), size.data_centres);
         fleet.declare(Kind::Vm, &format!("vm-{number:04}"), Spec::Vm(spec));
     }
     for number in 0..size.workers * 2 {
@@ -143,10 +143,10 @@
         };
         fleet.declare(Kind::Job, &format!("job-{number:05}"), Spec::Job(spec));
     }
-    placed(fleet)
+    place_jobs(fleet)
 }
 
-fn worker(number: usize, pool: usize, data_centres: usize) -> vm::Spec {
+fn vm_spec(number: usize, pool: usize, data_centres: usize) -> vm::Spec {
     let data_centre = number % data_centres;
     let rack = number / data_centres / 4;
     vm::Spec {
@@ -163,9 +163,9 @@
 }
 
 /// Places every job that fits.
-fn placed(mut fleet: Folded) -> Folded {
+fn place_jobs(mut fleet: Fleet) -> Fleet {
     let changes = crosspath_plan::decide(&fleet.state, &BTreeMap::new());
-    for verdict in fleet.fold(changes) {
+    for verdict in fleet.apply(changes) {
         verdict.unwrap_or_else(|conflict| panic!("placement: {conflict}"));
     }
     fleet
@@ -173,10 +173,10 @@
 
 /// Jobs that run now and can only move.
 #[must_use]
-pub fn fixed_jobs(state: &State) -> Vec<JobName> {
-    let fixed = state
+pub fn non_checkpointable_jobs(state: &State) -> Vec<JobName> {
+    let jobs = state
         .jobs
         .iter()
         .filter(|(_, job)| !job.spec.checkpointable && job.status.phase.vm().is_some());
-    fixed.map(|(name, _)| name.clone()).collect()
+    jobs.map(|(name, _)| name.clone()).collect()
 }
--- a/crates/crosspath_bench/src/main.rs
+++ b/crates/crosspath_bench/src/main.rs
@@ -37,14 +37,15 @@
     }
 }
 
-fn check(figures: &[Figure]) -> ExitCode {
-    let broken: Vec<_> = figures.iter().filter(|figure| !figure.is_kept()).collect();
-    let known = |name: &String| figures.iter().any(|figure| figure.figure == *name);
-    let lost: Vec<_> = figure::bounds().into_keys().filter(|name| !known(name)).collect();
-    for figure in &broken {
-        eprintln!("{} is {}, past its bound of {:?}", figure.figure, figure.value, figure.bound);
+fn check_bounds(figures: &[Figure]) -> ExitCode {
+    let exceeded: Vec<_> = figures.iter().filter(|figure| !figure.is_within_bound()).collect();
+    let is_measured = |name: &String| figures.iter().any(|figure| figure.name == *name);
+    let unmeasured: Vec<_> =
+        figure::bounds().into_keys().filter(|name| !is_measured(name)).collect();
+    for figure in &exceeded {
+        eprintln!("{} is {}, past its bound of {:?}", figure.name, figure.value, figure.bound);
     }
-    for name in &lost {
+    for name in &unmeasured {
         eprintln!("{name} has a bound but is not measured");
     }
     let current = report::is_current(figures).unwrap_or_else(|error| {
@@ -54,34 +55,34 @@
     if !current {
         eprintln!("docs/CAPACITY.md says other figures; run: crosspath_bench report");
     }
-    let kept = broken.is_empty() && lost.is_empty() && current;
-    if kept { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    let passed = exceeded.is_empty() && unmeasured.is_empty() && current;
+    if passed { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
 /// The daemon's program, built beside this one.
-fn program() -> PathBuf {
+fn build_daemon() -> PathBuf {
     let mut build = Command::new(std::env::var_os("CARGO").unwrap_or_else(|| "cargo".into()));
     build.args(["build", "--quiet", "--release", "-p", "crosspathd", "--bin", "crosspathd"]);
     if !build.status().is_ok_and(|status| status.success()) {
         eprintln!("the daemon was not built; an older one is used if there is one");
     }
-    let own = std::env::current_exe().unwrap_or_default();
-    own.with_file_name("crosspathd")
+    let current_exe = std::env::current_exe().unwrap_or_default();
+    current_exe.with_file_name("crosspathd")
 }
 
 async fn measure_slopes() -> Result<Vec<Figure>, slopes::Error> {
-    let program = program();
+    let daemon_program = build_daemon();
     let mut figures = Vec::new();
     for workers in [50, 200, 780, 3_120] {
-        figures.extend(slopes::daemon(&program, workers).await?);
+        figures.extend(slopes::idle_daemon(&daemon_program, workers).await?);
     }
     for daemons in [6, 12, 24] {
-        figures.extend(slopes::daemons(&program, daemons).await?);
+        figures.extend(slopes::idle_daemons(&daemon_program, daemons).await?);
     }
-    for latency in [10, 200] {
-        figures.extend(slopes::in_force(&program, latency).await?);
+    for log_latency_ms in [10, 200] {
+        figures.extend(slopes::config_propagation(&daemon_program, log_latency_ms).await?);
     }
-    figures.extend(slopes::beat_bytes(&program).await?);
+    figures.extend(slopes::heartbeat_bytes(&daemon_program).await?);
     Ok(figures)
 }
 
@@ -89,11 +90,11 @@
 async fn main() -> ExitCode {
     match options().run() {
         Options::Counts { check: checked } => {
-            let figures = figure::bounded(counts::all());
+            let figures = figure::with_bounds(counts::all());
             print(&figures);
-            if checked { check(&figures) } else { ExitCode::SUCCESS }
+            if checked { check_bounds(&figures) } else { ExitCode::SUCCESS }
         }
-        Options::Report => match report::write(&figure::bounded(counts::all())) {
+        Options::Report => match report::write(&figure::with_bounds(counts::all())) {
             Ok(()) => ExitCode::SUCCESS,
             Err(error) => {
                 eprintln!("{error}");
--- a/crates/crosspath_bench/src/overload.rs
+++ b/crates/crosspath_bench/src/overload.rs
@@ -23,11 +23,11 @@
 
 /// What urgent callers felt.
 #[derive(Debug, Clone, Copy)]
-pub struct Felt {
+pub struct Summary {
     /// 99th percentile of their latency, in ms.
     pub p99_ms: u64,
     /// Share of their requests that were answered in time.
-    pub answered: f64,
+    pub answered_fraction: f64,
 }
 
 /// Arrivals: time in ms and class, the same for every way that is compared.
@@ -45,13 +45,13 @@
     arrivals
 }
 
-fn felt(latencies: &Histogram<u64>, sent: u64) -> Felt {
-    let answered = latencies.len() as f64 / sent.max(1) as f64;
-    Felt { p99_ms: latencies.value_at_quantile(0.99).max(1), answered }
+fn summarize(latencies: &Histogram<u64>, urgent_sent: u64) -> Summary {
+    let answered_fraction = latencies.len() as f64 / urgent_sent.max(1) as f64;
+    Summary { p99_ms: latencies.value_at_quantile(0.99).max(1), answered_fraction }
 }
 
 /// A request that was not answered yet.
-struct Open {
+struct Request {
     arrived: u64,
     class: Class,
     /// Once it has a slot.
@@ -64,8 +64,8 @@
     rng: SmallRng,
     caller: CallerName,
     /// When a request ends, and its ticket; the earliest first.
-    ends: BinaryHeap<Reverse<(u64, u64)>>,
-    open: BTreeMap<u64, Open>,
+    completions: BinaryHeap<Reverse<(u64, u64)>>,
+    pending: BTreeMap<u64, Request>,
     latencies: Histogram<u64>,
 }
 
@@ -82,8 +82,8 @@
             dispatch,
             rng,
             caller: CallerName::new("caller").expect("a name"),
-            ends: BinaryHeap::new(),
-            open: BTreeMap::new(),
+            completions: BinaryHeap::new(),
+            pending: BTreeMap::new(),
             latencies: Histogram::new(3).expect("three figures are allowed"),
         }
     }
@@ -97,36 +97,38 @@
             Offer::Refused(_) => return,
         };
         if vm.is_some() {
-            self.ends.push(Reverse((arrived + SERVICE_MS, ticket)));
+            self.completions.push(Reverse((arrived + SERVICE_MS, ticket)));
         }
-        self.open.insert(ticket, Open { arrived, class, vm });
+        self.pending.insert(ticket, Request { arrived, class, vm });
     }
 
     /// Ends what ends until then, in order; what waits takes its slots.
     fn run_until(&mut self, until: u64) {
-        while let Some(Reverse((at, ticket))) = self.ends.peek().copied() {
+        while let Some(Reverse((at, ticket))) = self.completions.peek().copied() {
             if at > until {
                 return;
             }
-            self.ends.pop();
-            self.end(at, ticket);
+            self.completions.pop();
+            self.complete(at, ticket);
         }
     }
 
-    fn end(&mut self, at: u64, ticket: u64) {
-        let Some(Open { arrived, class, vm: Some(vm) }) = self.open.remove(&ticket) else { return };
+    fn complete(&mut self, at: u64, ticket: u64) {
+        let Some(Request { arrived, class, vm: Some(vm) }) = self.pending.remove(&ticket) else {
+            return;
+        };
         if class == Class::Urgent && at - arrived <= DEADLINE_MS {
             self.latencies.record(at - arrived).expect("in range");
         }
         for ticket in self.dispatch.expire(Monotonic(at)) {
-            self.open.remove(&ticket.0);
+            self.pending.remove(&ticket.0);
         }
-        let end = Use::Answered(Duration::from_millis(SERVICE_MS));
-        let grants = self.dispatch.release(&vm, class, end, Monotonic(at), &mut self.rng);
+        let slot_use = Use::Answered(Duration::from_millis(SERVICE_MS));
+        let grants = self.dispatch.release(&vm, class, slot_use, Monotonic(at), &mut self.rng);
         for grant in grants {
-            if let Some(waiting) = self.open.get_mut(&grant.ticket.0) {
+            if let Some(waiting) = self.pending.get_mut(&grant.ticket.0) {
                 waiting.vm = Some(grant.vm);
-                self.ends.push(Reverse((at + SERVICE_MS, grant.ticket.0)));
+                self.completions.push(Reverse((at + SERVICE_MS, grant.ticket.0)));
             }
         }
     }
@@ -138,16 +140,16 @@
 ///
 /// Never.
 #[must_use]
-pub fn ours(load: f64, seed: u64) -> Felt {
+pub fn dispatch(load: f64, seed: u64) -> Summary {
     let mut pool = Pool::new(seed);
-    let mut sent = 0;
+    let mut urgent_sent = 0;
     for (ticket, (at, class)) in (0..).zip(arrivals(load, seed)) {
         pool.run_until(at);
-        sent += u64::from(class == Class::Urgent);
+        urgent_sent += u64::from(class == Class::Urgent);
         pool.arrive(ticket, at, class);
     }
     pool.run_until(u64::MAX);
-    felt(&pool.latencies, sent)
+    summarize(&pool.latencies, urgent_sent)
 }
 
 /// One queue in the order of arrival, as long as it gets; those past their deadline are dropped.
@@ -156,27 +158,27 @@
 ///
 /// Never.
 #[must_use]
-pub fn first_in_first_out(load: f64, seed: u64) -> Felt {
+pub fn fifo(load: f64, seed: u64) -> Summary {
     let mut free = VMS * SLOTS;
     let mut queue: VecDeque<(u64, Class)> = VecDeque::new();
-    let mut ends: BinaryHeap<Reverse<u64>> = BinaryHeap::new();
+    let mut completions: BinaryHeap<Reverse<u64>> = BinaryHeap::new();
     let mut latencies = Histogram::<u64>::new(3).expect("three figures are allowed");
-    let mut sent = 0;
+    let mut urgent_sent = 0;
     let mut arrivals = arrivals(load, seed).into_iter().peekable();
     loop {
-        let end = ends.peek().map(|end| end.0);
+        let completion = completions.peek().map(|completion| completion.0);
         let arrival = arrivals.peek().map(|arrival| arrival.0);
-        let now = match (end, arrival) {
-            (Some(end), Some(arrival)) if end <= arrival => end,
-            (Some(end), None) => end,
+        let now = match (completion, arrival) {
+            (Some(completion), Some(arrival)) if completion <= arrival => completion,
+            (Some(completion), None) => completion,
             (_, Some(arrival)) => arrival,
-            (None, None) => return felt(&latencies, sent),
+            (None, None) => return summarize(&latencies, urgent_sent),
         };
-        if end == Some(now) {
-            ends.pop();
+        if completion == Some(now) {
+            completions.pop();
             free += 1;
         } else if let Some((at, class)) = arrivals.next() {
-            sent += u64::from(class == Class::Urgent);
+            urgent_sent += u64::from(class == Class::Urgent);
             queue.push_back((at, class));
         }
         while free > 0 {
@@ -185,7 +187,7 @@
                 continue;
             }
             free -= 1;
-            ends.push(Reverse(now + SERVICE_MS));
+            completions.push(Reverse(now + SERVICE_MS));
             let latency = now + SERVICE_MS - arrived;
             if class == Class::Urgent && latency <= DEADLINE_MS {
                 latencies.record(latency).expect("in range");
--- a/crates/crosspath_bench/src/report.rs
+++ b/crates/crosspath_bench/src/report.rs
@@ -13,22 +13,22 @@
 #[derive(Debug, Snafu)]
 pub enum Error {
     /// It cannot be read or written.
-    #[snafu(display("{}: {source}", file.display()))]
-    Page {
+    #[snafu(display("{}: {source}", path.display()))]
+    Io {
         /// The file.
-        file: PathBuf,
+        path: PathBuf,
         /// Why.
         source: std::io::Error,
     },
     /// The place of the table is not marked.
-    #[snafu(display("{}: no lines {BEGIN:?} and {END:?}", file.display()))]
-    NoPlace {
+    #[snafu(display("{}: no lines {BEGIN:?} and {END:?}", path.display()))]
+    MissingMarkers {
         /// The file.
-        file: PathBuf,
+        path: PathBuf,
     },
 }
 
-fn file() -> PathBuf {
+fn page_path() -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../docs/CAPACITY.md")
 }
 
@@ -36,7 +36,7 @@
     let cell = |value: Option<f64>| value.map_or("-".to_owned(), |value| value.to_string());
     let row = |figure: &Figure| {
         let (bound, baseline) = (cell(figure.bound), cell(figure.baseline));
-        let name = &figure.figure;
+        let name = &figure.name;
         format!("| `{name}` | {} | {} | {bound} | {baseline} |", figure.value, figure.unit)
     };
     let rows: Vec<_> = figures.iter().map(row).collect();
@@ -47,13 +47,13 @@
 }
 
 /// The page as it should be, and as it is.
-fn pages(figures: &[Figure]) -> Result<(String, String), Error> {
-    let file = file();
-    let page = std::fs::read_to_string(&file).context(PageSnafu { file: &file })?;
-    let (before, rest) = page.split_once(BEGIN).context(NoPlaceSnafu { file: &file })?;
-    let (_, after) = rest.split_once(END).context(NoPlaceSnafu { file: &file })?;
-    let wanted = format!("{before}{BEGIN}\n\n{}\n\n{END}{after}", table(figures));
-    Ok((wanted, page))
+fn expected_and_current(figures: &[Figure]) -> Result<(String, String), Error> {
+    let path = page_path();
+    let current = std::fs::read_to_string(&path).context(IoSnafu { path: &path })?;
+    let (before, rest) = current.split_once(BEGIN).context(MissingMarkersSnafu { path: &path })?;
+    let (_, after) = rest.split_once(END).context(MissingMarkersSnafu { path: &path })?;
+    let expected = format!("{before}{BEGIN}\n\n{}\n\n{END}{after}", table(figures));
+    Ok((expected, current))
 }
 
 /// Writes the table into the page.
@@ -62,9 +62,9 @@
 ///
 /// [`Error`] when the page cannot be used.
 pub fn write(figures: &[Figure]) -> Result<(), Error> {
-    let (wanted, _) = pages(figures)?;
-    let file = file();
-    std::fs::write(&file, wanted).context(PageSnafu { file })
+    let (expected, _) = expected_and_current(figures)?;
+    let path = page_path();
+    std::fs::write(&path, expected).context(IoSnafu { path })
 }
 
 /// Whether the page says what was counted.
@@ -73,6 +73,6 @@
 ///
 /// [`Error`] when the page cannot be used.
 pub fn is_current(figures: &[Figure]) -> Result<bool, Error> {
-    let (wanted, page) = pages(figures)?;
-    Ok(wanted == page)
+    let (expected, current) = expected_and_current(figures)?;
+    Ok(expected == current)
 }
--- a/crates/crosspath_bench/src/slopes.rs
+++ b/crates/crosspath_bench/src/slopes.rs
@@ -18,11 +18,11 @@
 use crate::fleet::{self, Size};
 
 const SEED: u64 = 11;
-const IDLE: Duration = Duration::from_secs(5);
+const IDLE_PERIOD: Duration = Duration::from_secs(5);
 /// Until handovers among many daemons are over.
-const SETTLE: Duration = Duration::from_secs(15);
+const SETTLE_DELAY: Duration = Duration::from_secs(15);
 /// Clock ticks of `/proc/PID/stat` in a second.
-const TICKS: f64 = 100.0;
+const TICKS_PER_SECOND: f64 = 100.0;
 const MIB: f64 = 1_048_576.0;
 
 /// A slope that could not be measured.
@@ -51,7 +51,7 @@
 }
 
 /// Resident memory in bytes and processor time in seconds of a process.
-fn process(id: u32) -> Result<(f64, f64), Error> {
+fn process_usage(id: u32) -> Result<(f64, f64), Error> {
     let read = |file: &str| {
         let path = format!("/proc/{id}/{file}");
         std::fs::read_to_string(&path).context(ProcessSnafu { path })
@@ -63,29 +63,29 @@
     let fields = stat.rsplit(')').next().unwrap_or_default();
     let ticks = fields.split_whitespace().skip(11).take(2);
     let ticks: f64 = ticks.filter_map(|field| field.parse::<f64>().ok()).sum();
-    Ok((kib.unwrap_or_default() * 1_024.0, ticks / TICKS))
+    Ok((kib.unwrap_or_default() * 1_024.0, ticks / TICKS_PER_SECOND))
 }
 
 fn resources(workers: usize) -> Vec<Declared> {
-    let state = fleet::generated(Size::of(workers), SEED).state;
+    let state = fleet::generate(Size::scaled_to(workers), SEED).state;
     let mut resources = Vec::new();
     for kind in [Kind::Pool, Kind::Team, Kind::Vm, Kind::Job] {
         for name in state.names(kind) {
             let id = crosspath_state::resource::Id::new(kind, name);
             let Some((_, spec)) = state.resource(&id) else { continue };
-            resources.push(Declared { kind, name: id.name.to_string(), spec: plain(&spec) });
+            resources.push(Declared { kind, name: id.name.to_string(), spec: spec_json(&spec) });
         }
     }
     resources
 }
 
-fn stand_ins(workers: usize) -> Vec<VmConfig> {
-    let state = fleet::generated(Size::of(workers), SEED).state;
+fn vm_configs(workers: usize) -> Vec<VmConfig> {
+    let state = fleet::generate(Size::scaled_to(workers), SEED).state;
     let vms = state.vms.keys().cloned();
     vms.map(|name| VmConfig { name, address: site::any(), slots: 8 }).collect()
 }
 
-fn plain(spec: &Spec) -> Value {
+fn spec_json(spec: &Spec) -> Value {
     let mut value = serde_json::to_value(spec).unwrap_or_default();
     value.get_mut("spec").map(Value::take).unwrap_or_default()
 }
@@ -120,29 +120,29 @@
 /// # Errors
 ///
 /// [`Error`].
-pub async fn daemon(program: &Path, workers: usize) -> Result<Vec<Figure>, Error> {
+pub async fn idle_daemon(program: &Path, workers: usize) -> Result<Vec<Figure>, Error> {
     let mut plan = Plan::new(program, 1);
     plan.timing = json!({});
-    plan.fakes.vms = stand_ins(workers);
+    plan.fakes.vms = vm_configs(workers);
     let mut site = Site::start(&plan).await.context(SiteSnafu)?;
     preload(&site, workers).await?;
     // Settles: jobs are placed, workers are looked at.
-    tokio::time::sleep(IDLE).await;
+    tokio::time::sleep(IDLE_PERIOD).await;
     let started = Instant::now();
     site.restart(0).context(SiteSnafu)?;
     site.wait_ready(0).await.context(SiteSnafu)?;
-    let start = started.elapsed();
-    tokio::time::sleep(IDLE).await;
+    let startup = started.elapsed();
+    tokio::time::sleep(IDLE_PERIOD).await;
     let id = site.daemons[0].process().unwrap_or_default();
-    let before = process(id)?;
-    tokio::time::sleep(IDLE).await;
-    let after = process(id)?;
-    let share = (after.1 - before.1) / IDLE.as_secs_f64() * 100.0;
+    let before = process_usage(id)?;
+    tokio::time::sleep(IDLE_PERIOD).await;
+    let after = process_usage(id)?;
+    let cpu_percent = (after.1 - before.1) / IDLE_PERIOD.as_secs_f64() * 100.0;
     let figure = |what: &str, value, unit| Figure::new(format!("{what}_{workers}"), value, unit);
     Ok(vec![
         figure("resident_mib", after.0 / MIB, "MiB"),
-        figure("idle_core_percent", share, "% of a core"),
-        figure("start_ms", start.as_secs_f64() * 1_000.0, "ms"),
+        figure("idle_core_percent", cpu_percent, "% of a core"),
+        figure("start_ms", startup.as_secs_f64() * 1_000.0, "ms"),
     ])
 }
 
@@ -151,29 +151,31 @@
 /// # Errors
 ///
 /// [`Error`].
-pub async fn daemons(program: &Path, count: usize) -> Result<Vec<Figure>, Error> {
+pub async fn idle_daemons(program: &Path, count: usize) -> Result<Vec<Figure>, Error> {
     let mut plan = Plan::new(program, count);
     plan.timing = json!({});
-    plan.fakes.vms = stand_ins(50);
+    plan.fakes.vms = vm_configs(50);
     let site = Site::start(&plan).await.context(SiteSnafu)?;
     preload(&site, 50).await?;
-    tokio::time::sleep(SETTLE).await;
-    let appended = |site: &Site| {
+    tokio::time::sleep(SETTLE_DELAY).await;
+    let applied_revision = |site: &Site| {
         let operator = site.daemons[0].operator();
         async move {
             let status = operator.call::<Value>(Method::GET, "/v1/status", None::<&()>).await;
             status.map(|status| status["applied"].as_u64().unwrap_or_default())
         }
     };
-    let ids: Vec<_> = site.daemons.iter().filter_map(site::Daemon::process).collect();
-    let total = || ids.iter().map(|id| process(*id).map(|(_, cpu)| cpu)).sum::<Result<f64, _>>();
-    let before = (total()?, appended(&site).await.context(CallSnafu)?);
-    tokio::time::sleep(IDLE).await;
-    let after = (total()?, appended(&site).await.context(CallSnafu)?);
-    let share = (after.0 - before.0) / IDLE.as_secs_f64() * 100.0 / count as f64;
-    let appends = (after.1 - before.1) as f64 / IDLE.as_secs_f64();
+    let process_ids: Vec<_> = site.daemons.iter().filter_map(site::Daemon::process).collect();
+    let total_cpu = || {
+        process_ids.iter().map(|id| process_usage(*id).map(|(_, cpu)| cpu)).sum::<Result<f64, _>>()
+    };
+    let before = (total_cpu()?, applied_revision(&site).await.context(CallSnafu)?);
+    tokio::time::sleep(IDLE_PERIOD).await;
+    let after = (total_cpu()?, applied_revision(&site).await.context(CallSnafu)?);
+    let cpu_percent = (after.0 - before.0) / IDLE_PERIOD.as_secs_f64() * 100.0 / count as f64;
+    let appends = (after.1 - before.1) as f64 / IDLE_PERIOD.as_secs_f64();
     Ok(vec![
-        Figure::new(format!("idle_core_percent_of_{count}_daemons"), share, "% of a core"),
+        Figure::new(format!("idle_core_percent_of_{count}_daemons"), cpu_percent, "% of a core"),
         Figure::new(format!("appends_per_s_idle_{count}_daemons"), appends, "appends/s"),
     ])
 }
@@ -183,17 +185,17 @@
 /// # Errors
 ///
 /// [`Error`].
-pub async fn beat_bytes(program: &Path) -> Result<Vec<Figure>, Error> {
+pub async fn heartbeat_bytes(program: &Path) -> Result<Vec<Figure>, Error> {
     let plan = Plan::new(program, 2);
     let site = Site::start(&plan).await.context(SiteSnafu)?;
     let target = site.daemons[0].peers;
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await;
     let listener = listener.context(ProcessSnafu { path: "loopback" })?;
     // The second daemon's place is taken by a listener that passes everything on and counts.
-    let (sent, answered) = relay_once(&listener, target, &site).await?;
+    let (request_bytes, response_bytes) = relay_once(&listener, target, &site).await?;
     Ok(vec![
-        Figure::new("beat_bytes", sent, "bytes"),
-        Figure::new("beat_answer_bytes", answered, "bytes"),
+        Figure::new("beat_bytes", request_bytes, "bytes"),
+        Figure::new("beat_answer_bytes", response_bytes, "bytes"),
     ])
 }
 
@@ -203,12 +205,13 @@
     site: &Site,
 ) -> Result<(f64, f64), Error> {
     let address = listener.local_addr().context(ProcessSnafu { path: "loopback" })?;
-    let link = crosspath_peer::RpcLink::new(address, site::PEER_TOKEN, Duration::from_secs(5));
-    let Ok(link) = link else { return Ok((0.0, 0.0)) };
-    let status = site.daemons[1].operator();
-    let status = status.call::<Value>(Method::GET, "/v1/status", None::<&()>).await;
+    let client_link =
+        crosspath_peer::RpcLink::new(address, site::PEER_TOKEN, Duration::from_secs(5));
+    let Ok(client_link) = client_link else { return Ok((0.0, 0.0)) };
+    let operator = site.daemons[1].operator();
+    let status = operator.call::<Value>(Method::GET, "/v1/status", None::<&()>).await;
     let applied = status.context(CallSnafu)?["applied"].as_u64().unwrap_or_default();
-    let beat = crosspath_peer::Beat {
+    let heartbeat = crosspath_peer::Beat {
         from: crosspath_state::record::Writer {
             daemon: "entry-2".parse().expect("a name"),
             incarnation: crosspath_state::record::Incarnation(1_800_000_000_000),
@@ -221,14 +224,14 @@
         let (mut from, _) = listener.accept().await?;
         let mut to = tokio::net::TcpStream::connect(target).await?;
         let mut buffer = vec![0; 65_536];
-        let sent = from.read(&mut buffer).await?;
-        to.write_all(&buffer[..sent]).await?;
-        let answered = to.read(&mut buffer).await?;
-        from.write_all(&buffer[..answered]).await?;
-        Ok::<_, std::io::Error>((sent as f64, answered as f64))
+        let request_bytes = from.read(&mut buffer).await?;
+        to.write_all(&buffer[..request_bytes]).await?;
+        let response_bytes = to.read(&mut buffer).await?;
+        from.write_all(&buffer[..response_bytes]).await?;
+        Ok::<_, std::io::Error>((request_bytes as f64, response_bytes as f64))
     };
-    let (counted, _) = tokio::join!(relay, crosspath_peer::Link::beat(&link, beat));
-    counted.context(ProcessSnafu { path: "loopback" })
+    let (byte_counts, _) = tokio::join!(relay, crosspath_peer::Link::beat(&client_link, heartbeat));
+    byte_counts.context(ProcessSnafu { path: "loopback" })
 }
 
 const CHANGES: usize = 60;
@@ -240,27 +243,27 @@
 /// # Errors
 ///
 /// [`Error`].
-pub async fn in_force(program: &Path, log_latency_ms: u64) -> Result<Vec<Figure>, Error> {
+pub async fn config_propagation(program: &Path, log_latency_ms: u64) -> Result<Vec<Figure>, Error> {
     let mut plan = Plan::new(program, 6);
     plan.timing = json!({});
     plan.fakes.log_latency_ms = log_latency_ms;
     let site = Site::start(&plan).await.context(SiteSnafu)?;
-    tokio::time::sleep(IDLE).await;
+    tokio::time::sleep(IDLE_PERIOD).await;
     let mut times = Histogram::<u64>::new(3).expect("three figures are allowed");
     for number in 0..CHANGES {
         let revision = put_team(&site, number % 6, number).await?;
         let accepted = Instant::now();
-        everywhere(&site, revision).await?;
+        wait_applied(&site, revision).await?;
         let millis = u64::try_from(accepted.elapsed().as_millis()).unwrap_or(u64::MAX);
         times.record(millis).expect("resizes");
     }
     let started = Instant::now();
     let puts = (0..BURST).map(|number| put_team(&site, number % 6, number));
-    let mut newest = 0;
+    let mut latest = 0;
     for revision in futures::future::join_all(puts).await {
-        newest = newest.max(revision?);
+        latest = latest.max(revision?);
     }
-    everywhere(&site, newest).await?;
+    wait_applied(&site, latest).await?;
     let burst = started.elapsed().as_secs_f64() * 1_000.0;
     let figure =
         |what: &str, value| Figure::new(format!("{what}_log_{log_latency_ms}_ms"), value, "ms");
@@ -280,7 +283,7 @@
 }
 
 /// Waits until every daemon lists the teams at `revision` or later.
-async fn everywhere(site: &Site, revision: u64) -> Result<(), Error> {
+async fn wait_applied(site: &Site, revision: u64) -> Result<(), Error> {
     let waits = site.daemons.iter().map(|daemon| async move {
         let operator = daemon.operator();
         loop {
--- a/crates/crosspath_bench/src/slots.rs
+++ b/crates/crosspath_bench/src/slots.rs
@@ -7,7 +7,7 @@
 
 const VMS: u32 = 10;
 const SLOTS: u32 = 8;
-const LOAD: f64 = 0.7;
+const LOAD_FACTOR: f64 = 0.7;
 const REQUESTS: u32 = 50_000;
 
 /// Share of requests that find no slot at their daemon while another daemon has one free, and the
@@ -16,7 +16,7 @@
 pub fn waste_and_overshoot(daemons: u32, seed: u64) -> (f64, f64) {
     let vm = |number: u32| VmName::new(&format!("vm-{number}")).expect("a name");
     let part = |index: u32, number: u32| Place { index, daemons }.part(&vm(number), SLOTS);
-    let parts: Vec<u32> =
+    let daemon_slots: Vec<u32> =
         (0..daemons).map(|index| (0..VMS).map(|number| part(index, number)).sum()).collect();
     let overshoot = (0..VMS)
         .map(|number| (0..daemons).map(|index| part(index, number)).sum::<u32>())
@@ -25,19 +25,19 @@
         .unwrap_or_default();
     let mut rng = SmallRng::seed_from_u64(seed);
     let total = VMS * SLOTS;
-    let mean_gap = 1.0 / (f64::from(total) * LOAD);
+    let mean_gap = 1.0 / (f64::from(total) * LOAD_FACTOR);
     let mut now = 0.0;
-    let mut ends: Vec<Vec<f64>> = vec![Vec::new(); daemons as usize];
+    let mut completions: Vec<Vec<f64>> = vec![Vec::new(); daemons as usize];
     let mut refused = 0;
     for _ in 0..REQUESTS {
         now += mean_gap * exponential(&mut rng);
-        for ends in &mut ends {
-            ends.retain(|end| *end > now);
+        for completions in &mut completions {
+            completions.retain(|completion| *completion > now);
         }
         let daemon = rng.random_range(0..daemons) as usize;
-        let busy: usize = ends.iter().map(Vec::len).sum();
-        if ends[daemon].len() < parts[daemon] as usize {
-            ends[daemon].push(now + exponential(&mut rng));
+        let busy: usize = completions.iter().map(Vec::len).sum();
+        if completions[daemon].len() < daemon_slots[daemon] as usize {
+            completions[daemon].push(now + exponential(&mut rng));
         } else if busy < total as usize {
             refused += 1;
         }
--- a/crates/crosspath_bench/src/timed.rs
+++ b/crates/crosspath_bench/src/timed.rs
@@ -6,7 +6,7 @@
 use crosspath_state::record::{Change, Step};
 
 use crate::figure::Figure;
-use crate::fleet::{self, Folded, Size};
+use crate::fleet::{self, Fleet, Size};
 
 const RUNS: usize = 15;
 const SEED: u64 = 11;
@@ -15,42 +15,42 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Spread {
     /// The least.
-    pub least: Duration,
+    pub min: Duration,
     /// The middle one.
-    pub middle: Duration,
+    pub median: Duration,
     /// The most.
-    pub most: Duration,
+    pub max: Duration,
 }
 
 /// Times `work` several times over.
-pub fn spread<T>(mut work: impl FnMut() -> T) -> Spread {
-    let mut times: Vec<Duration> = (0..RUNS)
+pub fn measure<T>(mut work: impl FnMut() -> T) -> Spread {
+    let mut durations: Vec<Duration> = (0..RUNS)
         .map(|_| {
             let started = Instant::now();
             std::hint::black_box(work());
             started.elapsed()
         })
         .collect();
-    times.sort_unstable();
-    Spread { least: times[0], middle: times[RUNS / 2], most: times[RUNS - 1] }
+    durations.sort_unstable();
+    Spread { min: durations[0], median: durations[RUNS / 2], max: durations[RUNS - 1] }
 }
 
 fn figures_of(name: &str, spread: Spread) -> [Figure; 3] {
     let ms = |time: Duration| time.as_secs_f64() * 1_000.0;
     [
-        Figure::new(format!("{name}_ms"), ms(spread.middle), "ms"),
-        Figure::new(format!("{name}_ms_least"), ms(spread.least), "ms"),
-        Figure::new(format!("{name}_ms_most"), ms(spread.most), "ms"),
+        Figure::new(format!("{name}_ms"), ms(spread.median), "ms"),
+        Figure::new(format!("{name}_ms_least"), ms(spread.min), "ms"),
+        Figure::new(format!("{name}_ms_most"), ms(spread.max), "ms"),
     ]
 }
 
 /// A fleet whose jobs have all lost their places.
-fn unplaced(fleet: &Folded) -> Folded {
+fn with_jobs_unplaced(fleet: &Fleet) -> Fleet {
     let mut fleet = fleet.clone();
     let action = crosspath_state::record::JobAction::Unplace;
     let jobs = fleet.state.jobs.keys().cloned();
     let changes = jobs.map(|job| Change::Job { job, action: action.clone() }).collect();
-    fleet.fold(changes);
+    fleet.apply(changes);
     fleet
 }
 
@@ -58,34 +58,34 @@
 #[must_use]
 pub fn decisions() -> Vec<Figure> {
     let mut figures = Vec::new();
-    let none = BTreeMap::new();
+    let no_observations = BTreeMap::new();
     for workers in [50, 200, 780, 3_120] {
-        let fleet = fleet::generated(Size::of(workers), SEED);
-        let empty = unplaced(&fleet);
-        let full = spread(|| crosspath_plan::decide(&empty.state, &none));
+        let fleet = fleet::generate(Size::scaled_to(workers), SEED);
+        let unplaced = with_jobs_unplaced(&fleet);
+        let full = measure(|| crosspath_plan::decide(&unplaced.state, &no_observations));
         figures.extend(figures_of(&format!("full_plan_{workers}"), full));
-        let quiet = spread(|| crosspath_plan::decide(&fleet.state, &none));
+        let quiet = measure(|| crosspath_plan::decide(&fleet.state, &no_observations));
         figures.extend(figures_of(&format!("quiet_round_{workers}"), quiet));
-        let one = one_waits(&fleet);
-        let incremental = spread(|| crosspath_plan::decide(&one.state, &none));
+        let one_unplaced = with_one_job_unplaced(&fleet);
+        let incremental = measure(|| crosspath_plan::decide(&one_unplaced.state, &no_observations));
         figures.extend(figures_of(&format!("one_job_{workers}"), incremental));
-        let digest = spread(|| fleet.state.digest());
+        let digest = measure(|| fleet.state.digest());
         figures.extend(figures_of(&format!("digest_{workers}"), digest));
-        let folded = spread(|| {
+        let apply = measure(|| {
             let mut copy = fleet.clone();
             let vm = copy.state.vms.keys().next().cloned().expect("a VM");
-            copy.fold(vec![Change::Step { vm, step: Step::Undrain }])
+            copy.apply(vec![Change::Step { vm, step: Step::Undrain }])
         });
-        figures.extend(figures_of(&format!("fold_{workers}"), folded));
+        figures.extend(figures_of(&format!("fold_{workers}"), apply));
     }
     figures
 }
 
-fn one_waits(fleet: &Folded) -> Folded {
+fn with_one_job_unplaced(fleet: &Fleet) -> Fleet {
     let mut fleet = fleet.clone();
     let placed = fleet.state.jobs.iter().find(|(_, job)| job.status.phase.vm().is_some());
     let job = placed.map(|(job, _)| job.clone()).expect("a job is placed");
     let action = crosspath_state::record::JobAction::Unplace;
-    fleet.fold(vec![Change::Job { job, action }]);
+    fleet.apply(vec![Change::Job { job, action }]);
     fleet
 }
--- a/crates/crosspath_bench/src/wave.rs
+++ b/crates/crosspath_bench/src/wave.rs
@@ -12,29 +12,29 @@
 use crosspath_state::time::Wall;
 use crosspath_state::{State, vm};
 
-use crate::fleet::{self, Folded};
+use crate::fleet::{self, Fleet};
 
 /// Time from a drain to the reboot, at the least.
-pub const DRAIN: Duration = Duration::from_secs(10);
+pub const DRAIN_TIME: Duration = Duration::from_secs(10);
 
 /// Time that a reboot takes.
-pub const REBOOT: Duration = Duration::from_secs(170);
+pub const REBOOT_TIME: Duration = Duration::from_secs(170);
 
 /// A VM that fails during the wave, and comes back.
 #[derive(Debug, Clone)]
 pub struct Failure {
     /// Which VM, in name order.
-    pub place: usize,
+    pub vm_index: usize,
     /// When it fails.
-    pub at: Duration,
+    pub fails_at: Duration,
     /// When it is back.
-    pub back: Duration,
+    pub recovers_at: Duration,
 }
 
 /// Decides what happens next; [`Planner`] is ours, the others are in [`crate::baseline`].
 pub trait Strategy {
     /// Changes for the log.
-    fn next(&self, state: &State, observed: &BTreeMap<VmName, Observed>) -> Vec<Change>;
+    fn next_changes(&self, state: &State, observed: &BTreeMap<VmName, Observed>) -> Vec<Change>;
 }
 
 /// The product's own decisions, as the daemon commits them.
@@ -42,7 +42,7 @@
 pub struct Planner;
 
 impl Strategy for Planner {
-    fn next(&self, state: &State, observed: &BTreeMap<VmName, Observed>) -> Vec<Change> {
+    fn next_changes(&self, state: &State, observed: &BTreeMap<VmName, Observed>) -> Vec<Change> {
         crosspath_plan::decide(state, observed)
     }
 }
@@ -51,29 +51,29 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Outcome {
     /// Whether it ended.
-    pub done: bool,
+    pub finished: bool,
     /// Time it took over its lower bound.
-    pub over_bound: f64,
+    pub time_over_bound: f64,
     /// Moves over their lower bound: each job that can only move must move once.
     pub moves_over_bound: f64,
     /// Most often that one job moved.
-    pub most_moves: u32,
+    pub max_moves_per_job: u32,
     /// Batches appended for each VM serviced.
     pub appends_per_vm: f64,
     /// Revisions at which a pool exceeded its budget.
-    pub violations: u32,
+    pub budget_violations: u32,
     /// Changes that the fold rejected.
-    pub rejected: u32,
+    pub rejected_changes: u32,
 }
 
-struct World<'a> {
-    fleet: Folded,
+struct Simulation<'a> {
+    fleet: Fleet,
     now: Duration,
-    since: BTreeMap<VmName, Duration>,
+    maintenance_since: BTreeMap<VmName, Duration>,
     failures: &'a [Failure],
     down: BTreeSet<VmName>,
-    violations: u32,
-    rejected: u32,
+    budget_violations: u32,
+    rejected_changes: u32,
 }
 
 /// Runs one wave over every pool.
@@ -82,39 +82,52 @@
 ///
 /// When the wave itself is not accepted.
 #[must_use]
-pub fn run(fleet: Folded, strategy: &impl Strategy, failures: &[Failure]) -> Outcome {
+pub fn run(fleet: Fleet, strategy: &impl Strategy, failures: &[Failure]) -> Outcome {
     let vms = fleet.state.vms.len();
-    let fixed = fleet::fixed_jobs(&fleet.state).len();
+    let movable_jobs = fleet::non_checkpointable_jobs(&fleet.state).len();
     let before = fleet.batches;
-    let (down, since) = (BTreeSet::new(), BTreeMap::new());
+    let (down, maintenance_since) = (BTreeSet::new(), BTreeMap::new());
     let now = Duration::ZERO;
-    let mut world = World { fleet, now, since, failures, down, violations: 0, rejected: 0 };
-    let bound = world.declare();
-    while world.step(strategy) {}
-    let state = &world.fleet.state;
+    let mut simulation = Simulation {
+        fleet,
+        now,
+        maintenance_since,
+        failures,
+        down,
+        budget_violations: 0,
+        rejected_changes: 0,
+    };
+    let bound = simulation.declare_wave();
+    while simulation.step(strategy) {}
+    let state = &simulation.fleet.state;
     let moves: u32 = state.jobs.values().map(|job| job.status.moves).sum();
-    let done = state.waves.values().all(|wave| wave.status.phase.is_final());
+    let finished = state.waves.values().all(|wave| wave.status.phase.is_final());
     Outcome {
-        done,
-        over_bound: world.now.as_secs_f64() / bound.as_secs_f64(),
-        moves_over_bound: f64::from(moves) / fixed.max(1) as f64,
-        most_moves: state.jobs.values().map(|job| job.status.moves).max().unwrap_or_default(),
-        appends_per_vm: (world.fleet.batches - before) as f64 / vms as f64,
-        violations: world.violations,
-        rejected: world.rejected,
+        finished,
+        time_over_bound: simulation.now.as_secs_f64() / bound.as_secs_f64(),
+        moves_over_bound: f64::from(moves) / movable_jobs.max(1) as f64,
+        max_moves_per_job: state
+            .jobs
+            .values()
+            .map(|job| job.status.moves)
+            .max()
+            .unwrap_or_default(),
+        appends_per_vm: (simulation.fleet.batches - before) as f64 / vms as f64,
+        budget_violations: simulation.budget_violations,
+        rejected_changes: simulation.rejected_changes,
     }
 }
 
-impl World<'_> {
-    fn declare(&mut self) -> Duration {
+impl Simulation<'_> {
+    fn declare_wave(&mut self) -> Duration {
         let pools: Vec<PoolName> = self.fleet.state.pools.keys().cloned().collect();
         let failures = self.failures.len();
         let pause_after_failures = u32::try_from(failures).unwrap_or(u32::MAX).saturating_add(1);
         let spec = crosspath_state::wave::Spec { pools, canary: false, pause_after_failures };
-        let bound = bound::wave_time(&self.fleet.state, &spec, DRAIN + REBOOT);
+        let bound = bound::wave_time(&self.fleet.state, &spec, DRAIN_TIME + REBOOT_TIME);
         let id = Id::new(Kind::Wave, "wave".parse().expect("a name"));
         let put = Change::Put { id, spec: Box::new(Spec::Wave(spec)), expected: None };
-        let verdicts = self.fleet.fold(vec![put]);
+        let verdicts = self.fleet.apply(vec![put]);
         assert!(verdicts.iter().all(Result::is_ok), "{verdicts:?}");
         bound.expect("every budget lets one VM out")
     }
@@ -122,7 +135,7 @@
     /// Commits what is decided, or else lets time pass; whether the wave goes on.
     fn step(&mut self, strategy: &impl Strategy) -> bool {
         let observed = self.observe();
-        let changes = strategy.next(&self.fleet.state, &observed);
+        let changes = strategy.next_changes(&self.fleet.state, &observed);
         let before = self.fleet.state.clone();
         if !changes.is_empty() {
             self.commit(changes);
@@ -133,60 +146,64 @@
         {
             return self.fleet.state.waves.values().any(|wave| !wave.status.phase.is_final());
         }
-        self.pass()
+        self.advance()
     }
 
     fn commit(&mut self, changes: Vec<Change>) {
-        let verdicts = self.fleet.fold(changes);
-        self.rejected += u32::try_from(verdicts.iter().filter(|v| v.is_err()).count()).unwrap_or(0);
+        let verdicts = self.fleet.apply(changes);
+        self.rejected_changes +=
+            u32::try_from(verdicts.iter().filter(|v| v.is_err()).count()).unwrap_or(0);
         let state = &self.fleet.state;
         for (name, vm) in &state.vms {
-            let out = vm.status.wave().is_some();
-            let started = matches!(vm.status, vm::Phase::Draining { .. });
-            if out && (started || self.since.contains_key(name)) {
-                self.since.entry(name.clone()).or_insert(self.now);
+            let in_maintenance = vm.status.wave().is_some();
+            let is_draining = matches!(vm.status, vm::Phase::Draining { .. });
+            if in_maintenance && (is_draining || self.maintenance_since.contains_key(name)) {
+                self.maintenance_since.entry(name.clone()).or_insert(self.now);
             }
-            if !out {
-                self.since.remove(name);
+            if !in_maintenance {
+                self.maintenance_since.remove(name);
             }
         }
         let exceeded =
             state.pools.iter().filter(|(name, pool)| Usage::of(state, name).exceeds(&pool.spec));
-        self.violations += u32::try_from(exceeded.count()).unwrap_or(u32::MAX);
+        self.budget_violations += u32::try_from(exceeded.count()).unwrap_or(u32::MAX);
     }
 
     fn observe(&self) -> BTreeMap<VmName, Observed> {
-        let seen = |(name, since): (&VmName, &Duration)| {
-            let out_for = self.now.saturating_sub(*since);
+        let observe_vm = |(name, maintenance_since): (&VmName, &Duration)| {
+            let maintenance_time = self.now.saturating_sub(*maintenance_since);
             let observed = Observed {
                 daemons_done: true,
-                worker_idle: out_for >= DRAIN,
-                rebooted: out_for >= DRAIN + REBOOT,
+                worker_idle: maintenance_time >= DRAIN_TIME,
+                rebooted: maintenance_time >= DRAIN_TIME + REBOOT_TIME,
             };
             (name.clone(), observed)
         };
-        self.since.iter().map(seen).collect()
+        self.maintenance_since.iter().map(observe_vm).collect()
     }
 
     /// Goes to the next time at which something happens.
-    fn pass(&mut self) -> bool {
-        let ends = self.since.values().flat_map(|since| [*since + DRAIN, *since + DRAIN + REBOOT]);
-        let failures = self.failures.iter().flat_map(|failure| [failure.at, failure.back]);
+    fn advance(&mut self) -> bool {
+        let ends = self.maintenance_since.values().flat_map(|maintenance_since| {
+            [*maintenance_since + DRAIN_TIME, *maintenance_since + DRAIN_TIME + REBOOT_TIME]
+        });
+        let failures =
+            self.failures.iter().flat_map(|failure| [failure.fails_at, failure.recovers_at]);
         let next = ends.chain(failures).filter(|at| *at > self.now).min();
         let Some(next) = next else { return false };
         self.now = next;
-        self.fail_and_recover();
+        self.apply_failures();
         true
     }
 
-    fn fail_and_recover(&mut self) {
+    fn apply_failures(&mut self) {
         let names: Vec<VmName> = self.fleet.state.vms.keys().cloned().collect();
         let mut changes = Vec::new();
         for failure in self.failures {
-            let Some(vm) = names.get(failure.place).cloned() else { continue };
-            if failure.at == self.now && self.down.insert(vm.clone()) {
+            let Some(vm) = names.get(failure.vm_index).cloned() else { continue };
+            if failure.fails_at == self.now && self.down.insert(vm.clone()) {
                 changes.push(Change::Failure { vm, seen_at: Wall(0) });
-            } else if failure.back == self.now && self.down.remove(&vm) {
+            } else if failure.recovers_at == self.now && self.down.remove(&vm) {
                 changes.push(Change::Recovery { vm });
             }
         }
@@ -198,7 +215,7 @@
 
 /// The steps that start VMs among some changes.
 #[must_use]
-pub fn drains(changes: &[Change]) -> Vec<VmName> {
+pub fn drained_vms(changes: &[Change]) -> Vec<VmName> {
     let drain = |change: &Change| match change {
         Change::Step { vm, step: Step::Drain { .. } } => Some(vm.clone()),
         _ => None,
--- a/crates/crosspath_soak/src/audit.rs
+++ b/crates/crosspath_soak/src/audit.rs
@@ -8,32 +8,32 @@
 use crosspath_platform_stand_in::worker;
 
 /// Crashes of workers under a task after which it may be started fewer than as many times again.
-const CRASHES_ALLOWED: u64 = 3;
+const CRASH_LIMIT: u64 = 3;
 
-/// What callers were told of a job.
+/// What callers were submission of a job.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Told {
+pub(crate) struct Submission {
     /// It was accepted at least once.
     pub(crate) accepted: bool,
     /// Some try got no clear answer.
-    pub(crate) doubtful: bool,
+    pub(crate) unconfirmed: bool,
     /// Its cancelling was asked for.
-    pub(crate) cancel_tried: bool,
+    pub(crate) cancel_requested: bool,
     /// Its cancelling was accepted.
-    pub(crate) cancelled: bool,
+    pub(crate) cancel_accepted: bool,
     /// Nobody will try again.
-    pub(crate) settled: bool,
+    pub(crate) closed: bool,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    jobs: BTreeMap<JobId, (Job, Told)>,
+    jobs: BTreeMap<JobId, (Job, Submission)>,
     running: BTreeMap<TaskId, (String, u64)>,
-    done: BTreeSet<TaskId>,
-    noted: BTreeSet<TaskId>,
-    started: BTreeSet<JobId>,
+    completed: BTreeSet<TaskId>,
+    acknowledged: BTreeSet<TaskId>,
+    started_jobs: BTreeSet<JobId>,
     starts: u64,
-    runs: BTreeMap<TaskId, u64>,
+    run_counts: BTreeMap<TaskId, u64>,
     /// Lives of workers that ended under a task, and its starts since the third.
     crashes: BTreeMap<TaskId, (u64, u64)>,
     violations: Vec<String>,
@@ -49,18 +49,18 @@
     }
 
     /// A job is about to be submitted.
-    pub(crate) fn submitting(&self, job: &Job) {
-        self.lock().jobs.entry(job.id).or_insert_with(|| (job.clone(), Told::default()));
+    pub(crate) fn add_job(&self, job: &Job) {
+        self.lock().jobs.entry(job.id).or_insert_with(|| (job.clone(), Submission::default()));
     }
 
-    /// Notes what callers were told.
-    pub(crate) fn told(&self, job: JobId, change: impl FnOnce(&mut Told)) {
-        if let Some((_, told)) = self.lock().jobs.get_mut(&job) {
-            change(told);
+    /// Notes what callers were submission.
+    pub(crate) fn update_submission(&self, job: JobId, change: impl FnOnce(&mut Submission)) {
+        if let Some((_, submission)) = self.lock().jobs.get_mut(&job) {
+            change(submission);
         }
     }
 
-    pub(crate) fn violation(&self, text: String) {
+    pub(crate) fn report_violation(&self, text: String) {
         log::warn!("event=promise_broken {text}");
         self.lock().violations.push(text);
     }
@@ -74,7 +74,7 @@
         self.lock().starts
     }
 
-    pub(crate) fn jobs(&self) -> Vec<(Job, Told)> {
+    pub(crate) fn jobs(&self) -> Vec<(Job, Submission)> {
         self.lock().jobs.values().cloned().collect()
     }
 
@@ -84,30 +84,30 @@
     }
 
     /// Whether every task of a job has ended well.
-    pub(crate) fn is_done(&self, job: &Job) -> bool {
+    pub(crate) fn is_completed(&self, job: &Job) -> bool {
         let state = self.lock();
-        tasks(job).all(|task| state.done.contains(&task))
+        tasks(job).all(|task| state.completed.contains(&task))
     }
 
     /// Whether a job may be shown as failed: it crashes its workers, or as many lives ended under one of its tasks
     /// as tell a task that does from its neighbours. A sound task may have bad neighbours and bad luck: seed 22009 of
     /// the runs with jobs that crash workers took three lives under one beside such jobs, and a fourth by chance.
-    pub(crate) fn may_be_given_up(&self, job: &Job) -> bool {
+    pub(crate) fn may_fail(&self, job: &Job) -> bool {
         let state = self.lock();
-        let lives = |task| state.crashes.get(&task).map_or(0, |(lives, _)| *lives);
-        job.work.crashes || tasks(job).any(|task| lives(task) >= CRASHES_ALLOWED)
+        let crash_count =
+            |task| state.crashes.get(&task).map_or(0, |(crash_count, _)| *crash_count);
+        job.work.crashes || tasks(job).any(|task| crash_count(task) >= CRASH_LIMIT)
     }
 
     /// Jobs of which every try was refused may not have run.
     pub(crate) fn check_refused(&self) {
         let mut state = self.lock();
-        let refused = state
-            .jobs
-            .values()
-            .filter(|(_, told)| told.settled && !told.accepted && !told.doubtful);
-        let ran: Vec<JobId> =
-            refused.map(|(job, _)| job.id).filter(|id| state.started.contains(id)).collect();
-        for job in ran {
+        let refused = state.jobs.values().filter(|(_, submission)| {
+            submission.closed && !submission.accepted && !submission.unconfirmed
+        });
+        let started: Vec<JobId> =
+            refused.map(|(job, _)| job.id).filter(|id| state.started_jobs.contains(id)).collect();
+        for job in started {
             state.violations.push(format!("job {job} was refused at each try, and ran"));
         }
     }
@@ -131,69 +131,74 @@
         if job.text() != text || !tasks(job).any(|known| known == task) {
             return Some(format!("{task} run {run} started on {worker}: not as submitted"));
         }
-        if let Some((other, there)) = self.running.get(&task) {
+        if let Some((other_worker, other_run)) = self.running.get(&task) {
             return Some(format!(
-                "{task} run {run} started on {worker} while run {there} is on {other}"
+                "{task} run {run} started on {worker} while run {other_run} is on {other_worker}"
             ));
         }
-        let (crashes, after) = self.crashes.get(&task).copied().unwrap_or_default();
-        if job.work.crashes && after >= CRASHES_ALLOWED {
+        let (crashes, starts_after) = self.crashes.get(&task).copied().unwrap_or_default();
+        if job.work.crashes && starts_after >= CRASH_LIMIT {
             return Some(format!(
-                "{task} run {run} started on {worker}: start {after} after three of {crashes} crashes"
+                "{task} run {run} started on {worker}: start {starts_after} after three of {crashes} crashes"
             ));
         }
-        if self.noted.contains(&task) {
+        if self.acknowledged.contains(&task) {
             return Some(format!("{task} run {run} started on {worker} after its end was noted"));
         }
-        let before = tasks(job).filter(|other| other.step < task.step);
-        let open = before.into_iter().find(|other| !self.done.contains(other))?;
-        Some(format!("{task} run {run} started on {worker} before {open} has ended"))
+        let previous = tasks(job).filter(|other| other.step < task.step);
+        let unfinished = previous.into_iter().find(|other| !self.completed.contains(other))?;
+        Some(format!("{task} run {run} started on {worker} before {unfinished} has ended"))
     }
 }
 
 impl worker::Observer for Audit {
     fn run_started(&self, worker: &str, task: &str, run: u64, text: &str) -> u64 {
         let Ok(id) = task.parse::<TaskId>() else {
-            self.violation(format!("{task} run {run}: no name of a task"));
+            self.report_violation(format!("{task} run {run}: no name of a task"));
             return 0;
         };
         let mut state = self.lock();
         state.starts += 1;
-        if let Some((_, after)) = state.crashes.get_mut(&id).filter(|(n, _)| *n >= CRASHES_ALLOWED)
+        if let Some((_, starts_after)) =
+            state.crashes.get_mut(&id).filter(|(crashes, _)| *crashes >= CRASH_LIMIT)
         {
-            *after += 1;
+            *starts_after += 1;
         }
-        let broken = state.check_start(worker, id, run, text);
+        let violation = state.check_start(worker, id, run, text);
         state.running.insert(id, (worker.to_owned(), run));
-        state.started.insert(id.job);
-        let runs = state.runs.entry(id).or_default();
-        *runs += 1;
-        let before = *runs - 1;
+        state.started_jobs.insert(id.job);
+        let run_count = state.run_counts.entry(id).or_default();
+        *run_count += 1;
+        let earlier_runs = *run_count - 1;
         drop(state);
-        if let Some(broken) = broken {
-            self.violation(broken);
+        if let Some(violation) = violation {
+            self.report_violation(violation);
         }
-        before
+        earlier_runs
     }
 
-    fn run_ended(&self, worker: &str, task: &str, run: u64, how: &str) {
+    fn run_ended(&self, worker: &str, task: &str, run: u64, outcome: &str) {
         let Ok(id) = task.parse::<TaskId>() else { return };
         let mut state = self.lock();
-        if state.running.get(&id).is_some_and(|(at, there)| at == worker && *there == run) {
+        if state
+            .running
+            .get(&id)
+            .is_some_and(|(running_on, current)| running_on == worker && *current == run)
+        {
             state.running.remove(&id);
         }
-        if how == "crashed" {
+        if outcome == "crashed" {
             state.crashes.entry(id).or_default().0 += 1;
         }
-        if how == "done" {
-            state.done.insert(id);
+        if outcome == "done" {
+            state.completed.insert(id);
         }
     }
 
-    fn end_acknowledged(&self, task: &str, how: &str) {
+    fn end_acknowledged(&self, task: &str, outcome: &str) {
         let Ok(id) = task.parse::<TaskId>() else { return };
-        if how == "done" {
-            self.lock().noted.insert(id);
+        if outcome == "done" {
+            self.lock().acknowledged.insert(id);
         }
     }
 }
--- a/crates/crosspath_soak/src/daemon.rs
+++ b/crates/crosspath_soak/src/daemon.rs
@@ -11,23 +11,23 @@
 use tokio::process::{Child, Command};
 
 /// Given to a daemon to end after the signal to stop.
-const GRACE: Duration = Duration::from_secs(6);
+const STOP_GRACE: Duration = Duration::from_secs(6);
 
 /// The daemon's program in the folder of this one.
-pub(crate) fn beside_this_program() -> Option<PathBuf> {
-    let found = std::env::current_exe().ok()?.parent()?.join("crosspathd");
-    found.exists().then_some(found)
+pub(crate) fn default_program() -> Option<PathBuf> {
+    let program = std::env::current_exe().ok()?.parent()?.join("crosspathd");
+    program.exists().then_some(program)
 }
 
 /// Ports of every daemon; each has a loopback address of its own.
-const CALLERS: u16 = 7_001;
-const READINESS: u16 = 7_002;
-const PEERS: u16 = 7_003;
-const METRICS: u16 = 7_004;
+const CALLERS_PORT: u16 = 7_001;
+const READINESS_PORT: u16 = 7_002;
+const PEERS_PORT: u16 = 7_003;
+const METRICS_PORT: u16 = 7_004;
 
 /// A loopback address that no other daemon has, of this process or another: a port that is free for a
 /// moment may be taken by the time that a daemon is started again.
-fn own_ip(number: usize) -> Ipv4Addr {
+fn loopback_ip(number: usize) -> Ipv4Addr {
     let [.., high, low] = std::process::id().to_be_bytes();
     let number = u8::try_from(number % 250).expect("below 250");
     Ipv4Addr::new(127, 1 + high % 250, low, 1 + number)
@@ -37,10 +37,10 @@
 #[derive(Debug)]
 pub(crate) struct Daemon {
     pub(crate) name: String,
-    pub(crate) callers: SocketAddr,
+    pub(crate) callers_address: SocketAddr,
     program: PathBuf,
-    settings: PathBuf,
-    log: PathBuf,
+    settings_file: PathBuf,
+    log_file: PathBuf,
     child: Option<Child>,
 }
 
@@ -49,23 +49,23 @@
     pub(crate) fn new(
         number: usize,
         program: &Path,
-        folder: &Path,
+        directory: &Path,
         store: SocketAddr,
         shards: u32,
     ) -> std::io::Result<Self> {
         let name = format!("entry-{number}");
-        let ip = own_ip(number);
+        let ip = loopback_ip(number);
         let listen = |port: u16| SocketAddr::from((ip, port));
-        let callers = listen(CALLERS);
+        let callers_address = listen(CALLERS_PORT);
         let settings = json!({
             "name": name,
             "data_centre": "a",
             "cores": 1.0,
             "listen": {
-                "callers": callers,
-                "readiness": listen(READINESS),
-                "peers": listen(PEERS),
-                "metrics": listen(METRICS),
+                "callers": callers_address,
+                "readiness": listen(READINESS_PORT),
+                "peers": listen(PEERS_PORT),
+                "metrics": listen(METRICS_PORT),
             },
             "platform": { "log": store, "shards": shards },
             "leases": {
@@ -73,14 +73,14 @@
                 "membership_least_ms": 1_000,
                 "vm_order_ms": 3_000,
                 "keep_ended_s": 120,
-                "stop_grace_s": GRACE.as_secs(),
+                "stop_grace_s": STOP_GRACE.as_secs(),
             },
         });
-        let file = folder.join(format!("{name}.json"));
-        std::fs::write(&file, settings.to_string())?;
-        let log = folder.join(format!("{name}.log"));
+        let settings_file = directory.join(format!("{name}.json"));
+        std::fs::write(&settings_file, settings.to_string())?;
+        let log_file = directory.join(format!("{name}.log"));
         let program = program.to_owned();
-        Ok(Self { name, callers, program, settings: file, log, child: None })
+        Ok(Self { name, callers_address, program, settings_file, log_file, child: None })
     }
 
     /// Starts the process, if it does not run.
@@ -88,14 +88,14 @@
         if self.is_running() {
             return Ok(());
         }
-        let log = std::fs::File::options().create(true).append(true).open(&self.log)?;
-        let errors = log.try_clone()?;
+        let stdout = std::fs::File::options().create(true).append(true).open(&self.log_file)?;
+        let stderr = stdout.try_clone()?;
         let child = Command::new(&self.program)
             .arg("--platform")
-            .arg(&self.settings)
+            .arg(&self.settings_file)
             .stdin(Stdio::null())
-            .stdout(log)
-            .stderr(errors)
+            .stdout(stdout)
+            .stderr(stderr)
             .kill_on_drop(true)
             .spawn()?;
         self.child = Some(child);
@@ -132,7 +132,7 @@
     pub(crate) async fn stop(&mut self) -> bool {
         self.signal(Signal::SIGTERM);
         let Some(child) = &mut self.child else { return true };
-        let ended = tokio::time::timeout(GRACE, child.wait()).await.is_ok();
+        let ended = tokio::time::timeout(STOP_GRACE, child.wait()).await.is_ok();
         self.kill().await;
         ended
     }
--- a/crates/crosspath_soak/src/faults.rs
+++ b/crates/crosspath_soak/src/faults.rs
@@ -8,23 +8,23 @@
 use rand::rngs::StdRng;
 use rand::{RngExt as _, SeedableRng as _};
 
-use crate::proxy::Harm;
-use crate::run::{Plan, Site};
+use crate::proxy::Impairment;
+use crate::run::{Cluster, Plan};
 
 /// A killed daemon is started again after this at most, in ms.
-const LONGEST_DOWN_MS: u64 = 2_500;
+const MAX_DOWNTIME_MS: u64 = 2_500;
 /// Longest fault of a connection, a process or the store, in ms.
-const LONGEST_MS: u64 = 4_000;
+const MAX_FAULT_MS: u64 = 4_000;
 /// Between two faults, in ms.
-const BETWEEN_MS: std::ops::Range<u64> = 150..1_500;
+const FAULT_INTERVAL_MS: std::ops::Range<u64> = 150..1_500;
 /// Between two moments at which open connections go silent for good, in ms.
-const BETWEEN_SILENCES_MS: std::ops::Range<u64> = 1_000..5_000;
+const SILENCE_INTERVAL_MS: std::ops::Range<u64> = 1_000..5_000;
 /// Told apart from the seed of the other faults, which are drawn as without silences.
-const SILENCES_SEED: u64 = 0x51_1e_4c_e5;
+const SILENCE_SEED: u64 = 0x51_1e_4c_e5;
 /// Between two crashes of workers that begin again under their identifiers, in ms.
-const BETWEEN_CRASHES_MS: std::ops::Range<u64> = 100..700;
+const CRASH_INTERVAL_MS: std::ops::Range<u64> = 100..700;
 /// As [`SILENCES_SEED`], for these crashes.
-const CRASHES_SEED: u64 = 0xc4_a5_4e_5d;
+const CRASH_SEED: u64 = 0xc4_a5_4e_5d;
 
 /// One fault.
 #[derive(Debug, Clone, Copy)]
@@ -40,25 +40,25 @@
     /// A daemon is told that its settings have changed.
     Reload(usize),
     /// A daemon's connections to the store are harmed.
-    CutFromStore(usize, Harm),
+    CutFromStore(usize, Impairment),
     /// All connections to a worker are harmed.
-    CutFromWorker(usize, Harm),
+    CutFromWorker(usize, Impairment),
     /// A worker's process dies and another comes.
     Crash(usize),
     /// The store misbehaves.
     Store(Mode),
 }
 
-fn harm(rng: &mut StdRng) -> Harm {
+fn random_impairment(rng: &mut StdRng) -> Impairment {
     match rng.random_range(0..4) {
-        0 => Harm::Delay(Duration::from_millis(rng.random_range(5..400))),
-        1 => Harm::Reset,
-        2 => Harm::Silence,
-        _ => Harm::NoAnswers,
+        0 => Impairment::Delay(Duration::from_millis(rng.random_range(5..400))),
+        1 => Impairment::Reset,
+        2 => Impairment::Silence,
+        _ => Impairment::NoAnswers,
     }
 }
 
-fn draw(rng: &mut StdRng, daemons: usize, workers: usize) -> Fault {
+fn random_fault(rng: &mut StdRng, daemons: usize, workers: usize) -> Fault {
     let daemon = rng.random_range(0..daemons);
     let worker = rng.random_range(0..workers);
     match rng.random_range(0..100) {
@@ -67,8 +67,8 @@
         22..32 => Fault::Stop(daemon),
         32..44 => Fault::Freeze(daemon),
         44..48 => Fault::Reload(daemon),
-        48..62 => Fault::CutFromStore(daemon, harm(rng)),
-        62..76 => Fault::CutFromWorker(worker, harm(rng)),
+        48..62 => Fault::CutFromStore(daemon, random_impairment(rng)),
+        62..76 => Fault::CutFromWorker(worker, random_impairment(rng)),
         76..86 => Fault::Crash(worker),
         _ => {
             let modes = [Mode::Busy, Mode::Silent, Mode::Forgetful, Mode::Slow];
@@ -78,111 +78,118 @@
 }
 
 /// Strikes as the plan says; faults overlap. Their number.
-pub(crate) async fn strike(site: &Arc<Site>, plan: &Plan) -> usize {
-    let (seed, length) = (plan.seed, plan.length);
-    let crashes = async { if plan.reborn { crash_often(site, seed, length).await } else { 0 } };
-    let (others, silences, crashes) =
-        tokio::join!(overlap(site, seed, length), silence(site, seed, length), crashes);
-    others + silences + crashes
+pub(crate) async fn inject(cluster: &Arc<Cluster>, plan: &Plan) -> usize {
+    let (seed, duration) = (plan.seed, plan.duration);
+    let crashes = async {
+        if plan.reuse_worker_ids { crash_workers(cluster, seed, duration).await } else { 0 }
+    };
+    let (overlapping, silences, crashes) = tokio::join!(
+        inject_overlapping(cluster, seed, duration),
+        silence_connections(cluster, seed, duration),
+        crashes
+    );
+    overlapping + silences + crashes
 }
 
 /// Workers crash, and begin again at once.
-async fn crash_often(site: &Site, seed: u64, length: Duration) -> usize {
-    let mut rng = StdRng::seed_from_u64(seed ^ CRASHES_SEED);
-    let until = tokio::time::Instant::now() + length;
-    let mut number = 0;
+async fn crash_workers(cluster: &Cluster, seed: u64, duration: Duration) -> usize {
+    let mut rng = StdRng::seed_from_u64(seed ^ CRASH_SEED);
+    let until = tokio::time::Instant::now() + duration;
+    let mut count = 0;
     loop {
-        tokio::time::sleep(Duration::from_millis(rng.random_range(BETWEEN_CRASHES_MS))).await;
+        tokio::time::sleep(Duration::from_millis(rng.random_range(CRASH_INTERVAL_MS))).await;
         if tokio::time::Instant::now() >= until {
-            return number;
+            return count;
         }
-        let worker = rng.random_range(0..site.workers.len());
+        let worker = rng.random_range(0..cluster.workers.len());
         log::info!("event=fault fault=Crash({worker})");
-        site.workers[worker].crash();
-        number += 1;
+        cluster.workers[worker].crash();
+        count += 1;
     }
 }
 
 /// Open connections to the store or to workers go silent for good, while new ones work.
-async fn silence(site: &Site, seed: u64, length: Duration) -> usize {
-    let mut rng = StdRng::seed_from_u64(seed ^ SILENCES_SEED);
-    let until = tokio::time::Instant::now() + length;
-    let mut number = 0;
+async fn silence_connections(cluster: &Cluster, seed: u64, duration: Duration) -> usize {
+    let mut rng = StdRng::seed_from_u64(seed ^ SILENCE_SEED);
+    let until = tokio::time::Instant::now() + duration;
+    let mut count = 0;
     loop {
-        tokio::time::sleep(Duration::from_millis(rng.random_range(BETWEEN_SILENCES_MS))).await;
+        tokio::time::sleep(Duration::from_millis(rng.random_range(SILENCE_INTERVAL_MS))).await;
         if tokio::time::Instant::now() >= until {
-            return number;
+            return count;
         }
         let to_store = rng.random_range(0..2) == 0;
-        let proxies = if to_store { &site.store_proxies } else { &site.worker_proxies };
-        let struck = proxies.iter().filter(|_| rng.random_range(0..2) == 0);
-        let struck = struck.map(crate::proxy::Proxy::silence_open).count();
-        log::info!("event=fault fault=SilenceOpen to_store={to_store} proxies={struck}");
-        number += 1;
+        let proxies = if to_store { &cluster.store_proxies } else { &cluster.worker_proxies };
+        let selected = proxies.iter().filter(|_| rng.random_range(0..2) == 0);
+        let selected = selected.map(crate::proxy::Proxy::silence_open).count();
+        log::info!("event=fault fault=SilenceOpen to_store={to_store} proxies={selected}");
+        count += 1;
     }
 }
 
-async fn overlap(site: &Arc<Site>, seed: u64, length: Duration) -> usize {
+async fn inject_overlapping(cluster: &Arc<Cluster>, seed: u64, duration: Duration) -> usize {
     let mut rng = StdRng::seed_from_u64(seed);
-    let until = tokio::time::Instant::now() + length;
-    let mut under_way = Vec::new();
+    let until = tokio::time::Instant::now() + duration;
+    let mut in_progress = Vec::new();
     while tokio::time::Instant::now() < until {
-        tokio::time::sleep(Duration::from_millis(rng.random_range(BETWEEN_MS))).await;
-        let fault = draw(&mut rng, site.daemons.len(), site.workers.len());
-        let lasts = Duration::from_millis(rng.random_range(100..LONGEST_MS));
-        let down = lasts.min(Duration::from_millis(LONGEST_DOWN_MS));
-        log::info!("event=fault fault={fault:?} lasts_ms={}", lasts.as_millis());
-        let site = Arc::clone(site);
-        under_way.push(tokio::spawn(async move { carry_out(&site, fault, lasts, down).await }));
+        tokio::time::sleep(Duration::from_millis(rng.random_range(FAULT_INTERVAL_MS))).await;
+        let fault = random_fault(&mut rng, cluster.daemons.len(), cluster.workers.len());
+        let fault_duration = Duration::from_millis(rng.random_range(100..MAX_FAULT_MS));
+        let downtime = fault_duration.min(Duration::from_millis(MAX_DOWNTIME_MS));
+        log::info!("event=fault fault={fault:?} lasts_ms={}", fault_duration.as_millis());
+        let cluster = Arc::clone(cluster);
+        in_progress.push(tokio::spawn(async move {
+            apply(&cluster, fault, fault_duration, downtime).await;
+        }));
     }
-    let number = under_way.len();
-    for fault in under_way {
+    let count = in_progress.len();
+    for fault in in_progress {
         if let Err(error) = fault.await {
             log::warn!("event=fault_failed error={error}");
         }
     }
-    number
+    count
 }
 
-async fn carry_out(site: &Site, fault: Fault, lasts: Duration, down: Duration) {
+async fn apply(cluster: &Cluster, fault: Fault, fault_duration: Duration, downtime: Duration) {
     match fault {
         Fault::Kill(daemon) => {
-            site.daemons[daemon].lock().await.kill().await;
-            tokio::time::sleep(down).await;
-            site.start(daemon).await;
+            cluster.daemons[daemon].lock().await.kill().await;
+            tokio::time::sleep(downtime).await;
+            cluster.start(daemon).await;
         }
         Fault::KillAll => {
-            for daemon in &site.daemons {
+            for daemon in &cluster.daemons {
                 daemon.lock().await.kill().await;
             }
-            tokio::time::sleep(down).await;
-            for daemon in 0..site.daemons.len() {
-                site.start(daemon).await;
+            tokio::time::sleep(downtime).await;
+            for daemon in 0..cluster.daemons.len() {
+                cluster.start(daemon).await;
             }
         }
         Fault::Stop(daemon) => {
-            if !site.daemons[daemon].lock().await.stop().await {
+            if !cluster.daemons[daemon].lock().await.stop().await {
                 log::info!("event=stop_overran daemon={daemon}");
             }
-            site.start(daemon).await;
+            cluster.start(daemon).await;
         }
         Fault::Freeze(daemon) => {
-            site.daemons[daemon].lock().await.signal(Signal::SIGSTOP);
-            tokio::time::sleep(lasts).await;
-            site.daemons[daemon].lock().await.signal(Signal::SIGCONT);
+            cluster.daemons[daemon].lock().await.signal(Signal::SIGSTOP);
+            tokio::time::sleep(fault_duration).await;
+            cluster.daemons[daemon].lock().await.signal(Signal::SIGCONT);
         }
-        Fault::Reload(daemon) => site.daemons[daemon].lock().await.signal(Signal::SIGHUP),
-        Fault::CutFromStore(daemon, harm) => {
-            site.store_proxies[daemon].harm_for(harm, lasts).await;
+        Fault::Reload(daemon) => cluster.daemons[daemon].lock().await.signal(Signal::SIGHUP),
+        Fault::CutFromStore(daemon, impairment) => {
+            cluster.store_proxies[daemon].impair_for(impairment, fault_duration).await;
         }
-        Fault::CutFromWorker(worker, harm) => {
-            site.worker_proxies[worker].harm_for(harm, lasts).await;
+        Fault::CutFromWorker(worker, impairment) => {
+            cluster.worker_proxies[worker].impair_for(impairment, fault_duration).await;
         }
-        Fault::Crash(worker) => site.workers[worker].crash(),
+        Fault::Crash(worker) => cluster.workers[worker].crash(),
         Fault::Store(mode) => {
-            site.store.set_mode(mode);
-            tokio::time::sleep(lasts).await;
-            site.store.set_mode(Mode::Up);
+            cluster.store.set_mode(mode);
+            tokio::time::sleep(fault_duration).await;
+            cluster.store.set_mode(Mode::Up);
         }
     }
 }
--- a/crates/crosspath_soak/src/main.rs
+++ b/crates/crosspath_soak/src/main.rs
@@ -47,11 +47,11 @@
     #[bpaf(long)]
     regressions: bool,
     /// Some jobs crash the workers that start them.
-    #[bpaf(long)]
-    deadly: bool,
+    #[bpaf(long("deadly"))]
+    crashing_jobs: bool,
     /// Workers that crash begin again under their identifiers.
-    #[bpaf(long)]
-    reborn: bool,
+    #[bpaf(long("reborn"))]
+    reuse_worker_ids: bool,
     /// The daemon's program; by default the one beside this program.
     #[bpaf(long, argument("FILE"))]
     daemon: Option<PathBuf>,
@@ -60,7 +60,7 @@
 fn main() -> ExitCode {
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("warn")).init();
     let options = options().run();
-    let Some(program) = options.daemon.clone().or_else(daemon::beside_this_program) else {
+    let Some(program) = options.daemon.clone().or_else(daemon::default_program) else {
         eprintln!("there is no crosspathd beside this program; build it, or name one by --daemon");
         return ExitCode::FAILURE;
     };
@@ -71,21 +71,21 @@
             return ExitCode::FAILURE;
         }
     };
-    let mut broken = 0;
+    let mut failed_seeds = 0;
     for seed in seeds(&options) {
         let plan = Plan {
             seed,
-            length: Duration::from_secs(options.seconds),
+            duration: Duration::from_secs(options.seconds),
             daemons: options.daemons.max(1),
             workers: options.workers.max(1),
-            deadly: options.deadly,
-            reborn: options.reborn,
+            crashing_jobs: options.crashing_jobs,
+            reuse_worker_ids: options.reuse_worker_ids,
             program: program.clone(),
         };
         match runtime.block_on(run_or_interrupt(&plan)) {
             Ok(Some(report)) => {
-                print(seed, &report);
-                broken += usize::from(!report.violations.is_empty());
+                print_report(seed, &report);
+                failed_seeds += usize::from(!report.violations.is_empty());
             }
             Ok(None) => {
                 eprintln!("seed {seed}: interrupted");
@@ -97,7 +97,7 @@
             }
         }
     }
-    if broken == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    if failed_seeds == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
 /// One run; none when a signal ends it, and with it the processes that it started.
@@ -113,13 +113,13 @@
 }
 
 fn seeds(options: &Options) -> Vec<u64> {
-    let listed =
+    let recorded =
         REGRESSIONS.lines().filter_map(|line| line.split_whitespace().next()?.parse().ok());
-    let failed = listed.filter(|_| options.regressions);
-    failed.chain(options.first..options.first + options.seeds).collect()
+    let regressions = recorded.filter(|_| options.regressions);
+    regressions.chain(options.first..options.first + options.seeds).collect()
 }
 
-fn print(seed: u64, report: &Report) {
+fn print_report(seed: u64, report: &Report) {
     println!(
         "seed={seed} faults={} jobs={} accepted={} starts={} completed={} broken={}",
         report.faults,
--- a/crates/crosspath_soak/src/proxy.rs
+++ b/crates/crosspath_soak/src/proxy.rs
@@ -13,12 +13,12 @@
 use tokio::task::JoinHandle;
 
 /// Between two looks whether held bytes may pass.
-const HELD_PAUSE: Duration = Duration::from_millis(20);
-const CHUNK: usize = 16 * 1024;
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+const BUFFER_BYTES: usize = 16 * 1024;
 
 /// What happens to connections.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub(crate) enum Harm {
+pub(crate) enum Impairment {
     /// Nothing.
     #[default]
     None,
@@ -36,7 +36,7 @@
 #[derive(Debug)]
 pub(crate) struct Proxy {
     pub(crate) address: SocketAddr,
-    harm: Arc<Mutex<Harm>>,
+    impairment: Arc<Mutex<Impairment>>,
     connections: Arc<Connections>,
     task: JoinHandle<()>,
 }
@@ -46,7 +46,7 @@
 struct Connections {
     accepted: AtomicU64,
     /// Those with a number below this say nothing more, either way; nothing resets them.
-    silent_below: AtomicU64,
+    silenced_below: AtomicU64,
 }
 
 impl Drop for Proxy {
@@ -55,53 +55,54 @@
     }
 }
 
-fn get(harm: &Mutex<Harm>) -> Harm {
-    *harm.lock().unwrap_or_else(PoisonError::into_inner)
+fn current(impairment: &Mutex<Impairment>) -> Impairment {
+    *impairment.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl Proxy {
     pub(crate) async fn start(target: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let harm = Arc::<Mutex<Harm>>::default();
+        let impairment = Arc::<Mutex<Impairment>>::default();
         let connections = Arc::<Connections>::default();
-        let accepting = accept(listener, target, Arc::clone(&harm), Arc::clone(&connections));
-        let task = tokio::spawn(accepting);
-        Ok(Self { address, harm, connections, task })
+        let accept_loop =
+            accept(listener, target, Arc::clone(&impairment), Arc::clone(&connections));
+        let task = tokio::spawn(accept_loop);
+        Ok(Self { address, impairment, connections, task })
     }
 
     /// Silences all open connections for good; new ones work.
     pub(crate) fn silence_open(&self) {
         let accepted = self.connections.accepted.load(Ordering::SeqCst);
-        self.connections.silent_below.store(accepted, Ordering::SeqCst);
+        self.connections.silenced_below.store(accepted, Ordering::SeqCst);
     }
 
     /// Harms the connections for a while.
-    pub(crate) async fn harm_for(&self, harm: Harm, lasts: Duration) {
-        self.set(harm);
-        tokio::time::sleep(lasts).await;
-        self.set(Harm::None);
+    pub(crate) async fn impair_for(&self, impairment: Impairment, duration: Duration) {
+        self.set_impairment(impairment);
+        tokio::time::sleep(duration).await;
+        self.set_impairment(Impairment::None);
     }
 
-    pub(crate) fn set(&self, harm: Harm) {
-        *self.harm.lock().unwrap_or_else(PoisonError::into_inner) = harm;
+    pub(crate) fn set_impairment(&self, impairment: Impairment) {
+        *self.impairment.lock().unwrap_or_else(PoisonError::into_inner) = impairment;
     }
 }
 
 async fn accept(
     listener: TcpListener,
     target: SocketAddr,
-    harm: Arc<Mutex<Harm>>,
+    impairment: Arc<Mutex<Impairment>>,
     connections: Arc<Connections>,
 ) {
     loop {
         let Ok((client, _)) = listener.accept().await else { continue };
         let number = connections.accepted.fetch_add(1, Ordering::SeqCst);
-        let (harm, connections) = (Arc::clone(&harm), Arc::clone(&connections));
+        let (impairment, connections) = (Arc::clone(&impairment), Arc::clone(&connections));
         drop(tokio::spawn(async move {
-            let joined = pin!(join(client, target, harm));
-            let silenced = pin!(connections.silenced(number));
-            if let Either::Right(((), _held)) = select(joined, silenced).await {
+            let forwarded = pin!(forward(client, target, impairment));
+            let silenced = pin!(connections.until_silenced(number));
+            if let Either::Right(((), _connection)) = select(forwarded, silenced).await {
                 // Neither side hears of an end.
                 std::future::pending::<()>().await;
             }
@@ -111,15 +112,15 @@
 
 impl Connections {
     /// Ends once a connection has gone silent.
-    async fn silenced(&self, number: u64) {
-        while number >= self.silent_below.load(Ordering::SeqCst) {
-            tokio::time::sleep(HELD_PAUSE).await;
+    async fn until_silenced(&self, number: u64) {
+        while number >= self.silenced_below.load(Ordering::SeqCst) {
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
 
-async fn join(client: TcpStream, target: SocketAddr, harm: Arc<Mutex<Harm>>) {
-    if get(&harm) == Harm::Reset {
+async fn forward(client: TcpStream, target: SocketAddr, impairment: Arc<Mutex<Impairment>>) {
+    if current(&impairment) == Impairment::Reset {
         return;
     }
     let Ok(server) = TcpStream::connect(target).await else { return };
@@ -127,16 +128,21 @@
     let (from_server, to_server) = server.into_split();
     // Either way ending ends the connection.
     tokio::select! {
-        () = pass(from_client, to_server, &harm, false) => {}
-        () = pass(from_server, to_client, &harm, true) => {}
+        () = relay(from_client, to_server, &impairment, false) => {}
+        () = relay(from_server, to_client, &impairment, true) => {}
     }
 }
 
-async fn pass(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, harm: &Mutex<Harm>, answers: bool) {
-    let mut chunk = vec![0; CHUNK];
+async fn relay(
+    mut from: OwnedReadHalf,
+    mut to: OwnedWriteHalf,
+    impairment: &Mutex<Impairment>,
+    is_response: bool,
+) {
+    let mut buffer = vec![0; BUFFER_BYTES];
     loop {
-        let read = tokio::time::timeout(HELD_PAUSE, from.read(&mut chunk)).await;
-        if get(harm) == Harm::Reset {
+        let read = tokio::time::timeout(POLL_INTERVAL, from.read(&mut buffer)).await;
+        if current(impairment) == Impairment::Reset {
             return;
         }
         let length = match read {
@@ -145,18 +151,20 @@
             Ok(Ok(length)) => length,
         };
         loop {
-            match get(harm) {
-                Harm::None => break,
-                Harm::Delay(delay) => {
+            match current(impairment) {
+                Impairment::None => break,
+                Impairment::Delay(delay) => {
                     tokio::time::sleep(delay).await;
                     break;
                 }
-                Harm::Reset => return,
-                Harm::NoAnswers if !answers => break,
-                Harm::Silence | Harm::NoAnswers => tokio::time::sleep(HELD_PAUSE).await,
+                Impairment::Reset => return,
+                Impairment::NoAnswers if !is_response => break,
+                Impairment::Silence | Impairment::NoAnswers => {
+                    tokio::time::sleep(POLL_INTERVAL).await;
+                }
             }
         }
-        if to.write_all(&chunk[..length]).await.is_err() {
+        if to.write_all(&buffer[..length]).await.is_err() {
             return;
         }
     }
--- a/crates/crosspath_soak/src/run.rs
+++ b/crates/crosspath_soak/src/run.rs
@@ -12,35 +12,35 @@
 use snafu::{ResultExt as _, Snafu};
 use tokio::sync::Mutex;
 
-use crate::audit::{Audit, Told};
+use crate::audit::{Audit, Submission};
 use crate::daemon::Daemon;
 use crate::faults;
-use crate::proxy::{Harm, Proxy};
+use crate::proxy::{Impairment, Proxy};
 use crate::traffic::{QUEUES, Traffic};
 
 /// From the start of the daemons to the first request.
-const LEAD: Duration = Duration::from_secs(3);
+const STARTUP_DELAY: Duration = Duration::from_secs(3);
 /// Between two submits, on the whole.
-const PAUSE: Duration = Duration::from_millis(60);
+const SUBMIT_INTERVAL: Duration = Duration::from_millis(60);
 /// Given to all jobs to end once all is calm: leases and takeovers take some seconds.
-const SETTLING: Duration = Duration::from_secs(40);
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(40);
 /// Between two looks meanwhile.
-const SETTLING_PAUSE: Duration = Duration::from_millis(500);
+const SETTLE_POLL_INTERVAL: Duration = Duration::from_millis(500);
 /// Given to the tasks of lasting jobs to stop once those are cancelled.
-const STOPPING: Duration = Duration::from_secs(6);
+const STOP_DELAY: Duration = Duration::from_secs(6);
 
 /// What to run.
 #[derive(Debug, Clone)]
 pub(crate) struct Plan {
     pub(crate) seed: u64,
-    pub(crate) length: Duration,
+    pub(crate) duration: Duration,
     pub(crate) daemons: usize,
     /// Of each pool.
     pub(crate) workers: usize,
     /// Whether some jobs crash the workers that start them.
-    pub(crate) deadly: bool,
+    pub(crate) crashing_jobs: bool,
     /// Whether workers that crash begin again under their identifiers.
-    pub(crate) reborn: bool,
+    pub(crate) reuse_worker_ids: bool,
     pub(crate) program: PathBuf,
 }
 
@@ -67,7 +67,7 @@
 
 /// Everything that faults can strike.
 #[derive(Debug)]
-pub(crate) struct Site {
+pub(crate) struct Cluster {
     pub(crate) store: Arc<Store>,
     pub(crate) workers: Vec<Worker>,
     pub(crate) worker_proxies: Vec<Proxy>,
@@ -76,8 +76,8 @@
     pub(crate) store_proxies: Vec<Proxy>,
 }
 
-impl Site {
-    async fn build(plan: &Plan, audit: &Audit, folder: &std::path::Path) -> Result<Self, Error> {
+impl Cluster {
+    async fn build(plan: &Plan, audit: &Audit, directory: &std::path::Path) -> Result<Self, Error> {
         let store = Arc::new(Store::start().await.context(SetupSnafu { what: "store" })?);
         let route = |queue: &&str| Route {
             name: (*queue).to_owned(),
@@ -85,7 +85,7 @@
             priority: 0,
         };
         store.configure(1, &QUEUES.iter().map(route).collect::<Vec<_>>(), "spare-pool");
-        let mut site = Self {
+        let mut cluster = Self {
             store,
             workers: Vec::new(),
             worker_proxies: Vec::new(),
@@ -95,26 +95,26 @@
         for number in 0..plan.workers * QUEUES.len() {
             let pool = format!("{}-pool", QUEUES[number % QUEUES.len()]);
             let vm = format!("vm{number}");
-            let hears = Arc::new(audit.clone());
-            let worker = Worker::start(hears, &pool, &vm).await;
+            let observer = Arc::new(audit.clone());
+            let worker = Worker::start(observer, &pool, &vm).await;
             let mut worker = worker.context(SetupSnafu { what: "worker" })?;
             let proxy = Proxy::start(worker.address()).await;
             let proxy = proxy.context(SetupSnafu { what: "proxy" })?;
-            worker.publish(&site.store, proxy.address);
-            if plan.reborn {
+            worker.publish(&cluster.store, proxy.address);
+            if plan.reuse_worker_ids {
                 worker.reuse_id();
             }
-            site.workers.push(worker);
-            site.worker_proxies.push(proxy);
+            cluster.workers.push(worker);
+            cluster.worker_proxies.push(proxy);
         }
         for number in 0..plan.daemons {
-            let proxy = Proxy::start(site.store.address()).await;
+            let proxy = Proxy::start(cluster.store.address()).await;
             let proxy = proxy.context(SetupSnafu { what: "proxy" })?;
-            let daemon = Daemon::new(number, &plan.program, folder, proxy.address, PARTITIONS);
-            site.daemons.push(Mutex::new(daemon.context(SetupSnafu { what: "settings" })?));
-            site.store_proxies.push(proxy);
+            let daemon = Daemon::new(number, &plan.program, directory, proxy.address, PARTITIONS);
+            cluster.daemons.push(Mutex::new(daemon.context(SetupSnafu { what: "settings" })?));
+            cluster.store_proxies.push(proxy);
         }
-        Ok(site)
+        Ok(cluster)
     }
 
     /// Starts a daemon, if it does not run.
@@ -125,10 +125,10 @@
     }
 
     /// Ends all faults.
-    async fn heal(&self) {
+    async fn clear_faults(&self) {
         self.store.set_mode(Mode::Up);
         for proxy in self.store_proxies.iter().chain(&self.worker_proxies) {
-            proxy.set(Harm::None);
+            proxy.set_impairment(Impairment::None);
         }
         for number in 0..self.daemons.len() {
             self.daemons[number].lock().await.signal(Signal::SIGCONT);
@@ -139,39 +139,42 @@
 
 /// Plays one seed.
 pub(crate) async fn run(plan: &Plan) -> Result<Report, Error> {
-    let folder = tempfile::tempdir().context(SetupSnafu { what: "folder" })?;
+    let directory = tempfile::tempdir().context(SetupSnafu { what: "folder" })?;
     let audit = Audit::default();
-    let site = Arc::new(Site::build(plan, &audit, folder.path()).await?);
-    for daemon in 0..site.daemons.len() {
-        site.start(daemon).await;
+    let cluster = Arc::new(Cluster::build(plan, &audit, directory.path()).await?);
+    for daemon in 0..cluster.daemons.len() {
+        cluster.start(daemon).await;
     }
-    tokio::time::sleep(LEAD).await;
+    tokio::time::sleep(STARTUP_DELAY).await;
     let mut addresses = Vec::new();
-    for daemon in &site.daemons {
-        addresses.push(daemon.lock().await.callers);
+    for daemon in &cluster.daemons {
+        addresses.push(daemon.lock().await.callers_address);
     }
-    let traffic = Traffic::new(addresses.into_iter(), &audit, plan.deadly);
-    let submits = tokio::spawn(traffic.clone().run(plan.seed, plan.length, PAUSE));
-    let faults = faults::strike(&site, plan).await;
-    if let Err(error) = submits.await {
-        audit.violation(format!("callers failed: {error}"));
+    let traffic = Traffic::new(addresses.into_iter(), &audit, plan.crashing_jobs);
+    let submissions = tokio::spawn(traffic.clone().run(plan.seed, plan.duration, SUBMIT_INTERVAL));
+    let faults = faults::inject(&cluster, plan).await;
+    if let Err(error) = submissions.await {
+        audit.report_violation(format!("callers failed: {error}"));
     }
-    site.heal().await;
-    let completed = settle(&audit, &traffic).await;
-    for daemon in &site.daemons {
+    cluster.clear_faults().await;
+    let completed = wait_until_settled(&audit, &traffic).await;
+    for daemon in &cluster.daemons {
         let mut daemon = daemon.lock().await;
         if !daemon.is_running() {
-            audit.violation(format!("{} does not run, though nothing strikes it", daemon.name));
+            audit.report_violation(format!(
+                "{} does not run, though nothing strikes it",
+                daemon.name
+            ));
         }
     }
     let jobs = audit.jobs();
-    let accepted = jobs.iter().filter(|(_, told)| told.accepted).count();
+    let accepted = jobs.iter().filter(|(_, submission)| submission.accepted).count();
     // Where nothing is taken no other promise is tried.
     if accepted == 0 {
-        audit.violation(format!("none of {} jobs was accepted", jobs.len()));
+        audit.report_violation(format!("none of {} jobs was accepted", jobs.len()));
     }
     let violations = audit.violations();
-    let logs = (!violations.is_empty()).then(|| folder.keep());
+    let logs = (!violations.is_empty()).then(|| directory.keep());
     Ok(Report {
         faults,
         jobs: jobs.len(),
@@ -184,67 +187,74 @@
 }
 
 /// What a job still lacks, now that all is calm; none when nothing.
-async fn lacks(audit: &Audit, traffic: &Traffic, job: &Job, told: Told) -> Option<String> {
-    let shown = traffic.state(job).await;
+async fn check_job(
+    audit: &Audit,
+    traffic: &Traffic,
+    job: &Job,
+    submission: Submission,
+) -> Option<String> {
+    let lookup = traffic.state(job).await;
     let running = audit.running(job.id);
-    match &shown {
-        Lookup::State(state) if state == "completed" => {
-            (!audit.is_done(job)).then(|| format!("job {} is shown as done and is not", job.id))
-        }
-        Lookup::State(state) if state == "failed" && audit.may_be_given_up(job) => {
+    match &lookup {
+        Lookup::State(state) if state == "completed" => (!audit.is_completed(job))
+            .then(|| format!("job {} is shown as done and is not", job.id)),
+        Lookup::State(state) if state == "failed" && audit.may_fail(job) => {
             (running > 0).then(|| format!("job {} was given up and runs", job.id))
         }
-        Lookup::State(state) if state == "cancelled" && told.cancel_tried => {
+        Lookup::State(state) if state == "cancelled" && submission.cancel_requested => {
             (running > 0).then(|| format!("cancelled job {} runs", job.id))
         }
-        Lookup::State(state) if state == "running" && job.work.long_running && !told.cancelled => {
-            let all = job.steps.iter().sum::<u32>() as usize;
-            (running < all)
-                .then(|| format!("lasting job {} runs only {running} of {all} tasks", job.id))
+        Lookup::State(state)
+            if state == "running" && job.work.long_running && !submission.cancel_accepted =>
+        {
+            let total = job.steps.iter().sum::<u32>() as usize;
+            (running < total)
+                .then(|| format!("lasting job {} runs only {running} of {total} tasks", job.id))
         }
-        Lookup::None if !told.accepted => None,
-        other => Some(format!("job {} may not be shown as {other:?} now ({told:?})", job.id)),
+        Lookup::None if !submission.accepted => None,
+        other => Some(format!("job {} may not be shown as {other:?} now ({submission:?})", job.id)),
     }
 }
 
 /// Waits until every job is as it must be; the number of completed ones.
-async fn settle(audit: &Audit, traffic: &Traffic) -> usize {
-    let until = tokio::time::Instant::now() + SETTLING;
-    let mut open = audit.jobs();
-    let all = open.len();
+async fn wait_until_settled(audit: &Audit, traffic: &Traffic) -> usize {
+    let until = tokio::time::Instant::now() + SETTLE_TIMEOUT;
+    let mut unsettled = audit.jobs();
+    let total = unsettled.len();
     loop {
-        let looks = open.iter().map(|(job, told)| lacks(audit, traffic, job, *told));
-        let lacking = join_all(looks).await;
-        open = open
+        let checks =
+            unsettled.iter().map(|(job, submission)| check_job(audit, traffic, job, *submission));
+        let violations = join_all(checks).await;
+        unsettled = unsettled
             .into_iter()
-            .zip(&lacking)
-            .filter(|(_, lack)| lack.is_some())
+            .zip(&violations)
+            .filter(|(_, violation)| violation.is_some())
             .map(|(job, _)| job)
             .collect();
-        if open.is_empty() || tokio::time::Instant::now() >= until {
-            for lack in lacking.into_iter().flatten() {
-                audit.violation(lack);
+        if unsettled.is_empty() || tokio::time::Instant::now() >= until {
+            for violation in violations.into_iter().flatten() {
+                audit.report_violation(violation);
             }
             break;
         }
-        tokio::time::sleep(SETTLING_PAUSE).await;
+        tokio::time::sleep(SETTLE_POLL_INTERVAL).await;
     }
-    end_lasting(audit, traffic).await;
+    cancel_long_running(audit, traffic).await;
     audit.check_refused();
-    all - open.len()
+    total - unsettled.len()
 }
 
 /// Cancels what lasts, which must then stop.
-async fn end_lasting(audit: &Audit, traffic: &Traffic) {
+async fn cancel_long_running(audit: &Audit, traffic: &Traffic) {
     let jobs = audit.jobs().into_iter().map(|(job, _)| job);
-    let lasting: Vec<Job> = jobs.filter(|job| job.work.long_running).collect();
-    for job in &lasting {
-        if audit.running(job.id) > 0 && !traffic.end(job).await {
-            audit.violation(format!("job {} cannot be cancelled", job.id));
+    let long_running: Vec<Job> = jobs.filter(|job| job.work.long_running).collect();
+    for job in &long_running {
+        if audit.running(job.id) > 0 && !traffic.cancel_at_any(job).await {
+            audit.report_violation(format!("job {} cannot be cancelled", job.id));
         }
     }
-    tokio::time::sleep(STOPPING).await;
-    for job in lasting.iter().filter(|job| audit.running(job.id) > 0) {
-        audit.violation(format!("job {} runs on after its cancelling", job.id));
+    tokio::time::sleep(STOP_DELAY).await;
+    for job in long_running.iter().filter(|job| audit.running(job.id) > 0) {
+        audit.report_violation(format!("job {} runs on after its cancelling", job.id));
     }
 }
--- a/crates/crosspath_soak/src/traffic.rs
+++ b/crates/crosspath_soak/src/traffic.rs
@@ -12,9 +12,9 @@
 use crate::audit::Audit;
 
 /// Tries of one submit or cancel.
-const TRIES: usize = 5;
+const MAX_ATTEMPTS: usize = 5;
 /// Between two tries.
-const RETRY_PAUSE: Duration = Duration::from_millis(400);
+const RETRY_DELAY: Duration = Duration::from_millis(400);
 /// Queues, each with a pool of its own.
 pub(crate) const QUEUES: [&str; 2] = ["counter", "meter"];
 
@@ -23,7 +23,7 @@
     rng.random_range(0..100) < percent
 }
 
-fn job(rng: &mut StdRng) -> Job {
+fn random_job(rng: &mut StdRng) -> Job {
     let steps = (0..rng.random_range(1..=3)).map(|_| rng.random_range(1..=4)).collect();
     let long_running = chance(rng, 5);
     Job {
@@ -40,38 +40,38 @@
 }
 
 /// One job in so many crashes its workers, where some do. By its identifier: the others stay as they are.
-const DEADLY_EVERY: u64 = 23;
+const CRASHING_JOB_INTERVAL: u64 = 23;
 
 /// Callers of all daemons.
 #[derive(Debug, Clone)]
 pub(crate) struct Traffic {
     callers: Vec<Caller>,
     audit: Audit,
-    deadly: bool,
+    crashing_jobs: bool,
 }
 
 impl Traffic {
     pub(crate) fn new(
         daemons: impl Iterator<Item = SocketAddr>,
         audit: &Audit,
-        deadly: bool,
+        crashing_jobs: bool,
     ) -> Self {
-        Self { callers: daemons.map(Caller::new).collect(), audit: audit.clone(), deadly }
+        Self { callers: daemons.map(Caller::new).collect(), audit: audit.clone(), crashing_jobs }
     }
 
     /// Submits jobs for a while, some of them twice, and cancels some.
-    pub(crate) async fn run(self, seed: u64, length: Duration, pause: Duration) {
+    pub(crate) async fn run(self, seed: u64, duration: Duration, interval: Duration) {
         let mut rng = StdRng::seed_from_u64(seed);
-        let until = tokio::time::Instant::now() + length;
-        let mut under_way = Vec::new();
+        let until = tokio::time::Instant::now() + duration;
+        let mut in_progress = Vec::new();
         while tokio::time::Instant::now() < until {
-            let mut job = job(&mut rng);
-            job.work.crashes = self.deadly && job.id.0.is_multiple_of(DEADLY_EVERY);
-            let fate = StdRng::seed_from_u64(rng.random());
-            under_way.push(tokio::spawn(self.clone().live(job, fate)));
-            tokio::time::sleep(pause.mul_f64(rng.random_range(0.2..1.8))).await;
+            let mut job = random_job(&mut rng);
+            job.work.crashes = self.crashing_jobs && job.id.0.is_multiple_of(CRASHING_JOB_INTERVAL);
+            let job_rng = StdRng::seed_from_u64(rng.random());
+            in_progress.push(tokio::spawn(self.clone().drive_job(job, job_rng)));
+            tokio::time::sleep(interval.mul_f64(rng.random_range(0.2..1.8))).await;
         }
-        for job in under_way {
+        for job in in_progress {
             if let Err(error) = job.await {
                 log::warn!("event=caller_failed error={error}");
             }
@@ -79,63 +79,66 @@
     }
 
     /// One job, as its caller sees it.
-    async fn live(self, job: Job, mut rng: StdRng) {
-        self.audit.submitting(&job);
-        for _ in 0..TRIES {
-            let outcome = self.any(&mut rng).submit(&job).await;
+    async fn drive_job(self, job: Job, mut rng: StdRng) {
+        self.audit.add_job(&job);
+        for _ in 0..MAX_ATTEMPTS {
+            let outcome = self.random_caller(&mut rng).submit(&job).await;
             match outcome {
                 Outcome::Done => {
-                    self.audit.told(job.id, |told| told.accepted = true);
+                    self.audit.update_submission(job.id, |submission| submission.accepted = true);
                     break;
                 }
                 Outcome::Refused => {}
                 Outcome::NotFound | Outcome::Unconfirmed => {
-                    self.audit.told(job.id, |told| told.doubtful = true);
+                    self.audit
+                        .update_submission(job.id, |submission| submission.unconfirmed = true);
                 }
             }
-            tokio::time::sleep(RETRY_PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
         if chance(&mut rng, 10) {
             // The same job arrives again; it remains one job.
-            tokio::time::sleep(RETRY_PAUSE.mul_f64(rng.random_range(0.0..4.0))).await;
-            if self.any(&mut rng).submit(&job).await != Outcome::Refused {
-                self.audit.told(job.id, |told| told.doubtful = true);
+            tokio::time::sleep(RETRY_DELAY.mul_f64(rng.random_range(0.0..4.0))).await;
+            if self.random_caller(&mut rng).submit(&job).await != Outcome::Refused {
+                self.audit.update_submission(job.id, |submission| submission.unconfirmed = true);
             }
         }
         if chance(&mut rng, 10) {
-            tokio::time::sleep(RETRY_PAUSE.mul_f64(rng.random_range(0.0..3.0))).await;
+            tokio::time::sleep(RETRY_DELAY.mul_f64(rng.random_range(0.0..3.0))).await;
             self.cancel(&job, &mut rng).await;
         }
-        self.audit.told(job.id, |told| told.settled = true);
+        self.audit.update_submission(job.id, |submission| submission.closed = true);
     }
 
     async fn cancel(&self, job: &Job, rng: &mut StdRng) {
-        self.audit.told(job.id, |told| told.cancel_tried = true);
-        for _ in 0..TRIES {
-            if self.any(rng).cancel(job).await == Outcome::Done {
-                return self.audit.told(job.id, |told| told.cancelled = true);
+        self.audit.update_submission(job.id, |submission| submission.cancel_requested = true);
+        for _ in 0..MAX_ATTEMPTS {
+            if self.random_caller(rng).cancel(job).await == Outcome::Done {
+                return self
+                    .audit
+                    .update_submission(job.id, |submission| submission.cancel_accepted = true);
             }
-            tokio::time::sleep(RETRY_PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 
-    fn any(&self, rng: &mut StdRng) -> &Caller {
+    fn random_caller(&self, rng: &mut StdRng) -> &Caller {
         &self.callers[rng.random_range(0..self.callers.len())]
     }
 
     /// A job's state, as the first daemon that knows something shows it.
     pub(crate) async fn state(&self, job: &Job) -> Lookup {
         for caller in &self.callers {
-            let shown = caller.state(job).await;
-            if shown != Lookup::Nothing {
-                return shown;
+            let lookup = caller.state(job).await;
+            if lookup != Lookup::Nothing {
+                return lookup;
             }
         }
         Lookup::Nothing
     }
 
     /// Cancels a job at whichever daemon takes it.
-    pub(crate) async fn end(&self, job: &Job) -> bool {
+    pub(crate) async fn cancel_at_any(&self, job: &Job) -> bool {
         for caller in &self.callers {
             if caller.cancel(job).await == Outcome::Done {
                 return true;
