--- a/crates/crosspath_node/src/change_log.rs
+++ b/crates/crosspath_node/src/change_log.rs
@@ -1,35 +1,35 @@
-//! Which entries of a list have changed since another daemon was last told of it.
+//! Numbered changes of a list, from which incremental updates for other daemons are made.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-/// Entries that are gone, of which it is remembered when they went; a daemon that was told of less has
-/// the whole list told again.
+/// Maximum number of removals that are remembered. A daemon whose last update is older receives the
+/// whole list again.
 const MAX_REMOVALS: usize = 4_096;
 
-/// Changes of a list, numbered as they come; of each entry the last.
+/// Changes of a list, numbered in their order. Only the last change of each entry is kept.
 #[derive(Debug, Default)]
 pub(crate) struct ChangeLog {
     last: u64,
     id_by_number: BTreeMap<u64, Arc<str>>,
     number_by_id: HashMap<Arc<str>, u64>,
     removals: usize,
-    /// Changes up to this one may be forgotten.
+    /// Number up to which changes may have been discarded.
     truncated_to: u64,
 }
 
 impl ChangeLog {
-    /// Number of the last change.
+    /// Number of the last change; 0 before the first.
     pub(crate) fn last(&self) -> u64 {
         self.last
     }
 
-    /// An entry is new or has changed.
+    /// Records that an entry was added or modified.
     pub(crate) fn record_update(&mut self, id: &Arc<str>) {
         self.append(id);
     }
 
-    /// An entry is gone; `exists` tells which are not.
+    /// Records that an entry was removed; `exists` says which entries are still in the list.
     pub(crate) fn record_removal(&mut self, id: &Arc<str>, exists: impl Fn(&str) -> bool) {
         self.append(id);
         self.removals += 1;
@@ -49,7 +49,8 @@
         self.id_by_number.insert(self.last, Arc::clone(id));
     }
 
-    /// Entries that have changed after a number; none when some of that may be forgotten.
+    /// Identifiers of the entries that changed after change `number`; `None` if some of these
+    /// changes may have been discarded.
     pub(crate) fn since(&self, number: u64) -> Option<impl Iterator<Item = &Arc<str>>> {
         (number >= self.truncated_to)
             .then(|| self.id_by_number.range(number + 1..).map(|(_, id)| id))
--- a/crates/crosspath_node/src/clock.rs
+++ b/crates/crosspath_node/src/clock.rs
@@ -1,8 +1,10 @@
-//! The clocks, read here only.
+//! Elapsed time and wall-clock time. Only this module reads the clocks; timers use that of
+//! the runtime.
 //!
-//! Time is counted by the clock that goes on while the machine is suspended. By the other one, a daemon that wakes
-//! after seconds would take its membership and its configuration for as fresh as before, and give orders beside the
-//! next owner of its shards.
+//! Elapsed time is measured by the clock that also runs while the machine is suspended. With
+//! `CLOCK_MONOTONIC`, a daemon that resumes after some seconds would consider its membership and
+//! its configuration as recent as before, and would send orders concurrently with the next owner of
+//! its shards.
 
 use std::sync::LazyLock;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -12,7 +14,7 @@
 
 static MONOTONIC: LazyLock<Monotonic> = LazyLock::new(|| Monotonic::start(read));
 
-/// A clock that never goes back, and when counting began.
+/// Clock that never goes back, with the reading from which elapsed time is measured.
 #[derive(Debug, Clone, Copy)]
 pub struct Monotonic {
     clock: ClockId,
@@ -20,7 +22,12 @@
 }
 
 impl Monotonic {
-    /// Begins to count, by the first clock that can be read.
+    /// Starts at the current reading of `CLOCK_BOOTTIME`, or of `CLOCK_MONOTONIC` if the kernel
+    /// lacks the former.
+    ///
+    /// # Panics
+    ///
+    /// If neither clock can be read.
     #[must_use]
     pub fn start(read: impl Fn(ClockId) -> Result<Duration, Errno>) -> Self {
         let clock = ClockId::CLOCK_BOOTTIME;
@@ -29,16 +36,20 @@
             Err(error) => {
                 log::warn!("event=suspension_not_counted error=\"{error}\"");
                 let clock = ClockId::CLOCK_MONOTONIC;
-                let started_at = read(clock).expect("every kernel has a steady clock");
+                let started_at = read(clock).expect("CLOCK_MONOTONIC can be read on every kernel");
                 Self { clock, started_at }
             }
         }
     }
 
-    /// Time since counting began, suspensions included.
+    /// Time since the start, including suspensions if the kernel has `CLOCK_BOOTTIME`.
+    ///
+    /// # Panics
+    ///
+    /// If the clock can no longer be read.
     #[must_use]
     pub fn elapsed(&self, read: impl Fn(ClockId) -> Result<Duration, Errno>) -> Duration {
-        let now = read(self.clock).expect("a clock that was read can be read again");
+        let now = read(self.clock).expect("a clock that was read once can be read again");
         now.saturating_sub(self.started_at)
     }
 }
@@ -47,12 +58,12 @@
     clock_gettime(clock).map(Duration::from)
 }
 
-/// Time since this process first asked.
+/// Time since the first call in this process.
 pub(crate) fn now() -> Duration {
     MONOTONIC.elapsed(read)
 }
 
-/// Time of day, in ms since 1970.
+/// Wall-clock time in ms since 1970; 0 if the clock is set to an earlier time.
 pub(crate) fn wall_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     let since = since.unwrap_or_else(|error| {
--- a/crates/crosspath_node/src/config_sync.rs
+++ b/crates/crosspath_node/src/config_sync.rs
@@ -1,9 +1,10 @@
-//! Whether what operators have written may be newer than what this daemon knows, and learning it from others.
+//! Detects that the operators' log may have unread records, and fetches their content from peers.
 //!
-//! The operators' records are read from the store by one call that waits for the next, so a daemon hears
-//! from the store every [`feed::LONG_WAIT`]. One that the store turns away, or that it keeps silent to, does not know
-//! whether a newer configuration has come. It asks other daemons for it; until one is heard from it goes on
-//! serving by what it knows, but refuses nobody for good: an unknown key or queue may be a new one.
+//! The operators' log is read by long polls, so a daemon receives an answer of the store every
+//! `feed::LONG_POLL_TIMEOUT`. If the store refuses its calls or does not answer, the daemon
+//! cannot know whether there is a newer configuration, and asks other daemons. Until one answers,
+//! it goes on serving by the configuration that it has, but gives no final refusals: an unknown key
+//! or queue may be a new one.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,23 +17,26 @@
 use crate::node::Node;
 use crate::rpc::{Reply, Request};
 
-/// From the last word of the store on, after which a newer configuration may be in force: a read that waits
-/// for a record, and its way through a slow store.
+/// Time since the last confirmation after which a newer configuration may be in effect. Covers a
+/// long poll and its delay in a slow store.
 const STALE_AFTER: Duration = Duration::from_millis(2_000);
-/// Between looks whether the configuration may be old, and between questions to others while it may. A third
-/// of the shortest time seen in which a configuration has to be in force (2 s) is left for the answer.
+/// Interval between checks whether the configuration may be stale, and between queries of peers
+/// while it may be. It leaves a third of 2 s, the shortest known time within which a configuration
+/// must take effect, for the peer's answer.
 const CHECK_INTERVAL: Duration = Duration::from_millis(400);
-/// Other daemons that are asked at a time. Where the store turns away a third of the daemons, one in
-/// three rounds would ask only such as are turned away too; with three it is one in 27.
+/// Maximum number of peers that are queried in one round. If the store refuses a third of the
+/// daemons, one round in three would reach only a refused daemon if it queried one peer; with three
+/// peers it is one in 27.
 const PEERS_PER_ROUND: usize = 3;
 
-/// Whether what was last heard at `heard` may be old at `now`.
+/// Whether data that was last confirmed at `confirmed_at` may be stale at `now`.
 #[must_use]
 pub fn may_be_stale(confirmed_at: Duration, now: Duration) -> bool {
     now > confirmed_at + STALE_AFTER
 }
 
-/// Asks other daemons for a newer configuration while the store does not tell this one.
+/// Queries other daemons for a newer configuration while the store does not confirm the current
+/// one.
 pub(crate) async fn run(node: Arc<Node>) {
     loop {
         tokio::time::sleep(CHECK_INTERVAL).await;
@@ -59,15 +63,16 @@
                 node.set_operator_log_confirmed(confirmed_at);
                 return;
             }
-            // Its own may be old.
+            // The peer's own configuration may be stale.
             Ok(_) => {}
             Err(error) => log::info!("event=config_not_told peer={peer} error=\"{error}\""),
         }
     }
 }
 
-/// The configuration for a daemon that knows a version; none within when that is the newest. No answer
-/// from a daemon whose own may be old.
+/// Reply to a daemon that has version `known` of the configuration. It contains a configuration
+/// only if that of this daemon is newer. [`Reply::NotOwner`] if this daemon's own data may be
+/// stale.
 pub(crate) fn reply(node: &Node, known: Option<u64>) -> Reply {
     let (read_at, now) = (node.operator_log_read_at(), clock::now());
     if may_be_stale(read_at, now) {
--- a/crates/crosspath_node/src/daemon.rs
+++ b/crates/crosspath_node/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Starts the daemon's listeners and tasks, and waits for the end.
+//! Starts the daemon's listeners and tasks, waits for a signal, and shuts down.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -25,47 +25,49 @@
 use crate::settings::Settings;
 use crate::{clock, config_sync, feed, map, membership, rpc, workers};
 
-/// From unready to the end of taking connections: the balancer asks each second and stops after two
-/// misses.
+/// Time from reporting unready until no more connections are accepted. The balancer probes
+/// readiness every second and sends no more callers after two failed probes.
 const UNREADY_PERIOD: Duration = Duration::from_millis(2_600);
-/// Left of the grace when what is in flight is cut off.
+/// Part of the grace period that remains when requests still in flight are cut off.
 const SHUTDOWN_MARGIN: Duration = Duration::from_millis(700);
 
 type Serving = Pin<Box<dyn Future<Output = ()> + Send>>;
 type Serve = fn(TcpListener, Limits, watch::Receiver<Stage>, Arc<dyn Handler>) -> Serving;
 
-/// What the daemon needs of the platform.
+/// Interfaces to the platform that the daemon uses.
 #[derive(Debug)]
 pub struct Ports {
-    /// The log.
+    /// Client of the platform's log store.
     pub store: Arc<dyn Store>,
-    /// Workers.
+    /// Client for calls to workers.
     pub runner: Arc<dyn Runner>,
-    /// VMs; none where they are not managed.
+    /// Client of the platform's VM list; `None` if VMs are not managed.
     pub fleet: Option<Arc<dyn Fleet>>,
-    /// The advice service; none where there is none.
+    /// Client of the advice service; `None` if the deployment has none.
     pub advisor: Option<Arc<dyn Advisor>>,
-    /// Serves callers.
+    /// Server for the callers' interface.
     pub serve_callers: Serve,
-    /// Answers the balancer.
+    /// Server for the balancer's readiness probes.
     pub serve_readiness: Serve,
 }
 
 /// The daemon could not start.
 #[derive(Debug, Snafu)]
 pub enum RunError {
-    /// An address cannot be listened on.
-    #[snafu(display("cannot listen on {address}: {source}; is another process there?"))]
+    /// A listener cannot be bound to its address.
+    #[snafu(display(
+        "cannot listen on {address}: {source}; check whether another process uses the address"
+    ))]
     Listen {
-        /// The address.
+        /// Address of the listener, from the settings.
         address: SocketAddr,
-        /// What the system says.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// Signals cannot be listened for.
-    #[snafu(display("cannot listen for signals: {source}"))]
+    /// A signal handler cannot be installed.
+    #[snafu(display("cannot install signal handlers: {source}"))]
     Signals {
-        /// What the system says.
+        /// Error of the operating system.
         source: std::io::Error,
     },
 }
@@ -74,11 +76,11 @@
     TcpListener::bind(address).await.context(ListenSnafu { address })
 }
 
-/// Runs the daemon until it is told to stop.
+/// Runs the daemon until it receives SIGTERM or SIGINT, then shuts it down.
 ///
 /// # Errors
 ///
-/// [`RunError`] when it cannot start.
+/// [`RunError`] if a listener or a signal handler cannot be set up.
 pub async fn run(settings: Settings, ports: Ports) -> Result<(), RunError> {
     clock::now();
     let mut terminate = signal(SignalKind::terminate()).context(SignalsSnafu)?;
@@ -117,7 +119,7 @@
         tokio::select! {
             _ = terminate.recv() => break,
             _ = interrupt.recv() => break,
-            // Nothing in the settings can change while the daemon runs; requests go on.
+            // No setting can change while the daemon runs, so SIGHUP has no effect on requests.
             _ = hangup.recv() => log::info!("event=settings_unchanged"),
         }
     }
@@ -150,8 +152,9 @@
     .await;
 }
 
-/// Unready first, so that the balancer sends callers elsewhere, and shards to others; then no
-/// further connections, while what is in flight finishes.
+/// Shuts down. First reports unready, so that the balancer sends callers to other daemons, and
+/// leaves the group, so that it reassigns the shards. Then accepts no more connections while
+/// requests in flight finish.
 async fn stop(
     node: &Arc<Node>,
     member: tokio::task::JoinHandle<()>,
@@ -160,7 +163,7 @@
     let started_at = clock::now();
     log::info!("event=stopping");
     node.stopping.send_replace(true);
-    // A join under way could undo the leaving.
+    // A join still in flight could make this daemon a member again after it has left.
     member.await.ok();
     membership::leave(node).await;
     tokio::time::sleep((started_at + UNREADY_PERIOD).saturating_sub(clock::now())).await;
--- a/crates/crosspath_node/src/feed.rs
+++ b/crates/crosspath_node/src/feed.rs
@@ -1,4 +1,5 @@
-//! Following partitions of others: the configuration, waves, evacuations.
+//! Follows partitions of the log that others write, and applies the operators' records:
+//! configurations, maintenance waves and evacuations.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,15 +13,18 @@
 use crate::node::{Node, only_partition};
 use crate::pages::Pages;
 
-/// For which a read waits at the store. Short enough that a silent cut is noticed soon.
+/// Time for which the store holds a read until records arrive. Short, so that a connection that
+/// fails silently is noticed soon.
 pub(crate) const LONG_POLL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Follows one partition: `take` gets the newest record of each key, then each record as it comes.
+/// Reader of one partition: returns the newest record of each key first, then every record as it is
+/// appended.
 #[derive(Debug)]
 pub(crate) struct Feed {
     partition: Partition,
+    /// Offset of the next read; `None` until the newest records have been read.
     next_offset: Option<u64>,
-    /// Pages of the newest records, until they are all there.
+    /// Pages of the newest records that have been read so far.
     pages: Pages,
 }
 
@@ -29,17 +33,19 @@
         Self { partition, next_offset: None, pages: Pages::default() }
     }
 
-    /// Begins at an offset, what came before being known.
+    /// Starts at an offset, for a reader that knows all earlier records.
     pub(crate) fn starting_at(partition: Partition, next_offset: u64) -> Self {
         Self { partition, next_offset: Some(next_offset), pages: Pages::default() }
     }
 
-    /// Whether it has read up to an end once.
+    /// Whether the newest records have been read completely, so that only later ones follow.
     pub(crate) fn has_snapshot(&self) -> bool {
         self.next_offset.is_some()
     }
 
-    /// Reads what is new, waiting for it at most `wait`.
+    /// Reads the next records; the store waits up to `wait` for some. Returns none if the records
+    /// at the offset are no longer retained; the next call then starts over with the newest
+    /// records.
     pub(crate) async fn read(&mut self, node: &Node, wait: Duration) -> Result<Vec<Stored>, Error> {
         let Some(next_offset) = self.next_offset else {
             let (records, end) = newest(node, self.partition, &mut self.pages).await?;
@@ -62,7 +68,8 @@
     }
 }
 
-/// Newest record of each key, and the offset from which to follow; goes on with the pages that were read before.
+/// Reads the newest record of each key, and the offset from which to follow. Continues after the
+/// pages that an earlier, failed call has read.
 pub(crate) async fn newest(
     node: &Node,
     partition: Partition,
@@ -78,13 +85,13 @@
     }
 }
 
-/// Follows the operators' records.
+/// Follows the operators' log and applies its records.
 pub(crate) async fn follow_operator_log(node: Arc<Node>) {
     let mut feed = Feed::new(only_partition(Topic::Operators));
     let mut backoff = Backoff::new(backoff::CONFIG_READS);
     loop {
         let is_snapshot = !feed.has_snapshot();
-        // What is long unheard must be heard at once, not when the next record comes.
+        // Stale data must be confirmed at once, not when the next record is appended.
         let is_stale = config_sync::may_be_stale(node.operator_log_read_at(), clock::now());
         let wait = if is_stale { Duration::ZERO } else { LONG_POLL_TIMEOUT };
         match feed.read(&node, wait).await {
@@ -108,7 +115,7 @@
     }
 }
 
-/// Takes in records of operators; words on data centres among them, and where they stand.
+/// Applies configurations and waves. Returns the evacuation records with their offsets.
 fn apply_operator_records(node: &Node, records: &[Stored]) -> Vec<(u64, Evacuation)> {
     let mut evacuations = Vec::new();
     for record in records {
@@ -134,7 +141,8 @@
     node.waves().entry(wave.number).or_insert((Arc::new(wave), clock::now()));
 }
 
-/// Takes in words on data centres: all that there are, read up to a place, or those that have come since.
+/// Applies evacuation records: all of them, read up to the offset `snapshot_end`, or if that is
+/// `None`, those appended since the last call.
 fn apply_evacuations(node: &Node, evacuations: &[(u64, Evacuation)], snapshot_end: Option<u64>) {
     let mut known = node.evacuations();
     let unknown = match snapshot_end {
@@ -153,7 +161,7 @@
     }
 }
 
-/// Brings a configuration into force, if it is newer than the one that is.
+/// Puts a configuration into effect if it is newer than the current one.
 pub(crate) fn apply_config(node: &Node, config: Config) {
     let table = node.table();
     let known = table.as_ref().map_or(0, |table| table.version);
--- a/crates/crosspath_node/src/gateway.rs
+++ b/crates/crosspath_node/src/gateway.rs
@@ -1,4 +1,4 @@
-//! What callers are answered.
+//! Handles callers' requests: submits, queries and cancels jobs.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,41 +19,46 @@
 use crate::pending::{Deadlines, Outcome};
 use crate::rpc::{self, Reply, Request};
 
-/// Share of a caller's patience that is used for tries to find out how a job is, or whether it is kept.
-/// Less than half: by then the caller should have its answer.
+/// Fraction of a caller's timeout that is spent on attempts to determine a job's state, or whether
+/// it is stored. Less than half, since the caller should have its answer by then.
 const UNKNOWN_FRACTION: f64 = 0.45;
-/// Share of it after which a job that surely is not kept is refused, so that the caller can come
-/// back in time. Two or three tries, each of which also goes through other daemons.
+/// Fraction of a caller's timeout after which a job that is certainly not stored is refused, so
+/// that the caller can retry in time. It allows for two or three attempts, each of which also goes
+/// through other daemons.
 const REFUSE_FRACTION: f64 = 0.15;
-/// Share of it after which a job that was not sent yet is taken back: while the store is slow it waits
-/// for an append under way, and is better served by the next than by coming back.
+/// Fraction of a caller's timeout after which a job that has not been sent is withdrawn. While
+/// the store is slow, the job waits for an append in flight, and the next append serves it better
+/// than a retry of the caller.
 const SEND_FRACTION: f64 = 0.3;
-/// Between questions to a holder that is not known or is taking over.
+/// Interval between queries for a job while the shard's holder is unknown, is taking over, or does
+/// not answer.
 const OWNER_RETRY_INTERVAL: Duration = Duration::from_millis(60);
-/// A caller that was refused comes back after this: about the time of a takeover.
+/// Delay in seconds after which a refused caller should retry: about the time that a takeover
+/// takes.
 const RETRY_AFTER_S: u32 = 1;
-/// The same while the store is silent or has been down for [`OUTAGE_THRESHOLD`]: outages take some seconds, and
-/// callers try a few times only.
+/// The same while the store does not answer or has been down for [`OUTAGE_THRESHOLD`]. Longer,
+/// since outages last some seconds and callers retry only a few times.
 const OUTAGE_RETRY_AFTER_S: u32 = 2;
 
-/// A store that has been down for so long is taken for away; what is down for less may be back within a
-/// second.
+/// Time after which a store that is down counts as having an outage; before that, it may be back
+/// within a second.
 const OUTAGE_THRESHOLD: Duration = Duration::from_secs(1);
-/// For which a cancel looks for its job's shard before it goes to all where the job may be.
+/// Time for which a cancellation searches for the job's shard before it is appended to all shards
+/// where the job may be.
 const LOCATE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Where a job is.
+/// Result of the search for a job's shard.
 #[derive(Debug, Clone, Copy)]
 enum Location {
-    /// In a shard.
+    /// The owner of this shard has the job, in this state.
     InShard(u32, State),
-    /// No owner knows it.
+    /// All owners answered, and none has the job.
     NotFound,
-    /// Some owner does not answer.
+    /// Not found, but some owner did not answer.
     Unknown,
 }
 
-/// The callers' side of the daemon.
+/// Handler of the callers' requests at one daemon.
 #[derive(Debug)]
 pub struct Gateway {
     node: Arc<Node>,
@@ -68,7 +73,7 @@
         clock::now() + within.mul_f64(UNKNOWN_FRACTION)
     }
 
-    /// When a caller whose record was not kept is to come back.
+    /// Delay in seconds after which a caller whose record was not stored should retry.
     fn retry_after_s(&self) -> u32 {
         let now = clock::now();
         let down = self.node.store_down_for(now).is_some_and(|down| down >= OUTAGE_THRESHOLD);
@@ -84,7 +89,7 @@
         }
     }
 
-    /// Asks the owners of all shards where the queue's job may be.
+    /// Searches for a job by querying the owners of all shards where a job of this queue may be.
     async fn locate(&self, access: &Access, job: JobId, deadline: Duration) -> Location {
         let queue = &access.queue;
         let pools = match self.node.table() {
@@ -108,8 +113,8 @@
         if incomplete { Location::Unknown } else { Location::NotFound }
     }
 
-    /// Shards whose owner is to hear that the job is cancelled: the job's, or all where it may be
-    /// while no owner knows it.
+    /// Shards to which the job's cancellation is appended: the job's shard, or all where it may be
+    /// if the search does not find it. `None` if the pool's shards are unknown.
     async fn shards_to_cancel(
         &self,
         access: &Access,
@@ -128,7 +133,7 @@
         }
     }
 
-    /// Whether the queue had another pool before.
+    /// Whether the queue used another pool earlier in this process's lifetime.
     fn has_changed_pool(&self, queue: &Queue) -> bool {
         self.node.table().is_some_and(|table| table.pools_of(queue).len() > 1)
     }
@@ -195,7 +200,7 @@
     async fn submit(&self, access: &Access, job: JobId, spec: Spec, within: Duration) -> Submitted {
         let started_at = clock::now();
         let queue = &access.queue;
-        // A job that arrives again after its queue has moved is still the job of its first pool.
+        // A job that is submitted again after its queue changed pools stays in its first pool.
         if self.has_changed_pool(queue) {
             match self.locate(access, job, self.lookup_deadline(within)).await {
                 Location::InShard(..) => return Submitted::Accepted,
@@ -257,7 +262,7 @@
             return Cancelled::Unavailable { retry_after_s: RETRY_AFTER_S };
         };
         let record = Record::Cancelled(job, requester(access));
-        // A cancel is worth as many tries as the caller waits for.
+        // Appending a cancellation is attempted as long as the caller waits.
         let deadlines = Deadlines { send_by: deadline, refuse_at: deadline, unknown_at: deadline };
         let appends =
             shards.iter().map(|shard| appender::append(&self.node, *shard, &record, deadlines));
--- a/crates/crosspath_node/src/lib.rs
+++ b/crates/crosspath_node/src/lib.rs
@@ -1,9 +1,10 @@
-//! The daemon on a platform that keeps the log.
+//! Daemon for platforms with an append-only log store.
 //!
-//! Every daemon takes jobs from callers and appends them to their shard of the log. The daemons form
-//! a group among which the platform deals the shards; the owner of a shard runs its scheduler. What
-//! stands here is wiring: tasks, calls and time. Decisions are in `crosspath_schedule` and
-//! `crosspath_plan`; the platform's protocols are behind the traits of `crosspath_border`.
+//! Every daemon accepts jobs from callers and appends them to their shards of the log. The daemons
+//! form a group to whose members the platform assigns the shards; the owner of a shard runs its
+//! scheduler. This crate connects the parts: it runs the tasks, makes the calls and reads the
+//! clocks. Scheduling decisions are made in `crosspath_schedule`, decisions about VMs in
+//! `crosspath_fleet`. The platform's protocols are behind the traits of `crosspath_border`.
 
 mod appender;
 pub mod backoff;
--- a/crates/crosspath_node/src/metrics.rs
+++ b/crates/crosspath_node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The daemon's metrics, as OpenMetrics text.
+//! Metrics of the daemon in the OpenMetrics text format.
 
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
@@ -9,18 +9,18 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::{Registry, Unit};
 
-/// From 1 ms to some seconds, doubling.
+/// Number of latency buckets. Their bounds double from 1 ms to about 8 s.
 const BUCKET_COUNT: u16 = 14;
 const FIRST_BUCKET_SECONDS: f64 = 0.001;
 
-/// What a caller asked for.
+/// Kind of a caller's request; a label of the metrics.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum Call {
-    /// A job was submitted.
+    /// Request to submit a job.
     Submit,
-    /// A job's state was asked for.
+    /// Request for a job's state.
     State,
-    /// A job was cancelled.
+    /// Request to cancel a job.
     Cancel,
 }
 
@@ -40,7 +40,7 @@
     queue: String,
 }
 
-/// Every metric of the daemon.
+/// All metrics of the daemon.
 #[derive(Debug)]
 pub(crate) struct Metrics {
     registry: Mutex<Registry>,
@@ -62,13 +62,13 @@
 }
 
 impl Metrics {
-    /// A call was answered after `latency`.
+    /// Records the latency of a request that was answered.
     pub(crate) fn observe_call(&self, call: Call, queue: &str, latency: Duration) {
         let labels = Labels { call: call.name(), queue: queue.to_owned() };
         self.latency.get_or_create(&labels).observe(latency.as_secs_f64());
     }
 
-    /// All metrics as text.
+    /// Encodes all metrics; on an error, the text ends where encoding failed.
     pub(crate) fn encode(&self) -> String {
         let registry = self.registry.lock().unwrap_or_else(PoisonError::into_inner);
         let mut text = String::new();
--- a/crates/crosspath_node/src/node.rs
+++ b/crates/crosspath_node/src/node.rs
@@ -1,6 +1,6 @@
-//! What the daemon's tasks share.
+//! State that the daemon's tasks share.
 //!
-//! Locks are held for moments only. The one nesting is `owned` before a shard's scheduler.
+//! Locks are held only briefly. The only nested locking is `owned`, then a shard's scheduler.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -30,36 +30,37 @@
 use crate::settings::Settings;
 use crate::shard::Handle;
 
-/// Between looks whether the workers of a slice are known.
+/// Interval between checks whether the workers of a slice are known.
 const WORKERS_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// When this daemon last knew all that operators have written.
+/// Times at which this daemon last knew all records of the operators' log; zero for never.
 #[derive(Debug, Default, Clone, Copy)]
 struct OperatorLogTimes {
-    /// By the store.
+    /// Time of the last read from the store.
     from_store: Duration,
-    /// By another daemon that the store had told.
+    /// Time of the last read by another daemon, whose result this daemon has received.
     from_peer: Duration,
 }
 
-/// The right to act as a member of the group.
+/// Membership of this daemon in the group, and with it the right to act as owner of shards.
 #[derive(Debug, Default, Clone, Copy)]
 pub(crate) struct MemberStatus {
-    /// Until when the group surely counts this daemon as a member.
+    /// Time until which the group certainly counts this daemon as a member.
     pub(crate) member_until: Duration,
-    /// Until when the store is surely away for all, so that nobody else can own.
+    /// Time until which the store's outage is certain to affect all daemons, so that no shard can
+    /// change its owner.
     pub(crate) outage_until: Duration,
-    /// Whether this daemon stands for ownership.
+    /// Whether this daemon is a candidate for ownership.
     pub(crate) candidate: bool,
-    /// Calls and answers of the store.
+    /// Outcome of recent calls to the store.
     pub(crate) reachability: Reachability,
 }
 
-/// What the daemon's tasks share.
+/// Shared state of the daemon.
 #[derive(Debug)]
 pub(crate) struct Node {
     pub(crate) settings: Settings,
-    /// Names this daemon and this life of it; holds the address for peers.
+    /// Member text of this daemon: its name, its incarnation and its address for peers.
     pub(crate) member: Arc<str>,
     pub(crate) store: Arc<dyn Store>,
     pub(crate) runner: Arc<dyn Runner>,
@@ -70,11 +71,12 @@
     pub(crate) metrics: Metrics,
     pub(crate) stage: watch::Sender<Stage>,
     pub(crate) stopping: watch::Sender<bool>,
-    /// Peers, the balancer and readers of metrics are answered to the very end, so it never says so.
+    /// Stage of the listeners for peers, the balancer and metrics. It stays [`Stage::Serving`],
+    /// since these are answered until the process exits.
     pub(crate) internal_stage: watch::Sender<Stage>,
-    /// Rung when the configuration, the map, or the holders change.
+    /// Notified when the configuration, the map, or the holders of shards change.
     pub(crate) routing_changed: Notify,
-    /// Rung when a shard was dealt to this daemon.
+    /// Notified when the group has assigned a shard to this daemon.
     pub(crate) ownership_changed: Notify,
     table: Mutex<Option<Arc<Table>>>,
     operator_log: Mutex<OperatorLogTimes>,
@@ -82,19 +84,19 @@
     directory: Mutex<Directory>,
     waves: Mutex<BTreeMap<u64, (Arc<Wave>, Duration)>>,
     map: Mutex<Arc<Map>>,
-    /// Who holds which shard; none before that was read.
+    /// Holder of each shard; `None` until that has been read.
     holders: Mutex<Option<HashMap<u32, Member>>>,
-    /// Rung when a holder did not answer as one.
+    /// Notified when a holder does not answer, answers that it is not the owner, or is unknown.
     pub(crate) holders_stale: Notify,
     owned: Mutex<BTreeMap<u32, Handle>>,
-    /// What was known of leases in shards when they were left.
+    /// Leases known in each shard that this daemon has released.
     handovers: Mutex<HashMap<u32, Handover>>,
     member_status: Mutex<MemberStatus>,
-    /// Who holds how much of customers' maxima, while this daemon owns the fleet.
+    /// Ledger of the customers' allotments, while this daemon owns the fleet's shard.
     ledger: Mutex<Option<Ledger>>,
 }
 
-/// Everything that the daemon is built from.
+/// Settings and platform interfaces from which a [`Node`] is built.
 #[derive(Debug)]
 pub(crate) struct Parts {
     pub(crate) settings: Settings,
@@ -110,8 +112,9 @@
 }
 
 impl Node {
-    /// The shard of the fleet: waves, moves, pool sizes. Shards are numbered from the top: a group
-    /// that deals anew takes the lowest numbers from its members first, so the highest stay.
+    /// Number of the fleet's shard, whose owner runs waves, moves VMs and sizes pools. It is the
+    /// highest number: a group that rebalances takes the lowest numbers from its members first, so
+    /// the highest shards stay with their owners.
     pub(crate) fn fleet_shard(&self) -> u32 {
         self.settings.shards - 1
     }
@@ -158,40 +161,41 @@
         self.routing_changed.notify_waiters();
     }
 
-    /// When all that operators have written was last known, by whomever.
+    /// Time at which all records of the operators' log were last known, from the store or a peer.
     pub(crate) fn operator_log_confirmed_at(&self) -> Duration {
         let times = lock(&self.operator_log);
         times.from_store.max(times.from_peer)
     }
 
-    /// When the store last told all that operators have written.
+    /// Time at which the operators' log was last read completely from the store.
     pub(crate) fn operator_log_read_at(&self) -> Duration {
         lock(&self.operator_log).from_store
     }
 
-    /// The store has told all that operators wrote.
+    /// Records that the operators' log has been read to its end from the store.
     pub(crate) fn set_operator_log_read(&self, now: Duration) {
         lock(&self.operator_log).from_store = now;
     }
 
-    /// Another daemon has told what operators have written, as the store had told it at `heard`.
+    /// Records that a peer has sent the content of the operators' log, as it read it from the store
+    /// at `confirmed_at`.
     pub(crate) fn set_operator_log_confirmed(&self, confirmed_at: Duration) {
         let times = &mut lock(&self.operator_log);
         times.from_peer = times.from_peer.max(confirmed_at);
     }
 
-    /// Data centres that are to get no new work.
+    /// Data centres that get no new work, and the log position of that knowledge.
     pub(crate) fn evacuated(&self) -> Evacuated {
         lock(&self.evacuations).newest()
     }
 
-    /// What is known of evacuations, to take in more.
+    /// Locks the state of evacuations, to apply records to it.
     pub(crate) fn evacuations(&self) -> MutexGuard<'_, Evacuations> {
         lock(&self.evacuations)
     }
 
-    /// Whether what is evacuated is known recently enough to start tasks. While the store is away for all it
-    /// takes no word of operators, so what was known before is all that there is.
+    /// Whether tasks may start, which requires recent knowledge of the evacuations. During an outage,
+    /// the store accepts no requests of operators, so what was known before the outage is complete.
     pub(crate) fn may_start(&self, now: Duration) -> bool {
         let Some(limit) = self.settings.evacuation_limit else { return true };
         let confirmed_at = Some(self.operator_log_confirmed_at()).filter(|at| !at.is_zero());
@@ -220,12 +224,12 @@
         self.routing_changed.notify_waiters();
     }
 
-    /// Address of the daemon that holds a shard.
+    /// Address of the daemon that holds a shard; `None` if the holder is unknown.
     pub(crate) fn holder(&self, shard: u32) -> Option<SocketAddr> {
         Some(lock(&self.holders).as_ref()?.get(&shard)?.address)
     }
 
-    /// All daemons that hold some shard, each once; none before that was read.
+    /// All daemons that hold some shard, each once; `None` until the holders have been read.
     pub(crate) fn owners(&self) -> Option<Vec<Member>> {
         let mut found: Vec<_> = lock(&self.holders).as_ref()?.values().cloned().collect();
         found.sort_unstable();
@@ -233,7 +237,7 @@
         Some(found)
     }
 
-    /// Addresses of all daemons that hold some shard, but this one.
+    /// Addresses of all daemons that hold some shard, without this daemon's.
     pub(crate) fn other_owners(&self) -> Vec<SocketAddr> {
         let owners = self.owners().unwrap_or_default();
         let mut found: Vec<_> = owners.into_iter().map(|owner| owner.address).collect();
@@ -246,30 +250,33 @@
         lock(&self.owned)
     }
 
-    /// This daemon leaves a shard: nothing of it is ordered or kept after this.
+    /// Stops a shard's scheduler and saves its leases for the next owner. Afterwards this daemon
+    /// sends no orders and stores no records for the shard.
     pub(crate) fn release_shard(&self, shard: u32, handle: &Handle) {
         if let Some(ended) = handle.stop() {
             self.save_handover(shard, ended.handover(clock::now()));
         }
     }
 
-    /// Keeps what was known of leases in a shard that is left.
+    /// Saves the leases known in a shard that this daemon releases.
     pub(crate) fn save_handover(&self, shard: u32, handover: Handover) {
         lock(&self.handovers).insert(shard, handover);
     }
 
-    /// What was known of leases in a shard when this daemon left it, as its owner in `epoch`.
+    /// Leases known in a shard when this daemon released it, if that was as its owner in `epoch`.
     pub(crate) fn handover(&self, shard: u32, epoch: u64) -> Option<Handover> {
         let saved = lock(&self.handovers).get(&shard).cloned();
         saved.filter(|handover| handover.epoch == epoch)
     }
 
-    /// This daemon has claimed the fleet and deals out customers' maxima.
+    /// Sets the ledger after this daemon has claimed the fleet's shard. From now on it grants
+    /// quota.
     pub(crate) fn set_ledger(&self, ledger: Ledger) {
         *lock(&self.ledger) = Some(ledger);
     }
 
-    /// The claim with the ledger's term is over; a later one may have begun.
+    /// Removes the ledger when the claim with this term has ended, unless a later claim has already
+    /// set another ledger.
     pub(crate) fn clear_ledger(&self, term: u64) {
         let mut ledger = lock(&self.ledger);
         if ledger.as_ref().is_some_and(|ledger| ledger.term() == term) {
@@ -277,8 +284,8 @@
         }
     }
 
-    /// Deals parts of customers' maxima to a shard; none where this daemon does not own the fleet, or the
-    /// question is an old one.
+    /// Grants a shard allotments of the customers' maxima. `None` if this daemon does not own the
+    /// fleet's shard, or if the request is outdated.
     pub(crate) fn grant_quota(&self, now: Duration, request: &Request) -> Option<Grant> {
         if !self.may_act(now) || !self.owned().contains_key(&self.fleet_shard()) {
             return None;
@@ -292,22 +299,22 @@
         *lock(&self.member_status)
     }
 
-    /// A call was sent to the store that is answered at once when the store is well.
+    /// Records that a call was sent which a healthy store answers at once.
     pub(crate) fn record_store_call(&self, now: Duration) {
         lock(&self.member_status).reachability.call_sent(now);
     }
 
-    /// Whether the store keeps silent towards this daemon.
+    /// Whether the store has not answered this daemon for some time.
     pub(crate) fn is_store_silent(&self, now: Duration) -> bool {
         lock(&self.member_status).reachability.is_silent(now)
     }
 
-    /// The store has answered.
+    /// Records that the store has answered some call.
     pub(crate) fn record_store_answer(&self, now: Duration) {
         lock(&self.member_status).reachability.call_answered(now);
     }
 
-    /// How an append by all ways ended.
+    /// Records the result of an append that was tried by all routes.
     pub(crate) fn record_append_result(&self, now: Duration, failure: Option<&Error>) {
         let reachability = &mut lock(&self.member_status).reachability;
         match failure {
@@ -317,12 +324,14 @@
         }
     }
 
-    /// How long the store has surely been down for all that this daemon reaches.
+    /// Time for which the store has certainly been down, for this daemon and all that it reaches;
+    /// `None` if it may be up.
     pub(crate) fn store_down_for(&self, now: Duration) -> Option<Duration> {
         lock(&self.member_status).reachability.down_for(now)
     }
 
-    /// Appends records of callers to a shard; nothing is sent to a silent store.
+    /// Appends records of callers to a shard. Fails without sending them while the store does not
+    /// answer.
     pub(crate) async fn append(&self, shard: u32, records: &[NewRecord]) -> Result<(), Error> {
         if self.is_store_silent(clock::now()) {
             return Err(Error::NotReached);
@@ -337,19 +346,20 @@
         change(&mut lock(&self.member_status));
     }
 
-    /// Whether this daemon may act as owner at `now`.
+    /// Whether this daemon may act as owner of its shards at `now`.
     pub(crate) fn may_act(&self, now: Duration) -> bool {
         let status = self.member_status();
         now < status.member_until.max(status.outage_until) && !*self.stopping.borrow()
     }
 
-    /// Whether this daemon may act only since the store is away for all.
+    /// Whether this daemon may act as owner only because an outage of the store affects all
+    /// daemons.
     pub(crate) fn is_store_outage(&self, now: Duration) -> bool {
         let status = self.member_status();
         now >= status.member_until && now < status.outage_until
     }
 
-    /// Waits until all workers of a slice are known.
+    /// Waits until all workers of a pool slice are known.
     pub(crate) async fn wait_for_workers(&self, pool_slice: &PoolSlice) {
         while !self.directory().covers(pool_slice) {
             tokio::time::sleep(WORKERS_CHECK_INTERVAL).await;
--- a/crates/crosspath_node/src/pages.rs
+++ b/crates/crosspath_node/src/pages.rs
@@ -1,11 +1,12 @@
-//! The newest record of each key of a partition, read page by page.
+//! Collects the newest record of each key of a partition, which the store returns in pages.
 //!
-//! A page that fails is asked for again, and no other: a long list that began anew after each failure would
-//! never be read to its end from a store that refuses some of its calls, and its pages would keep the store busy.
+//! After a failure, only the failed page is requested again. If a long list were read from the
+//! start after each failure, a store that refuses some calls would never deliver it completely, and
+//! the repeated reads would keep the store busy.
 
 use crosspath_border::store::{NewestPage, Stored};
 
-/// The pages that were read so far.
+/// Pages that have been read so far.
 #[derive(Debug, Default)]
 pub struct Pages {
     records: Vec<Stored>,
@@ -13,14 +14,15 @@
 }
 
 impl Pages {
-    /// Key after which the next page begins; none before the first.
+    /// Key after which the next page starts; `None` for the first page.
     #[must_use]
     pub fn after(&self) -> Option<String> {
         self.records.last().map(|record| record.key.clone())
     }
 
-    /// Takes in a page. After the last one: all records, and the offset from which to follow. Pages are not one
-    /// snapshot, so that is where the partition ended at the first of them.
+    /// Adds a page. With the last one, returns all records and the offset from which to follow the
+    /// partition, and starts over. The pages are not a consistent snapshot, so that offset is the
+    /// partition's end at the time of the first page.
     pub fn add(&mut self, page: NewestPage) -> Option<(Vec<Stored>, u64)> {
         let end = *self.end.get_or_insert(page.end);
         let has_more = page.more && !page.records.is_empty();
--- a/crates/crosspath_node/src/rpc.rs
+++ b/crates/crosspath_node/src/rpc.rs
@@ -1,4 +1,4 @@
-//! What daemons ask each other: JSON over HTTP on the peers' address.
+//! Calls between daemons: JSON over HTTP at the address for peers.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -31,107 +31,112 @@
 use crate::pending::Outcome;
 use crate::workers;
 
-/// A peer is at most some ms away; one that does not answer within this is asked no longer.
+/// Timeout of a call to a peer. The network takes at most some ms.
 pub(crate) const TIMEOUT: Duration = Duration::from_millis(500);
-/// For a new connection to a peer.
+/// Timeout for establishing a connection to a peer.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Bytes of a question at most: some appended jobs.
+/// Maximum size of a request in bytes; the largest contain several jobs to append.
 const MAX_BODY: u64 = 2 * 1024 * 1024;
 const PATH: &str = "/peer";
 
-/// A question.
+/// Request to a daemon. Requests about a shard go to its owner, unless stated otherwise.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Request {
-    /// State of a job.
+    /// Queries the state of a job.
     State {
         shard: u32,
         job: JobId,
         #[serde(rename = "asker")]
         requester: Requester,
     },
-    /// Number of a queue's jobs that wait.
+    /// Queries the number of a queue's jobs that are queued.
     #[serde(rename = "waiting")]
     QueuedJobs { shard: u32, queue: Arc<str> },
-    /// VMs that are to become vacant, and how the pool is.
+    /// Sets the VMs that are to become vacant, and queries the state of the pool.
     Pool { shard: u32, vacate: BTreeSet<Arc<str>> },
-    /// Append records for a daemon that the store turns away, or answers slowly.
+    /// Appends records for another daemon. Goes to the shard's owner, which batches the records of
+    /// all daemons since the store may be slow, or to any daemon if the store refuses the sender.
     Append { shard: u32, records: Vec<(String, String)> },
-    /// A record that a caller's request has just added to a shard, for its owner.
+    /// Notifies the owner of a record that a caller's request has just added to its shard.
     #[serde(rename = "kept")]
     RecordStored { shard: u32, key: String, value: String },
-    /// Parts of customers' maxima, of the fleet's owner.
+    /// Requests allotments of the customers' maxima from the owner of the fleet's shard.
     #[serde(rename = "parts")]
     Quota(QuotaRequest),
-    /// What operators have written, for a daemon that knows a version of the configuration and that the store does
-    /// not tell of anything newer.
+    /// Queries the content of the operators' log, for a daemon that cannot read it from the store.
+    /// `known` is the version of its configuration. May go to any daemon.
     Config { known: Option<u64> },
-    /// What has changed of the workers of slices since a cursor, of the daemon that reads the list.
+    /// Queries the changes among the workers of some pool slices since a cursor. Goes to a daemon
+    /// that reads the worker list.
     Workers {
         #[serde(rename = "units")]
         pool_slices: BTreeSet<PoolSlice>,
         cursor: Option<Cursor>,
     },
-    /// How long ago the store answered.
+    /// Queries when the store last answered the daemon. May go to any daemon.
     #[serde(rename = "store")]
     StoreStatus,
-    /// Which life of the daemon this is.
+    /// Queries the daemon's current incarnation. May go to any daemon.
     #[serde(rename = "life")]
     Incarnation,
-    /// What the owner in an epoch knew of leases when it left the shard.
+    /// Queries the leases that the shard's owner in this epoch knew when it released the shard.
+    /// Goes to that previous owner.
     #[serde(rename = "left")]
     Handover { shard: u32, epoch: u64 },
 }
 
-/// An answer.
+/// Reply to a [`Request`].
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Reply {
-    /// State of a job; none when the owner does not know it.
+    /// State of the job; `None` if the owner does not know it.
     State(Option<State>),
-    /// Number of jobs.
+    /// Number of the queue's jobs that are queued in the shard.
     #[serde(rename = "waiting")]
     QueuedJobs(u64),
-    /// A pool.
+    /// State of the pool slice that the shard manages.
     Pool(report::Pool),
-    /// Records were appended, but those with these keys: other customers' jobs have the identifiers.
+    /// The records were appended, except those with the keys `taken`: their identifiers belong to
+    /// jobs of other customers.
     Appended { taken: Vec<String> },
-    /// Parts of customers' maxima.
+    /// Allotments of the customers' maxima.
     #[serde(rename = "parts")]
     Quota(QuotaGrant),
-    /// A newer configuration, none when there is none; what is evacuated; and how long ago the store told so.
+    /// Configuration, if there is a newer one than the requester's; evacuated data centres; and
+    /// time in ms since these were last read from the store.
     Config {
         newer: Option<Box<Config>>,
         evacuated: Evacuated,
         #[serde(rename = "heard_ms_ago")]
         confirmed_ms_ago: u64,
     },
-    /// Workers.
+    /// Changes among the workers since the cursor.
     Workers(Update),
-    /// The owner has heard.
+    /// The owner has received the notification.
     #[serde(rename = "heard")]
     Acknowledged,
-    /// Records were not appended; whether that is sure.
+    /// No answer confirms the append. `certain` if the records are not stored for certain.
     NotAppended {
         #[serde(rename = "surely")]
         certain: bool,
     },
-    /// Records were taken back before they were sent: the store is slow.
+    /// The records were withdrawn before they were sent, since the store is slow.
     Unsent,
-    /// Ms since the store last answered.
+    /// Time since the store last answered the daemon.
     #[serde(rename = "store")]
     StoreStatus { answered_ms_ago: u64 },
-    /// The member text of this life.
+    /// Member text of the daemon, which identifies its current incarnation.
     #[serde(rename = "life")]
     Incarnation { member: Arc<str> },
-    /// Ms until what may run on each worker has surely lapsed.
+    /// By worker incarnation, the time in ms after which everything that may run on it has expired.
     #[serde(rename = "left")]
     Handover(Vec<(Arc<str>, u64)>),
-    /// The daemon does not own the shard now.
+    /// The daemon cannot answer: it does not own the shard, or does not have the requested data.
     NotOwner,
 }
 
-/// Connections to peers.
+/// HTTP clients for the peers, by their addresses.
 #[derive(Debug, Default)]
 pub(crate) struct Peers(Mutex<HashMap<SocketAddr, Client>>);
 
@@ -143,7 +148,7 @@
         client.or_insert_with(make).clone()
     }
 
-    /// Asks a peer.
+    /// Calls a peer. The call is hedged, so the peer may receive it several times.
     pub(crate) async fn call(
         &self,
         address: SocketAddr,
@@ -152,7 +157,7 @@
         self.client(address).call_idempotent(Method::POST, PATH, Some(request)).await
     }
 
-    /// Asks a peer to append: sent once, since the fate of one try is told.
+    /// Calls a peer without hedging, for an append: the reply must describe the only attempt.
     async fn call_once(
         &self,
         address: SocketAddr,
@@ -163,14 +168,16 @@
     }
 }
 
-/// Why a peer has not appended.
+/// Reason why a relayed append is not confirmed.
 #[derive(Debug)]
 pub(crate) enum Failure {
-    /// It has taken the records back before they were sent: the store is slow, for others too.
+    /// The peer withdrew the records before they were sent, since the store is slow. It is slow for
+    /// other daemons too.
     Unsent,
-    /// It has sent them, and has no answer yet.
+    /// The peer sent the records, and the outcome is unknown.
     Unanswered,
-    /// It could not, or it is not known whether it has.
+    /// The peer could not append the records or be reached, or did not reply.
+    /// [`Error::had_no_effect`] tells whether the records may be stored.
     Failed(Error),
 }
 
@@ -184,7 +191,8 @@
     }
 }
 
-/// Appends through a peer, who may take until `timeout` for it.
+/// Appends records through a peer, which has to reply within `timeout`. Returns the keys of the
+/// records that were not appended since their identifiers belong to jobs of other customers.
 pub(crate) async fn relay_append(
     node: &Node,
     peer: SocketAddr,
@@ -207,7 +215,7 @@
     }
 }
 
-/// Serves peers until the stop says so.
+/// Serves the calls of peers until `stop` says to end.
 pub(crate) async fn serve(listener: TcpListener, stop: watch::Receiver<Stage>, node: Arc<Node>) {
     server::serve(listener, Limits::default(), stop, move |request, _| {
         let node = Arc::clone(&node);
@@ -233,7 +241,7 @@
     }
 }
 
-/// Answers a question, of a peer or of this daemon itself.
+/// Handles a request of a peer, or of this daemon to itself.
 pub(crate) async fn handle(node: &Arc<Node>, request: Request) -> Reply {
     match request {
         Request::State { shard, job, requester } => {
@@ -278,7 +286,7 @@
     }
 }
 
-/// What this daemon knew of leases when it left a shard.
+/// Leases that this daemon knew when it released a shard.
 fn handover_reply(node: &Node, shard: u32, epoch: u64) -> Reply {
     let now = clock::now();
     let Some(handover) = node.handover(shard, epoch) else { return Reply::NotOwner };
@@ -314,7 +322,8 @@
     }
 }
 
-/// Whether this daemon owns the shard and knows that another customer's job has the record's identifier.
+/// Whether this daemon owns the shard and knows that the record's identifier belongs to a job of
+/// another customer.
 pub(crate) fn is_taken_locally(node: &Node, shard: u32, record: &NewRecord) -> bool {
     let owned = node.owned();
     let Some(handle) = owned.get(&shard) else { return false };
@@ -322,7 +331,8 @@
     record.is_ok_and(|record| handle.is_taken(&record))
 }
 
-/// Passes a record that is kept on to the shard's owner; whether this daemon is that.
+/// Passes a stored record to the shard's scheduler if this daemon owns the shard. Returns whether
+/// it does.
 fn notify_local_owner(node: &Node, shard: u32, key: &str, value: &[u8]) -> bool {
     let owned = node.owned();
     let Some(handle) = owned.get(&shard) else { return false };
@@ -333,8 +343,8 @@
     true
 }
 
-/// Tells a shard's owner of a record that is kept. The owner reads it in the log anyway, a little
-/// later, so nothing depends on this.
+/// Notifies a shard's owner of a stored record. Best effort: the owner reads the record in the log
+/// anyway, a little later.
 pub(crate) async fn notify_stored(node: &Arc<Node>, shard: u32, record: &NewRecord) {
     if notify_local_owner(node, shard, &record.key, &record.value) {
         return;
@@ -346,7 +356,8 @@
     }
 }
 
-/// Asks the holder of a shard, which may be this daemon.
+/// Sends a request to the holder of a shard, which may be this daemon. `None` if the holder is
+/// unknown or did not reply. If the holder may have changed, triggers a read of the holders.
 pub(crate) async fn call_holder(node: &Arc<Node>, shard: u32, request: Request) -> Option<Reply> {
     if node.owned().contains_key(&shard) {
         return Some(handle(node, request).await);
--- a/crates/crosspath_node/src/settings.rs
+++ b/crates/crosspath_node/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the daemon: a JSON file, read and checked.
+//! Loads the daemon's settings from a JSON file and validates them.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -9,11 +9,11 @@
 use serde::Deserialize;
 use snafu::{ResultExt as _, Snafu};
 
-/// Shortest time in which an evacuation can be in force: a start is through within half a second, and word of the
-/// store may be as old again.
+/// Minimum of `leases.evacuation_ms`. A task start takes up to half a second, and the daemon's
+/// knowledge of evacuations may be another half second old.
 const MIN_EVACUATION_MS: u64 = 1_000;
 
-/// Settings as written.
+/// Content of the settings file.
 #[derive(Debug, Clone, Deserialize)]
 struct Options {
     name: Arc<str>,
@@ -57,119 +57,122 @@
     stop_grace_s: u64,
 }
 
-/// Where the settings do not say: as the smallest deployment seen allows.
+/// Default of `platform.vm_orders_per_s`: the limit of the smallest known deployment.
 fn vm_orders_per_s() -> f64 {
     64.0
 }
 
-/// Where the settings do not say, the VM is taken for a large one.
+/// Default of `cores`, by which the VM counts as a large one.
 fn one_core() -> f64 {
     1.0
 }
 
-/// What the deployment pays, in one unit; only ratios matter.
+/// Costs of the deployment, all in the same arbitrary unit: only their ratios matter.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(default)]
 pub struct Costs {
-    /// For a VM in a pool that serves, a second.
+    /// Cost per second of a VM in a serving pool.
     pub vm_second: f64,
-    /// For a VM that changes its pool.
+    /// Cost of moving a VM to another pool.
     pub vm_move: f64,
 }
 
 impl Default for Costs {
-    /// As observed where the deployment does not say: a move costs as much as a VM for about a
-    /// second.
+    /// Costs as observed in a deployment: a move costs about as much as a VM does in one second.
     fn default() -> Self {
         Self { vm_second: 0.078, vm_move: 0.088 }
     }
 }
 
-/// Settings of a daemon.
+/// Validated settings of a daemon.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Name of this daemon.
+    /// Name of the daemon, which is that of its VM.
     pub name: Arc<str>,
-    /// Its data centre.
+    /// Data centre of the daemon's VM.
     pub data_centre: Arc<str>,
-    /// All data centres; empty where the settings do not say.
+    /// Names of all data centres; empty if not configured, and then any name is accepted.
     pub data_centres: BTreeSet<Arc<str>>,
-    /// Processor time of its VM, in thousandths of a core.
+    /// Processor capacity of the daemon's VM, in thousandths of a core.
     pub millicores: u32,
-    /// Where callers connect.
+    /// Address on which the daemon listens for callers.
     pub callers: SocketAddr,
-    /// Where the balancer asks.
+    /// Address on which the daemon listens for the balancer's readiness probes.
     pub readiness: SocketAddr,
-    /// Where other daemons connect.
+    /// Address on which the daemon listens for other daemons.
     pub peers: SocketAddr,
-    /// Where metrics are served.
+    /// Address on which the daemon serves its metrics.
     pub metrics: SocketAddr,
-    /// The platform's log.
+    /// Address of the platform's log store.
     pub log: SocketAddr,
-    /// The platform's list of VMs; none where VMs are not managed.
+    /// Address of the platform's VM list; `None` if VMs are not managed.
     pub vms: Option<SocketAddr>,
-    /// Orders for VMs that the platform takes a second.
+    /// Maximum number of VM orders that the platform accepts per second.
     pub vm_orders_per_s: f64,
-    /// The advice service; none where there is none.
+    /// Address of the advice service; `None` if the deployment has none.
     pub advice: Option<SocketAddr>,
-    /// Partitions of a topic.
+    /// Number of shards, each of which is a partition of the log; at least 2.
     pub shards: u32,
-    /// Longest lease that workers give.
+    /// Maximum lease length that workers grant.
     pub max_lease: Duration,
-    /// Shortest silence after which the group forgets a member.
+    /// Minimum TTL of a membership, the time without a join after which the group removes a member.
     pub min_member_ttl: Duration,
-    /// For which no other daemon may give orders for a VM after one has.
+    /// Time after a daemon's order for a VM in which no other daemon may order that VM.
     pub vm_order_exclusion: Duration,
-    /// In which no task starts any more in a data centre that is to be evacuated; none where none ever is.
+    /// Time after the request of an evacuation from which no task may start in the data centre;
+    /// `None` if the deployment never evacuates one.
     pub evacuation_limit: Option<Duration>,
-    /// How long an ended job can be asked for.
+    /// Time for which the state of an ended job can be queried.
     pub ended_job_retention: Duration,
-    /// From the signal to stop to being killed.
+    /// Time between the signal to stop and the daemon being killed.
     pub stop_grace: Duration,
-    /// What the deployment pays.
+    /// Costs of VMs and of moving them.
     pub costs: Costs,
 }
 
-/// Settings that cannot be used.
+/// Error in loading the settings.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The file cannot be read.
-    #[snafu(display("cannot read settings {}: {source}; check the path", file.display()))]
+    /// The settings file cannot be read.
+    #[snafu(display("cannot read settings file {}: {source}; check the path", file.display()))]
     Read {
-        /// The file.
+        /// Path of the settings file.
         file: PathBuf,
-        /// What the system says.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The file has another shape.
-    #[snafu(display("settings {}: field {field}: {source}", file.display()))]
+    /// The file is not valid JSON, or a field is missing or of the wrong type.
+    #[snafu(display("cannot parse settings file {}: field {field}: {source}", file.display()))]
     Parse {
-        /// The file.
+        /// Path of the settings file.
         file: PathBuf,
-        /// The field.
+        /// Path of the field in the file.
         field: String,
-        /// What the decoder says.
+        /// Error of the JSON decoder.
         source: serde_json::Error,
     },
-    /// A field cannot be used.
-    #[snafu(display("settings {}: field {field}: {value}: {remedy}", file.display()))]
+    /// The value of a field is not allowed.
+    #[snafu(display(
+        "settings file {}: invalid value of field {field}: {value}; {remedy}",
+        file.display()
+    ))]
     Value {
-        /// The file.
+        /// Path of the settings file.
         file: PathBuf,
-        /// The field.
+        /// Path of the field in the file.
         field: &'static str,
-        /// Its value.
+        /// Rejected value of the field.
         value: String,
-        /// What to write instead.
+        /// Instruction on which values are allowed.
         remedy: &'static str,
     },
 }
 
-/// Reads and checks a settings file.
+/// Loads and validates a settings file.
 ///
 /// # Errors
 ///
-/// [`Error`] when the file cannot be read, has another shape, or a field cannot be used.
+/// [`Error`] if the file cannot be read or parsed, or a value is not allowed.
 pub fn load(file: &Path) -> Result<Settings, Error> {
     let text = std::fs::read_to_string(file).context(ReadSnafu { file })?;
     let decoder = &mut serde_json::Deserializer::from_str(&text);
@@ -190,7 +193,12 @@
     let Options { name, data_centre, data_centres, cores, listen, platform, leases, costs } =
         options;
     require(!name.is_empty(), "name", name.to_string(), "write the VM's name")?;
-    require(cores > 0.0, "cores", cores.to_string(), "write the VM's share of a core, or cores")?;
+    require(
+        cores > 0.0,
+        "cores",
+        cores.to_string(),
+        "write the VM's number of cores, which may be a fraction",
+    )?;
     #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "saturates")]
     let millicores = (cores * 1_000.0) as u32;
     let shards = platform.shards;
@@ -217,7 +225,7 @@
         data_centres.is_empty() || data_centres.contains(&data_centre),
         "data_centres",
         format!("{data_centres:?}"),
-        "name the VM's own data centre too",
+        "include the VM's own data centre",
     )?;
     let listeners = [listen.callers, listen.readiness, listen.peers, listen.metrics];
     let has_duplicates = (1..listeners.len()).any(|at| listeners[..at].contains(&listeners[at]));
@@ -225,7 +233,7 @@
         !has_duplicates,
         "listen",
         format!("{listeners:?}"),
-        "give each listener a port of its own",
+        "give each listener an address of its own",
     )?;
     Ok(Settings {
         name,
--- a/crates/crosspath_node/src/workers.rs
+++ b/crates/crosspath_node/src/workers.rs
@@ -220,7 +220,7 @@
     }
 }
 
-/// Answers another daemon's poll for the workers of `pool_slices`; [`Answer::NotOwner`] if this
+/// Answers another daemon's poll for the workers of `pool_slices`; [`Reply::NotOwner`] if this
 /// daemon does not read the list or may not act as owner.
 pub(crate) fn answer(
     node: &Node,
--- a/crates/crosspath_node/tests/node/clock.rs
+++ b/crates/crosspath_node/tests/node/clock.rs
@@ -1,4 +1,4 @@
-//! Time while the machine is suspended.
+//! Elapsed time across suspensions of the machine.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use nix::errno::Errno;
 use nix::time::ClockId;
 
-/// A machine that was up for `up` and suspended for `suspended`.
+/// Clock readings, in seconds, of a machine that ran for `up` and was suspended for `suspended`.
 fn boottime_kernel(up: u64, suspended: u64) -> impl Fn(ClockId) -> Result<Duration, Errno> {
     move |clock| match clock {
         ClockId::CLOCK_MONOTONIC => Ok(Duration::from_secs(up)),
@@ -15,7 +15,7 @@
     }
 }
 
-/// A kernel without the clock that counts suspensions.
+/// Clock readings of a kernel without `CLOCK_BOOTTIME`.
 fn monotonic_only_kernel(up: u64) -> impl Fn(ClockId) -> Result<Duration, Errno> {
     move |clock| match clock {
         ClockId::CLOCK_MONOTONIC => Ok(Duration::from_secs(up)),
--- a/crates/crosspath_node/tests/node/common.rs
+++ b/crates/crosspath_node/tests/node/common.rs
@@ -1,4 +1,4 @@
-//! Daemons on one log in memory, without workers.
+//! Starts daemons that share an in-memory log and have no workers.
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::net::{SocketAddr, TcpListener as StdListener};
@@ -30,31 +30,33 @@
 use tokio::sync::watch;
 
 pub(crate) const SHARDS: u32 = 4;
-/// Processor time of a VM whose daemon owns shards, and of one whose daemon does not.
+/// Processor capacity of a VM whose daemon is a candidate for ownership, and of one whose daemon is
+/// not while there are larger ones.
 const LARGE_MILLICORES: u32 = 250;
 const SMALL_MILLICORES: u32 = 120;
-/// For which callers wait.
+/// Timeout of the callers' requests.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
-/// Between looks whether the daemons are there.
+/// Interval between checks whether a daemon is ready, and pause of reads that return no records.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// By which each daemon has read who owns what.
+/// Time after which each daemon has read the holders of all shards.
 pub(crate) const SETTLE_TIME: Duration = Duration::from_millis(2_000);
 
-/// The log as one daemon reaches it.
+/// Connection of one daemon to the shared log, with faults and counters.
 #[derive(Debug)]
 pub(crate) struct FaultyStore {
     log: Arc<MemoryStore>,
-    /// Appends for callers that this daemon has made.
+    /// Number of unconditional appends, which carry callers' records, that were passed on to the
+    /// log.
     appends: AtomicUsize,
-    /// Whether the log refuses those.
+    /// Whether the log refuses unconditional appends.
     refuse_appends: AtomicBool,
-    /// Whether the log refuses everything.
+    /// Whether the log refuses every call except conditional appends.
     down: AtomicBool,
-    /// Appends for callers that it has refused.
+    /// Number of unconditional appends that were refused.
     refused_appends: AtomicUsize,
-    /// Readings of the list of workers.
+    /// Number of reads of the worker list.
     worker_reads: AtomicUsize,
-    /// Readings of who owns what.
+    /// Number of reads of the holders of shards.
     holder_reads: AtomicUsize,
 }
 
@@ -126,7 +128,7 @@
         let queues = vec![queue()];
         let text = String::from_utf8_lossy(&record.value);
         let (version, registrations) = registrations(&text);
-        let keys = Keys::new(&registrations).expect("keys of one customer each");
+        let keys = Keys::new(&registrations).expect("no key belongs to two customers");
         let customers = registrations.into_iter().map(|row| row.customer).collect();
         let body_bytes = DEFAULT_BODY_BYTES;
         Ok(Change::Config(Config { version, queues, pools, customers, keys, body_bytes }))
@@ -145,12 +147,16 @@
     }
 }
 
-/// Version and customers of a configuration that is written as "VERSION CUSTOMER=KEY,KEY ...".
+/// Parses a configuration of the form "VERSION CUSTOMER=KEY,KEY ..." into its version and
+/// customers.
 fn registrations(text: &str) -> (u64, Vec<Registration>) {
     let mut words = text.split(' ');
-    let version = words.next().and_then(|word| word.parse().ok()).expect("a version");
+    let version = words
+        .next()
+        .and_then(|word| word.parse().ok())
+        .expect("configuration starts with a version");
     let row = |word: &str| {
-        let (name, keys) = word.split_once('=').expect("a customer with keys");
+        let (name, keys) = word.split_once('=').expect("customer has the form NAME=KEYS");
         let customer = Customer { name: name.into(), weight: 1.0, maximum: Resources::UNLIMITED };
         let keys = keys.split(',').filter(|key| !key.is_empty()).map(str::to_owned).collect();
         Registration { customer, keys }
@@ -158,7 +164,7 @@
     (version, words.map(row).collect())
 }
 
-/// Workers of which there are none.
+/// Client that reaches no workers.
 #[derive(Debug)]
 struct NoWorkers;
 
@@ -221,7 +227,7 @@
 
 type Serving = Pin<Box<dyn Future<Output = ()> + Send>>;
 
-/// What daemons answer callers with, by the address that callers would use.
+/// Handlers of callers' requests, by the callers' address of their daemon.
 static HANDLERS: LazyLock<Mutex<HashMap<SocketAddr, Arc<dyn Handler>>>> =
     LazyLock::new(Mutex::default);
 
@@ -231,8 +237,8 @@
     _: watch::Receiver<Stage>,
     handler: Arc<dyn Handler>,
 ) -> Serving {
-    let address = listener.local_addr().expect("an address");
-    HANDLERS.lock().expect("no test has failed").insert(address, handler);
+    let address = listener.local_addr().expect("a bound listener has an address");
+    HANDLERS.lock().expect("no test panicked with the lock held").insert(address, handler);
     Box::pin(std::future::pending())
 }
 
@@ -245,16 +251,17 @@
     Box::pin(std::future::pending())
 }
 
-/// Addresses that were given to some daemon of this process.
+/// Addresses that have been assigned to daemons of this process.
 static ASSIGNED_ADDRESSES: LazyLock<Mutex<HashSet<SocketAddr>>> = LazyLock::new(Mutex::default);
 
-/// An address that no other daemon of this process has. The system may give a port twice before the first daemon
-/// listens on it; the second one then could not start, and its test called the handler of the first.
+/// Address that no other daemon of this process has. The system may return the same free port twice
+/// before the first daemon listens on it. The second daemon would then fail to start, and its test
+/// would call the handler of the first.
 fn free_address() -> SocketAddr {
     loop {
-        let listener = StdListener::bind("127.0.0.1:0").expect("a free port");
-        let address = listener.local_addr().expect("an address");
-        if ASSIGNED_ADDRESSES.lock().expect("no test has failed").insert(address) {
+        let listener = StdListener::bind("127.0.0.1:0").expect("a port is free");
+        let address = listener.local_addr().expect("a bound listener has an address");
+        if ASSIGNED_ADDRESSES.lock().expect("no test panicked with the lock held").insert(address) {
             return address;
         }
     }
@@ -270,12 +277,12 @@
         Self::start_with(name, log, Some(Arc::new(FakeFleet::healthy(30)))).await
     }
 
-    /// On a VM that is too small to own shards while there are large ones.
+    /// Starts a daemon on a VM that is too small to own shards while there are large ones.
     pub(crate) async fn start_small(name: &str, log: &Arc<MemoryStore>) -> Self {
         Self::start_on(name, log, Some(Arc::new(FakeFleet::healthy(30))), SMALL_MILLICORES).await
     }
 
-    /// With a list of VMs.
+    /// Starts a daemon with the given VM list; `None` if VMs are not managed.
     pub(crate) async fn start_with(
         name: &str,
         log: &Arc<MemoryStore>,
@@ -333,7 +340,11 @@
         drop(tokio::spawn(crosspath_node::run(settings, ports)));
         loop {
             tokio::time::sleep(POLL_INTERVAL).await;
-            let handler = HANDLERS.lock().expect("no test has failed").get(&addresses[0]).cloned();
+            let handler = HANDLERS
+                .lock()
+                .expect("no test panicked with the lock held")
+                .get(&addresses[0])
+                .cloned();
             if let Some(handler) = handler.filter(|handler| handler.is_ready()) {
                 return Self { store, handler };
             }
@@ -344,17 +355,17 @@
         self.submit_for(None, job).await
     }
 
-    /// Submits a job of a customer.
+    /// Submits a job on behalf of a customer.
     pub(crate) async fn submit_for(&self, customer: Option<&str>, job: u64) -> Submitted {
         self.handler.submit(&access(customer), JobId(job), spec(), CALL_TIMEOUT).await
     }
 
-    /// Asks for a job of a customer.
+    /// Queries the state of a job on behalf of a customer.
     pub(crate) async fn state_for(&self, customer: Option<&str>, job: u64) -> Lookup {
         self.handler.state(&access(customer), JobId(job), CALL_TIMEOUT).await
     }
 
-    /// Where a call with a key leads.
+    /// Routes and authorises a request that carries this key.
     pub(crate) fn resolve(&self, key: Option<&str>) -> Resolved {
         self.handler.resolve("pay.example", "/jobs/0000000000000001", key)
     }
@@ -363,7 +374,7 @@
         self.store.appends.load(Ordering::SeqCst)
     }
 
-    /// The log refuses everything, or is back.
+    /// Makes the log refuse this daemon's calls, or accept them again.
     pub(crate) fn set_log_down(&self, down: bool) {
         self.store.down.store(down, Ordering::SeqCst);
     }
@@ -385,21 +396,23 @@
     }
 }
 
-/// A log that holds a configuration of one pool.
+/// Creates a log that contains a configuration with one pool.
 pub(crate) async fn log_with_one_pool() -> Arc<MemoryStore> {
     let log = Arc::new(MemoryStore::new(SHARDS));
     write_config(&log, "1").await;
     log
 }
 
-/// Writes a configuration, as "VERSION CUSTOMER=KEY,KEY ...".
+/// Appends a configuration of the form "VERSION CUSTOMER=KEY,KEY ...".
 pub(crate) async fn write_config(log: &MemoryStore, text: &str) {
     let config = NewRecord { key: "config".into(), value: text.to_owned().into() };
     let operators = Partition { topic: Topic::Operators, number: 0 };
-    log.append(operators, &[config], Precondition::Unconditional).await.expect("a log");
+    log.append(operators, &[config], Precondition::Unconditional)
+        .await
+        .expect("log accepts the configuration");
 }
 
-/// A list of VMs that refuses the first calls.
+/// VM list that refuses the first calls.
 #[derive(Debug)]
 pub(crate) struct FakeFleet {
     refusals: usize,
@@ -408,12 +421,12 @@
 }
 
 impl FakeFleet {
-    /// A list of `vms` VMs that refuses the first `refuses` calls.
+    /// Creates a list of `vms` VMs that refuses the first `refusals` calls.
     pub(crate) fn new(refusals: usize, vms: usize) -> Self {
         Self { refusals, vms, calls: AtomicUsize::new(0) }
     }
 
-    /// A list of `vms` VMs that answers.
+    /// Creates a list of `vms` VMs that refuses no calls.
     pub(crate) fn healthy(vms: usize) -> Self {
         Self::new(0, vms)
     }
--- a/crates/crosspath_node/tests/node/keys.rs
+++ b/crates/crosspath_node/tests/node/keys.rs
@@ -1,4 +1,4 @@
-//! Who may call: keys of customers, and configurations that a daemon learns late.
+//! Authorisation by customers' keys, also while a daemon cannot read new configurations.
 
 use std::time::Duration;
 
@@ -7,10 +7,10 @@
 
 use crate::common::{Daemon, SETTLE_TIME, log_with_one_pool, write_config};
 
-/// In which a configuration has to be in force, less what a test's machine may be late.
+/// Time within which a configuration must take effect, including the delay of a slow test machine.
 const CONFIG_PROPAGATION: Duration = Duration::from_millis(3_000);
 
-/// The customer whom a call with a key is for; none when it is refused for good.
+/// Customer that a key resolves to; `None` if the key is rejected.
 fn customer(daemon: &Daemon, key: &str) -> Option<String> {
     match daemon.resolve(Some(key)) {
         Resolved::Access(access) => access.customer.map(|name| name.to_string()),
@@ -28,7 +28,7 @@
     assert_eq!(customer(&daemon, "w-1").as_deref(), Some("water"));
     assert_eq!(customer(&daemon, "p-1").as_deref(), Some("power"));
     assert_eq!(customer(&daemon, "never"), None);
-    // All keys of a customer go at once, and another gets one.
+    // One customer loses all its keys, and the other gets a second one.
     write_config(&log, "3 water= power=p-1,p-2").await;
     tokio::time::sleep(CONFIG_PROPAGATION).await;
     assert_eq!(customer(&daemon, "w-2"), None);
@@ -50,7 +50,8 @@
     }
 }
 
-/// A log that turns one daemon away tells the others, and they tell that one.
+/// A daemon whose reads the log refuses must neither accept a revoked key nor reject a new one: it
+/// gets the configuration from its peers.
 #[tokio::test]
 async fn a_daemon_refused_by_the_log_gets_new_keys_from_peers() {
     let log = log_with_one_pool().await;
@@ -61,12 +62,13 @@
     refused.set_log_down(true);
     write_config(&log, "3 water=w-2 power=p-1").await;
     tokio::time::sleep(CONFIG_PROPAGATION).await;
-    assert_eq!(customer(&refused, "w-1"), None, "it was taken away");
+    assert_eq!(customer(&refused, "w-1"), None, "the key was revoked");
     assert_eq!(customer(&refused, "w-2").as_deref(), Some("water"));
     assert_eq!(customer(&served, "w-2").as_deref(), Some("water"));
 }
 
-/// Nobody can say whether there is a newer configuration: an unknown key may stand in it.
+/// If no daemon can read the log, there may be a newer configuration with a new key, so an unknown
+/// key must not be rejected. Known keys are still accepted.
 #[tokio::test]
 async fn an_unknown_key_is_rejected_only_if_the_configuration_is_current() {
     let log = log_with_one_pool().await;
@@ -77,5 +79,5 @@
     tokio::time::sleep(CONFIG_PROPAGATION).await;
     let answer = daemon.resolve(Some("w-2"));
     assert!(matches!(answer, Resolved::MaybeStale { .. }), "{answer:?}");
-    assert_eq!(customer(&daemon, "w-1").as_deref(), Some("water"), "a known key is served on");
+    assert_eq!(customer(&daemon, "w-1").as_deref(), Some("water"), "a known key stays valid");
 }
--- a/crates/crosspath_node/tests/node/main.rs
+++ b/crates/crosspath_node/tests/node/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the daemon's parts.
+//! Tests of the daemon and its modules.
 
 mod appends;
 mod candidacy;
