--- a/crates/crosspath/src/api.rs
+++ b/crates/crosspath/src/api.rs
@@ -1,4 +1,4 @@
-//! Calls of a daemon's resource API.
+//! Client of a daemon's resource API.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 const TIMEOUT: Duration = Duration::from_secs(15);
 const TOKEN_VARIABLE: &str = "CROSSPATH_TOKEN";
 
-/// One daemon's resource API.
+/// Client of one daemon's resource API.
 #[derive(Clone)]
 pub(crate) struct Api {
     client: Client,
@@ -26,7 +26,8 @@
 }
 
 impl Api {
-    /// Takes the token from the command line, or else from the environment.
+    /// Creates a client. The token on the command line takes precedence over the one in the
+    /// environment.
     pub(crate) fn new(connection: &Connection) -> Result<Self, Error> {
         let token = connection.token.clone().or_else(|| std::env::var(TOKEN_VARIABLE).ok());
         let token = token.context(MissingTokenSnafu { variable: TOKEN_VARIABLE })?;
@@ -35,7 +36,7 @@
         Ok(Self { client, token })
     }
 
-    /// The daemon.
+    /// Returns the address of the daemon.
     pub(crate) fn server(&self) -> SocketAddr {
         self.client.address()
     }
@@ -65,7 +66,8 @@
         self.call(Method::GET, &format!("/v1/{kind}"), None).await
     }
 
-    /// Declares a resource; `at` is the revision that it must still have, 0 for none.
+    /// Creates or updates a resource. Fails unless the resource is still at the revision
+    /// `expected`, where 0 means that it does not exist.
     pub(crate) async fn put(
         &self,
         id: &Id,
--- a/crates/crosspath/src/args.rs
+++ b/crates/crosspath/src/args.rs
@@ -1,4 +1,4 @@
-//! What is written on the command line.
+//! Command-line arguments. Doc comments of the commands and their fields are the help texts.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -9,7 +9,7 @@
 
 use crate::output::Format;
 
-/// The whole command line.
+/// Parsed command line.
 #[derive(Debug, Clone)]
 pub(crate) struct Args {
     pub(crate) connection: Connection,
@@ -17,19 +17,20 @@
     pub(crate) command: Command,
 }
 
-/// Where the daemon is and who asks.
+/// Address of the daemon and the operator's token.
 #[derive(Debug, Clone)]
 pub(crate) struct Connection {
-    /// None for commands that ask no daemon.
+    /// `None` if neither the command line nor the environment has one; some commands need no daemon.
     pub(crate) server: Option<SocketAddr>,
-    /// None when it is in the environment, which the help text must not show.
+    /// `None` if it is not on the command line. The variable in the environment is read elsewhere,
+    /// because the help text would show its value.
     pub(crate) token: Option<String>,
 }
 
-/// A word that is not a kind of resource.
+/// An argument is not a kind of resource.
 #[derive(Debug, Snafu)]
 #[snafu(display(
-    "{text:?} is not a kind; write pools, services, teams, callers, vms, jobs or waves"
+    "unknown kind {text:?}; expected pools, services, teams, callers, vms, jobs or waves"
 ))]
 struct UnknownKind {
     text: String,
@@ -41,109 +42,109 @@
 
 #[derive(Debug, Clone, Bpaf)]
 pub(crate) enum Command {
-    /// Show one resource, or all of a kind
+    /// Show a resource, or all resources of a kind
     #[bpaf(command)]
     Get {
-        /// pools, services, teams, callers, vms, jobs or waves
+        /// Kind of resource: pools, services, teams, callers, vms, jobs or waves
         #[bpaf(positional::<String>("KIND"), parse(kind))]
         kind: Kind,
-        /// Its name
+        /// Name of the resource; all of the kind if left out
         #[bpaf(positional("NAME"), optional)]
         name: Option<String>,
     },
-    /// Declare the resources of a file
+    /// Create or update the resources in a file
     #[bpaf(command)]
     Apply {
         /// JSON file with a list of resources
         #[bpaf(short('f'), long("file"), argument("FILE"))]
         file: PathBuf,
-        /// Say what would change and change nothing
+        /// Show what would change, without changing it
         dry_run: bool,
-        /// Return when the changes are in force on every daemon
+        /// Wait until every member has applied the changes
         wait: bool,
     },
-    /// Say how a file differs from what is declared
+    /// Show how a file differs from the declared resources
     #[bpaf(command)]
     Diff {
         /// JSON file with a list of resources
         #[bpaf(short('f'), long("file"), argument("FILE"))]
         file: PathBuf,
     },
-    /// Remove a resource
+    /// Delete a resource
     #[bpaf(command)]
     Delete {
-        /// Only while it is at this revision
+        /// Delete the resource only if it is at this revision
         #[bpaf(argument("REVISION"), optional)]
         revision: Option<u64>,
-        /// pools, services, teams, callers, vms, jobs or waves
+        /// Kind of resource: pools, services, teams, callers, vms, jobs or waves
         #[bpaf(positional::<String>("KIND"), parse(kind))]
         kind: Kind,
-        /// Its name
+        /// Name of the resource
         #[bpaf(positional("NAME"))]
         name: String,
     },
-    /// Show changes of a kind as they come
+    /// Print changes to the resources of a kind as they happen
     #[bpaf(command)]
     Watch {
-        /// From this revision on; from now when left out
+        /// Print the changes after this revision; after the current one if left out
         #[bpaf(argument("REVISION"), optional)]
         from: Option<u64>,
-        /// pools, services, teams, callers, vms, jobs or waves
+        /// Kind of resource: pools, services, teams, callers, vms, jobs or waves
         #[bpaf(positional::<String>("KIND"), parse(kind))]
         kind: Kind,
     },
-    /// Create and steer maintenance waves
+    /// Create and control maintenance waves
     #[bpaf(command)]
     Wave(#[bpaf(external(wave_command))] WaveCommand),
-    /// Say what stands in the way of a VM or a job
+    /// Show what blocks a VM or a job
     #[bpaf(command)]
     Explain {
-        /// vm or job
+        /// Kind of resource: vm or job
         #[bpaf(positional::<String>("KIND"), parse(kind))]
         kind: Kind,
-        /// Its name
+        /// Name of the VM or job
         #[bpaf(positional("NAME"))]
         name: String,
     },
-    /// Show every daemon
+    /// Show the status of every daemon
     #[bpaf(command)]
     Status,
-    /// Keep new work from a data centre, or let it in again
+    /// Place no new work in a data centre, or withdraw that request
     #[bpaf(command)]
     Evacuate {
         /// Address of the platform's store
         #[bpaf(env("CROSSPATH_STORE"), argument("ADDRESS"))]
         store: SocketAddr,
-        /// Take the evacuation back
+        /// Withdraw the evacuation request
         undo: bool,
-        /// Its name
+        /// Name of the data centre
         #[bpaf(positional("DATA_CENTRE"))]
         data_centre: String,
     },
-    /// Show which data centres are evacuated, and the workers there
+    /// Show the evacuated data centres and their workers
     #[bpaf(command)]
     Evacuations {
         /// Address of the platform's store
         #[bpaf(env("CROSSPATH_STORE"), argument("ADDRESS"))]
         store: SocketAddr,
     },
-    /// Print the story of one job, from saved logs of all daemons
+    /// Summarise one job from the saved logs of all daemons
     #[bpaf(command)]
     Trace {
-        /// Every line, of each task too, instead of a summary
+        /// Print all log lines of the job and its tasks instead of a summary
         #[bpaf(long)]
         all: bool,
         /// Identifier of the job
         #[bpaf(positional("JOB"))]
         job: String,
-        /// Logs; standard input when there is none
+        /// Log files; standard input if left out
         #[bpaf(positional("FILE"), many)]
         files: Vec<PathBuf>,
     },
-    /// Ask what became of a change whose fate was not known
+    /// Show the outcome of a change that was reported as unknown
     #[bpaf(command)]
     Change {
-        /// The id that the change was given
+        /// Identifier from the error message of the change
         #[bpaf(positional("ID"))]
         id: String,
     },
@@ -151,36 +152,36 @@
 
 #[derive(Debug, Clone, Bpaf)]
 pub(crate) enum WaveCommand {
-    /// Start a wave
+    /// Create a wave and start it
     #[bpaf(command)]
     Create {
-        /// Serve one VM of each pool alone first
+        /// Service one VM of each pool alone first
         canary: bool,
-        /// Failures after which the wave pauses itself
+        /// Number of failed VMs after which the wave pauses itself
         #[bpaf(argument("COUNT"), fallback(2), display_fallback)]
         pause_after_failures: u32,
-        /// Its name
+        /// Name of the wave
         #[bpaf(positional("NAME"))]
         name: String,
-        /// The pools whose VMs are serviced
-        #[bpaf(positional("POOL"), some("name at least one pool"))]
+        /// Pools whose VMs are serviced
+        #[bpaf(positional("POOL"), some("expected at least one pool"))]
         pools: Vec<String>,
     },
-    /// Start no further VM until the wave is resumed
+    /// Pause a wave: service no further VM until it is resumed
     #[bpaf(command)]
     Pause(#[bpaf(positional("NAME"))] String),
-    /// Go on with a paused wave
+    /// Resume a paused wave
     #[bpaf(command)]
     Resume(#[bpaf(positional("NAME"))] String),
-    /// Start no further VM, ever
+    /// Cancel a wave: service no further VM; it cannot be resumed
     #[bpaf(command)]
     Cancel(#[bpaf(positional("NAME"))] String),
-    /// Show how far a wave is
+    /// Show the progress of a wave
     #[bpaf(command)]
     Status {
-        /// Show it again until the wave has ended
+        /// Print the progress repeatedly until the wave has ended
         follow: bool,
-        /// Its name
+        /// Name of the wave
         #[bpaf(positional("NAME"))]
         name: String,
     },
@@ -193,7 +194,7 @@
         .argument::<SocketAddr>("ADDRESS")
         .optional();
     let token = long("token")
-        .help("Bearer token; better set as CROSSPATH_TOKEN, which other users cannot list")
+        .help("Bearer token; prefer CROSSPATH_TOKEN, which other users cannot list")
         .argument::<String>("TOKEN")
         .optional();
     construct!(Connection { server, token })
@@ -201,7 +202,7 @@
 
 fn format() -> impl bpaf::Parser<Format> {
     long("output-format")
-        .help("text or json")
+        .help("Format of the output: text or json")
         .argument::<Format>("FORMAT")
         .fallback(Format::Text)
         .display_fallback()
@@ -213,5 +214,5 @@
     let command = command();
     construct!(Args { connection, format, command })
         .to_options()
-        .descr("Declares, shows and steers the resources of a crosspath site")
+        .descr("Manages the resources of a crosspath site")
 }
--- a/crates/crosspath/src/commands.rs
+++ b/crates/crosspath/src/commands.rs
@@ -1,4 +1,4 @@
-//! What the tool can do, one file each.
+//! Commands of the command line, one module each.
 
 mod apply;
 mod change;
@@ -20,7 +20,7 @@
 use crate::args::{Args, Command};
 use crate::error::{Error, ExitStatus, NameSnafu};
 
-/// Runs one command.
+/// Runs the command in `args`.
 pub(crate) async fn run(args: Args) -> Result<ExitStatus, Error> {
     let format = args.format;
     let api = || Api::new(&args.connection);
--- a/crates/crosspath/src/commands/apply.rs
+++ b/crates/crosspath/src/commands/apply.rs
@@ -1,4 +1,4 @@
-//! `crosspath apply`.
+//! `crosspath apply`: creates or updates the resources in a file.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -13,7 +13,7 @@
 const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What to do beside declaring.
+/// Options of the command.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Mode {
     pub(crate) dry_run: bool,
@@ -51,7 +51,7 @@
     Ok(ExitStatus::Success)
 }
 
-/// Waits until every member has applied a revision.
+/// Waits until every member has applied `revision`.
 async fn wait_until_applied(api: &Api, revision: Revision) -> Result<(), Error> {
     let started = Instant::now();
     loop {
--- a/crates/crosspath/src/commands/change.rs
+++ b/crates/crosspath/src/commands/change.rs
@@ -1,4 +1,4 @@
-//! `crosspath change`.
+//! `crosspath change`: shows the outcome of a change.
 
 use crosspath_operator::model::Outcome;
 
@@ -11,10 +11,10 @@
     output::print(format, &outcome, || match &outcome {
         Outcome::Accepted { revision } => format!("accepted at revision {revision}"),
         Outcome::Rejected { conflict } => format!("rejected: {conflict}"),
-        Outcome::NotAccepted => "not accepted, and will not be".to_owned(),
-        Outcome::Pending => "not known yet; ask again".to_owned(),
+        Outcome::NotAccepted => "not accepted; it had no effect and will have none".to_owned(),
+        Outcome::Pending => "pending; the outcome is not known yet".to_owned(),
         Outcome::Unrecorded => {
-            "this daemon does not know; ask another, or read the resource".to_owned()
+            "unknown to this daemon; ask another one, or get the resource".to_owned()
         }
     });
     Ok(match outcome {
--- a/crates/crosspath/src/commands/delete.rs
+++ b/crates/crosspath/src/commands/delete.rs
@@ -1,4 +1,4 @@
-//! `crosspath delete`.
+//! `crosspath delete`: deletes a resource.
 
 use crosspath_state::resource::Id;
 
--- a/crates/crosspath/src/commands/diff.rs
+++ b/crates/crosspath/src/commands/diff.rs
@@ -1,4 +1,4 @@
-//! `crosspath diff`.
+//! `crosspath diff`: compares a file with the declared resources.
 
 use std::path::Path;
 
@@ -12,19 +12,19 @@
 use crate::file::{self, Declaration};
 use crate::output::{self, Format};
 
-/// How one resource of a file differs from what is declared.
+/// Difference between a resource in a file and the declared one.
 #[derive(Debug, Serialize)]
 pub(crate) struct Difference {
     pub(crate) id: Id,
-    /// Where it is; 0 when it does not exist.
+    /// Revision of the declared resource; 0 if it does not exist.
     pub(crate) revision: Revision,
-    /// Fields with their value before and after.
+    /// Fields that differ.
     pub(crate) fields: Vec<Field>,
     #[serde(skip)]
     pub(crate) spec: Value,
 }
 
-/// One field that differs.
+/// Value of a field in the declared resource (before) and in the file (after).
 #[derive(Debug, Serialize)]
 pub(crate) struct Field {
     name: String,
@@ -52,7 +52,8 @@
     Ok(differences)
 }
 
-/// Fields of `after` that differ. One that is left out keeps its default and is not compared.
+/// Returns the fields of `after` that differ from `before`. A field that `after` leaves out has its
+/// default and is not compared.
 fn fields(before: &Value, after: &Value) -> Vec<Field> {
     let Some(after) = after.as_object() else { return Vec::new() };
     let differing = after.iter().filter(|(name, value)| before.get(*name) != Some(*value));
--- a/crates/crosspath/src/commands/evacuate.rs
+++ b/crates/crosspath/src/commands/evacuate.rs
@@ -1,6 +1,7 @@
-//! `crosspath evacuate` and `crosspath evacuations`: data centres that are to get no new work.
+//! `crosspath evacuate` and `crosspath evacuations`: data centres in which no new work is placed.
 //!
-//! Both ask the platform's store, where an operator's word stands: it is in force once the store has taken it.
+//! Both commands use the platform's store instead of a daemon. The store holds the evacuation
+//! requests, and a request takes effect once the store has accepted it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -20,20 +21,20 @@
 use crate::output::{self, Format};
 use crate::table;
 
-/// For each call of the store.
+/// Timeout of each call to the store.
 const TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Workers of one pool in an evacuated data centre.
 #[derive(Debug, Default, Serialize)]
 struct Pool {
     workers: usize,
-    /// Those of them that say that they will end.
+    /// Number of the workers that will shut down soon.
     leaving: usize,
 }
 
 type PoolsByDataCentre = BTreeMap<Arc<str>, BTreeMap<Arc<str>, Pool>>;
 
-/// Asks for the evacuation of a data centre, or takes that back.
+/// Requests the evacuation of a data centre, or withdraws that request with `undo`.
 pub(crate) async fn run(
     format: Format,
     address: SocketAddr,
@@ -56,7 +57,7 @@
     print_evacuated(format, &store, &workers).await
 }
 
-/// Shows which data centres are evacuated.
+/// Shows the evacuated data centres and their workers.
 pub(crate) async fn show(format: Format, address: SocketAddr) -> Result<ExitStatus, Error> {
     let store = LogStore::new(address, TIMEOUT);
     let workers = worker_entries(&store).await.context(StoreSnafu)?;
@@ -103,13 +104,13 @@
     table::render(&["DATA CENTRE", "POOL", "WORKERS", "LEAVING"], &rows)
 }
 
-/// Entries of the worker list that can be read.
+/// Returns the entries of the worker list. Skips entries that cannot be decoded.
 async fn worker_entries(store: &LogStore) -> Result<Vec<Entry>, StoreError> {
     let records = newest_records(store, Topic::Workers).await?;
     Ok(records.iter().filter_map(|record| store.decode_worker(record).ok()).collect())
 }
 
-/// The newest record of each key of a topic with one partition.
+/// Returns the newest record of each key of a topic that has a single partition.
 async fn newest_records(store: &LogStore, topic: Topic) -> Result<Vec<Stored>, StoreError> {
     let mut records: Vec<Stored> = Vec::new();
     loop {
--- a/crates/crosspath/src/commands/explain.rs
+++ b/crates/crosspath/src/commands/explain.rs
@@ -1,4 +1,4 @@
-//! `crosspath explain`.
+//! `crosspath explain`: shows what blocks a VM or a job.
 
 use crosspath_state::resource::Id;
 
@@ -10,10 +10,10 @@
     let explanation = api.explain(id).await?;
     output::print(format, &explanation, || {
         let head = format!("{id}: {}", explanation.status);
-        let obstacles = explanation.obstacles.iter().map(|o| format!("  stands in the way: {o}"));
+        let obstacles = explanation.obstacles.iter().map(|o| format!("  blocked by: {o}"));
         let lines: Vec<_> = std::iter::once(head).chain(obstacles).collect();
         if explanation.obstacles.is_empty() {
-            return format!("{}\n  nothing stands in the way", lines.join("\n"));
+            return format!("{}\n  not blocked", lines.join("\n"));
         }
         lines.join("\n")
     });
--- a/crates/crosspath/src/commands/get.rs
+++ b/crates/crosspath/src/commands/get.rs
@@ -1,4 +1,4 @@
-//! `crosspath get`.
+//! `crosspath get`: shows resources.
 
 use crosspath_operator::model::Resource;
 use crosspath_state::resource::Kind;
@@ -42,7 +42,7 @@
     table::render(&["NAME", "REVISION", "STATUS", "SPEC"], &rows)
 }
 
-/// Fields on one line; long lists as their length.
+/// Formats fields on one line. Lists of more than three items are shown as their length.
 fn summary(value: &serde_json::Value) -> String {
     use serde_json::Value;
     let field = |(name, value): (&String, &Value)| match value {
--- a/crates/crosspath/src/commands/status.rs
+++ b/crates/crosspath/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! `crosspath status`.
+//! `crosspath status`: shows the status of every daemon.
 
 use crosspath_operator::model::{DaemonStatus, Status};
 
@@ -15,9 +15,10 @@
 
 fn text(status: &Status) -> String {
     let up = if status.log_up { "up" } else { "down" };
-    let mut head = format!("seen by {}, log {up}, revision {}", status.daemon, status.applied);
+    let mut head =
+        format!("as reported by {}: log {up}, revision {}", status.daemon, status.applied);
     if let Some(cause) = &status.halted {
-        head += &format!("\nit has stopped deciding: {cause}");
+        head += &format!("\nthis daemon has stopped making decisions: {cause}");
     }
     let rows: Vec<_> = status.daemons.iter().map(|daemon| row(status, daemon)).collect();
     let header = ["DAEMON", "MEMBER", "READY", "APPLIED", "LAG", "HEARD", "KEYS", "GUARD"];
--- a/crates/crosspath/src/commands/trace.rs
+++ b/crates/crosspath/src/commands/trace.rs
@@ -1,9 +1,12 @@
-//! `crosspath trace`: the story of one job, from saved logs of all daemons.
+//! `crosspath trace`: the course of one job, from saved logs of all daemons.
 //!
-//! A first line tells whether the job was in time and what it waited for longest, a line each how its
-//! steps went, and then come the lines of the job itself and of who owned its shard. With `--all` it
-//! prints every line that names the job or one of its tasks, and, from a little before the first of
-//! those to the last, those of the workers that ran them, since they did.
+//! The summary starts with a line on whether the job met its objective and what it waited for
+//! longest. A line for each step follows, and then the log lines of the job itself and of the
+//! owners of its shard.
+//!
+//! With `--all`, the command prints every line that names the job or one of its tasks. From
+//! [`OWNER_CONTEXT_S`] seconds before the first of these to the last, it also prints the lines on
+//! the shard's owners, and the lines on each worker that ran a task, from its first use on.
 
 mod line;
 mod summary;
@@ -19,12 +22,12 @@
 use crate::error::{Error, ExitStatus, JobNotLoggedSnafu, ReadSnafu};
 use crate::output::{self, Format};
 
-/// Lines on owners that come this many seconds before the job's first line still bear on it.
+/// Lines on the shard's owners are included from this many seconds before the job's first line.
 const OWNER_CONTEXT_S: u64 = 5;
-/// How lines on commits name a shard's partition, before its number.
+/// Prefix of a shard's number in the `partition` field of lines on commits.
 const SHARD_PARTITION_PREFIX: &str = "Shards/";
 
-/// Prints the job's lines, `all` its lines or the summary.
+/// Prints the log lines of a job with `all`, or else their summary.
 pub(crate) fn run(
     format: Format,
     job: &str,
@@ -53,6 +56,8 @@
     Ok(ExitStatus::Success)
 }
 
+/// Returns the lines on a job, on the owners of its shard and on its workers, in the order of their
+/// time. Returns none if no line names the job.
 fn select_lines<'a>(logs: &'a str, job: &str) -> Vec<&'a str> {
     let mut lines: Vec<_> = logs.lines().filter_map(Line::parse).collect();
     lines.sort_by_key(|line| line.time_of_day_s);
@@ -83,7 +88,7 @@
     lines.iter().filter(is_relevant).map(|line| line.text).collect()
 }
 
-/// When the job's lines name each worker first, in seconds.
+/// Returns the time of the first line of the job that names each worker, in seconds.
 fn first_use_of_workers<'a>(job_lines: &[&Line<'a>]) -> BTreeMap<&'a str, u64> {
     let mut first = BTreeMap::new();
     for line in job_lines {
--- a/crates/crosspath/src/commands/trace/line.rs
+++ b/crates/crosspath/src/commands/trace/line.rs
@@ -1,15 +1,15 @@
-//! One line of a daemon's log.
+//! Lines of a daemon's log.
 
-/// One line of a log.
+/// A line of a log.
 #[derive(Debug)]
 pub(crate) struct Line<'a> {
-    /// Time of day of the line, in seconds.
+    /// Time of day, in seconds since midnight.
     pub(crate) time_of_day_s: u64,
     pub(crate) text: &'a str,
 }
 
 impl<'a> Line<'a> {
-    /// Reads a line of the form `… 2026-12-02T15:53:10Z … event=NAME key=value …`.
+    /// Parses a line of the form `… 2026-12-02T15:53:10Z … event=NAME key=value …`.
     pub(crate) fn parse(text: &'a str) -> Option<Self> {
         let time = text.split_once('T')?.1;
         let mut parts = time.get(..8)?.split(':').map(str::parse::<u64>);
@@ -24,7 +24,7 @@
         Some(value)
     }
 
-    /// A value that is a number; 0 where there is none.
+    /// Returns the numeric value of `key`, or 0 if there is none.
     pub(crate) fn number(&self, key: &str) -> u64 {
         self.value(key).and_then(|value| value.parse().ok()).unwrap_or_default()
     }
--- a/crates/crosspath/src/commands/trace/summary.rs
+++ b/crates/crosspath/src/commands/trace/summary.rs
@@ -1,4 +1,4 @@
-//! A job in some lines: whether it was in time, what it waited for, and how each step went.
+//! Summary of a job: whether it met its objective, what it waited for, and the runs of each step.
 
 use std::collections::BTreeMap;
 
@@ -6,52 +6,52 @@
 
 use super::line::Line;
 
-/// Shortest wait of a task, in ms, that is worth a cause: a round of placing and a record of its place
-/// take some 50 ms.
+/// Shortest wait of a task, in ms, that is reported with a cause. A round of placement and the
+/// append of the placement record alone take about 50 ms.
 const NOTABLE_WAIT_MS: u64 = 100;
 
-/// What a task waited for.
+/// Cause of a task's wait.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 enum Cause {
-    /// Another daemon took the shard over meanwhile.
+    /// Another daemon took over the shard during the wait.
     Takeover,
-    /// The log did not take the owner's records meanwhile.
+    /// The log did not accept records of the shard's owner during the wait.
     Log,
-    /// No worker had room.
+    /// No worker had enough free resources. Assumed if the lines show no other cause.
     Room,
 }
 
-/// The longest wait of a task.
+/// Time that a task waited before it was placed.
 #[derive(Debug, Clone, Copy, Serialize)]
 struct Wait {
     ms: u64,
     cause: Cause,
 }
 
-/// One step of one time of a job.
+/// Runs of one step in one occurrence of a job.
 #[derive(Debug, Default, Serialize)]
 struct Step {
     name: String,
     placed: u64,
     done: u64,
-    /// Runs that ended otherwise or were given up.
+    /// Number of runs that did not end with `Done` or were abandoned.
     other: u64,
     longest_run_ms: u64,
     longest_wait: Option<Wait>,
 }
 
-/// A job in some lines.
+/// Summary of a job.
 #[derive(Debug, Serialize)]
 pub(crate) struct Summary {
     verdict: String,
     steps: Vec<Step>,
-    /// Lines of the job itself and of its shard.
+    /// Log lines of the job itself and of its shard.
     lines: Vec<String>,
 }
 
 impl Summary {
-    /// Sums up the lines of a job's story.
+    /// Summarises the selected lines of a job.
     pub(crate) fn new(texts: &[&str]) -> Self {
         let lines: Vec<_> = texts.iter().filter_map(|text| Line::parse(text)).collect();
         let steps = summarise_steps(&lines);
@@ -69,7 +69,7 @@
         }
     }
 
-    /// The summary for people.
+    /// Formats the summary as text.
     pub(crate) fn text(&self) -> String {
         let steps = self.steps.iter().map(Step::text);
         let lines = self.lines.iter().cloned();
@@ -104,7 +104,7 @@
     }
 }
 
-/// Time and step of a task's name, `JOB.TIME.STEP.INDEX`.
+/// Returns the occurrence and step in a task's name, which has the form `JOB.TIME.STEP.INDEX`.
 fn step_name(task: &str) -> Option<String> {
     let mut parts = task.split('.').skip(1);
     Some(format!("{}.{}", parts.next()?, parts.next()?))
@@ -133,7 +133,8 @@
     steps.into_values().collect()
 }
 
-/// What a task waited for that was placed by `placed` after `waited_ms`; log lines tell whole seconds.
+/// Determines the cause of a task's wait of `waited_ms` from the lines up to its line `placed`. The
+/// wait is rounded up to whole seconds, because the lines have no finer timestamps.
 fn wait_cause(lines: &[Line<'_>], placed: &Line<'_>, waited_ms: u64) -> Cause {
     let from = placed.time_of_day_s.saturating_sub(waited_ms.div_ceil(1_000));
     let during_wait =
--- a/crates/crosspath/src/commands/watch.rs
+++ b/crates/crosspath/src/commands/watch.rs
@@ -1,4 +1,4 @@
-//! `crosspath watch`.
+//! `crosspath watch`: prints changes to resources as they happen.
 
 use std::io::Write as _;
 
@@ -15,7 +15,7 @@
 use crosspath_http::client;
 use crosspath_operator::model::Problem;
 
-/// Prints each change as a line of JSON, until the daemon ends the watch.
+/// Prints each change as one line of JSON until the daemon closes the stream.
 pub(crate) async fn run(api: &Api, kind: Kind, from: Option<u64>) -> Result<ExitStatus, Error> {
     let from = match from {
         Some(from) => from,
--- a/crates/crosspath/src/commands/wave.rs
+++ b/crates/crosspath/src/commands/wave.rs
@@ -1,4 +1,4 @@
-//! `crosspath wave`.
+//! `crosspath wave`: creates and controls maintenance waves.
 
 use std::time::Duration;
 
@@ -65,7 +65,7 @@
     }
 }
 
-/// One line: a bar, counts, and what the wave does.
+/// Formats the progress of a wave on one line: a bar, counts and the phase.
 fn progress(wave: &Resource) -> String {
     let status = &wave.status;
     let count = |field: &str| status[field].as_array().map_or(0, Vec::len);
--- a/crates/crosspath/src/error.rs
+++ b/crates/crosspath/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors, and how the program ends with each.
+//! Errors of the commands, and the exit status for each.
 
 use std::path::PathBuf;
 
@@ -7,20 +7,20 @@
 use crosspath_operator::model::Problem;
 use snafu::Snafu;
 
-/// How the program ends; scripts may rely on the numbers.
+/// Exit status of the program. Scripts may rely on the numbers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ExitStatus {
-    /// Done.
+    /// The command succeeded.
     Success = 0,
     /// `diff` found differences.
     Different = 1,
-    /// The command line, a file or a field is wrong.
+    /// The command line, a file or a field is invalid.
     InvalidInput = 2,
-    /// The daemon refuses: a conflict, a missing resource, a missing right.
+    /// The daemon refused the request: a conflict, a missing resource or a missing right.
     Refused = 3,
-    /// Nothing was changed, since the daemon or the log could not be reached.
+    /// Nothing was changed, because the daemon or the log could not be reached.
     NotAccepted = 4,
-    /// Whether something was changed is not known.
+    /// It is unknown whether something was changed.
     Unknown = 5,
 }
 
@@ -33,23 +33,23 @@
     Malformed { file: PathBuf, field: String, source: serde_json::Error },
     #[snafu(display("{}: resource {name}: {source}", file.display()))]
     Name { file: PathBuf, name: String, source: crosspath_state::name::InvalidName },
-    #[snafu(display("no daemon; set CROSSPATH_SERVER or write --server ADDRESS"))]
+    #[snafu(display("no address of a daemon; set CROSSPATH_SERVER or use --server ADDRESS"))]
     MissingServer,
     #[snafu(display("no line names the job {job}; are the logs of all daemons given?"))]
     JobNotLogged { job: String },
-    #[snafu(display("no worker is in the data centre {data_centre}; there are {known}"))]
+    #[snafu(display(
+        "no worker is in the data centre {data_centre}; data centres with workers: {known}"
+    ))]
     UnknownDataCentre { data_centre: String, known: String },
     #[snafu(display("{source}"))]
     Store { source: store::Error },
-    #[snafu(display("no token; set {variable} or write --token"))]
+    #[snafu(display("no token; set {variable} or use --token TOKEN"))]
     MissingToken { variable: &'static str },
     #[snafu(display("{}", problem.message))]
     Refused { status: u16, problem: Box<Problem> },
     #[snafu(display("{source}"))]
     Call { source: client::Error },
-    #[snafu(display(
-        "the change at revision {revision} is not in force on {daemons} after {seconds} s"
-    ))]
+    #[snafu(display("revision {revision} is not applied on {daemons} after {seconds} s"))]
     WaitTimeout { revision: u64, daemons: String, seconds: u64 },
 }
 
--- a/crates/crosspath/src/file.rs
+++ b/crates/crosspath/src/file.rs
@@ -1,4 +1,4 @@
-//! Files that declare resources.
+//! Files with declarations of resources.
 
 use std::path::Path;
 
@@ -18,14 +18,14 @@
     spec: Value,
 }
 
-/// A resource as a file declares it.
+/// A resource as declared in a file.
 #[derive(Debug)]
 pub(crate) struct Declaration {
     pub(crate) id: Id,
     pub(crate) spec: Value,
 }
 
-/// Reads a file, in the order in which resources refer to each other.
+/// Reads the declarations in a file, ordered such that a resource follows those it refers to.
 pub(crate) fn read(file: &Path) -> Result<Vec<Declaration>, Error> {
     let text = std::fs::read_to_string(file).context(ReadSnafu { file })?;
     let decoder = &mut serde_json::Deserializer::from_str(&text);
--- a/crates/crosspath/src/main.rs
+++ b/crates/crosspath/src/main.rs
@@ -1,4 +1,4 @@
-//! `crosspath`: the operators' command line.
+//! `crosspath`: command line for operators.
 
 mod api;
 mod args;
--- a/crates/crosspath/src/output.rs
+++ b/crates/crosspath/src/output.rs
@@ -1,4 +1,4 @@
-//! Output as text or JSON.
+//! Output to standard output, as text or JSON.
 
 use std::io::Write as _;
 use std::str::FromStr;
@@ -6,18 +6,18 @@
 use serde::Serialize;
 use snafu::Snafu;
 
-/// Form of the output.
+/// Format of the output.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Format {
-    /// For people.
+    /// Text for people.
     Text,
-    /// For programs; one JSON value.
+    /// One JSON value for programs.
     Json,
 }
 
-/// A word that is not a format.
+/// An argument is not an output format.
 #[derive(Debug, Snafu)]
-#[snafu(display("{text:?} is not a format; write text or json"))]
+#[snafu(display("unknown output format {text:?}; expected text or json"))]
 pub(crate) struct UnknownFormat {
     text: String,
 }
@@ -43,7 +43,7 @@
     }
 }
 
-/// Prints a value in one form or the other.
+/// Prints `value` as JSON, or the result of `text`, according to `format`.
 pub(crate) fn print(format: Format, value: &impl Serialize, text: impl FnOnce() -> String) {
     let out = match format {
         Format::Text => text(),
@@ -52,7 +52,7 @@
     print_line(&out);
 }
 
-/// Prints a line; a reader that has gone away is no error.
+/// Prints a line. Ignores write errors, because the reader may have closed the pipe.
 pub(crate) fn print_line(text: &str) {
     let _ = writeln!(std::io::stdout(), "{}", text.trim_end());
 }
--- a/crates/crosspath/src/table.rs
+++ b/crates/crosspath/src/table.rs
@@ -1,11 +1,11 @@
-//! Tables that fit a terminal.
+//! Tables that fit the width of a terminal.
 
-/// Widest line, in characters.
+/// Maximum length of a line, in characters.
 pub(crate) const MAX_LINE_CHARS: usize = 100;
 
 const COLUMN_GAP: &str = "  ";
 
-/// Lays rows out in columns; what does not fit is cut from the last column.
+/// Aligns rows in columns. Lines that are too long are truncated at the end.
 pub(crate) fn render(header: &[&str], rows: &[Vec<String>]) -> String {
     let header: Vec<String> = header.iter().map(ToString::to_string).collect();
     let width = |column: usize| {
--- a/crates/crosspath/tests/cli/main.rs
+++ b/crates/crosspath/tests/cli/main.rs
@@ -1,4 +1,4 @@
-//! The tool against a real daemon, as an operator uses it.
+//! The command line against a real daemon, as an operator uses it.
 
 mod evacuate;
 mod trace;
@@ -8,8 +8,8 @@
 
 use crosspath_fakes::site::{OPERATOR_TOKEN, Plan, Site};
 
-/// The daemon's program. A run over the whole workspace has just built it beside the tool; alone,
-/// this package's tests build it if it is not there.
+/// Returns the path of the daemon's program. Tests of the whole workspace build it next to the
+/// command line; tests of this package alone build it here if it is missing.
 fn daemon_program() -> PathBuf {
     let tool = PathBuf::from(env!("CARGO_BIN_EXE_crosspath"));
     let program = tool.with_file_name("crosspathd");
@@ -36,10 +36,10 @@
         command.env("CROSSPATH_TOKEN", OPERATOR_TOKEN);
         command.args(args);
         let running = tokio::task::spawn_blocking(move || command.output());
-        running.await.expect("not cancelled").expect("the tool runs")
+        running.await.expect("task is not cancelled").expect("command line runs")
     }
 
-    /// Exit code and what was printed.
+    /// Runs the command line and returns its exit code and output.
     async fn run(&self, args: &[&str]) -> (i32, String) {
         let output = self.output(args).await;
         let mut text = String::from_utf8_lossy(&output.stdout).into_owned();
@@ -54,7 +54,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn resources_are_declared_shown_serviced_and_removed() {
-    let site = Site::start(&Plan::new(daemon_program(), 1)).await.expect("the site starts");
+    let site = Site::start(&Plan::new(daemon_program(), 1)).await.expect("site starts");
     let tool = Tool { site: &site };
     let file = fixture("small.json");
     let (code, plan) = tool.run(&["apply", "--dry-run", "-f", &file]).await;
@@ -70,7 +70,7 @@
     });
     assert!(pools.lines().all(|line| line.chars().count() <= 100), "{pools}");
     let (code, json) = tool.run(&["--output-format", "json", "get", "vm", "vm-1"]).await;
-    let vm: serde_json::Value = serde_json::from_str(&json).expect("JSON");
+    let vm: serde_json::Value = serde_json::from_str(&json).expect("output is JSON");
     assert_eq!((code, &vm["status"]["phase"]), (0, &serde_json::json!("serving")));
     let (code, wave) = tool.run(&["wave", "create", "first", "counter"]).await;
     assert_eq!(code, 0, "{wave}");
@@ -79,11 +79,11 @@
     assert_eq!(code, 0, "{paused}");
     assert!(paused.contains("paused (operator)"), "{paused}");
     let (_, why) = tool.run(&["explain", "vm", "vm-2"]).await;
-    assert!(why.contains("stands in the way") && why.contains("paused"), "{why}");
+    assert!(why.contains("blocked by") && why.contains("paused"), "{why}");
     let (code, cancelled) = tool.run(&["wave", "cancel", "first"]).await;
     assert_eq!(code, 0, "{cancelled}");
     let (code, _) = tool.run(&["delete", "wave", "first"]).await;
-    assert!(code == 0 || code == 3, "a VM may still be on its way back");
+    assert!(code == 0 || code == 3, "deleted, or refused while a VM is still being serviced");
     let (code, status) = tool.run(&["status"]).await;
     assert_eq!(code, 0);
     assert!(status.contains("entry-1") && status.contains("log up"), "{status}");
@@ -91,7 +91,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn exit_codes_distinguish_the_failures() {
-    let site = Site::start(&Plan::new(daemon_program(), 1)).await.expect("the site starts");
+    let site = Site::start(&Plan::new(daemon_program(), 1)).await.expect("site starts");
     let tool = Tool { site: &site };
     assert_eq!(tool.run(&["get", "pool", "none"]).await.0, 3);
     assert_eq!(tool.run(&["apply", "-f", &fixture("broken.json")]).await.0, 2);
@@ -113,7 +113,7 @@
     let run = |args: &[&str]| {
         let mut tool = Command::new(env!("CARGO_BIN_EXE_crosspath"));
         let output = tool.env("CROSSPATH_TOKEN", OPERATOR_TOKEN).args(args).output();
-        String::from_utf8_lossy(&output.expect("the tool runs").stdout).into_owned()
+        String::from_utf8_lossy(&output.expect("command line runs").stdout).into_owned()
     };
     let help = run(&["--help"]);
     assert!(!help.contains(OPERATOR_TOKEN), "{help}");
--- a/crates/crosspath/tests/cli/trace.rs
+++ b/crates/crosspath/tests/cli/trace.rs
@@ -10,10 +10,10 @@
     let fixture = |name: &&str| format!("{}/tests/cli/fixtures/{name}", env!("CARGO_MANIFEST_DIR"));
     let mut command = Command::new(env!("CARGO_BIN_EXE_crosspath"));
     command.env_remove("CROSSPATH_SERVER").arg("trace").args(flags).arg(job);
-    command.args(files.iter().map(fixture)).output().expect("the tool runs")
+    command.args(files.iter().map(fixture)).output().expect("command line runs")
 }
 
-/// The `event` of each printed line.
+/// Returns the `event` of each printed line.
 fn events(output: &Output) -> Vec<String> {
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
     let event = |line: &str| line.split("event=").nth(1)?.split(' ').next().map(str::to_owned);
@@ -35,7 +35,7 @@
     assert_eq!(
         events(&output),
         expected,
-        "neither the other job nor the worker that it did not use"
+        "includes neither the other job nor the worker that the job did not use"
     );
     assert_eq!(output.status.code(), Some(0));
 }
@@ -69,7 +69,11 @@
              room); longest run 700 ms",
         ]
     );
-    assert_eq!(events(&output), ["shard_claimed", "submit", "job_ended"], "no line of a task");
+    assert_eq!(
+        events(&output),
+        ["shard_claimed", "submit", "job_ended"],
+        "includes no line of a task"
+    );
 }
 
 #[test]
--- a/crates/crosspath_metrics/src/lib.rs
+++ b/crates/crosspath_metrics/src/lib.rs
@@ -1,7 +1,7 @@
-//! The daemon's metrics, as OpenMetrics text.
+//! Metrics of the daemon, exported as OpenMetrics text.
 //!
-//! Labels have bounded values: classes, reasons, and callers, of which the state holds a bounded
-//! number.
+//! Labels have a bounded number of values: they are classes, outcomes, reasons and callers, and the
+//! state holds a bounded number of callers.
 
 use std::sync::Mutex;
 use std::sync::PoisonError;
@@ -41,7 +41,7 @@
 
 type HistogramFamily = Family<RequestLabels, Histogram, fn() -> Histogram>;
 
-/// Every metric of the daemon.
+/// All metrics of one daemon, with the registry that exports them.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Mutex<Registry>,
@@ -107,61 +107,62 @@
         registry.register("peer_beats", beats, self.heartbeats.clone());
     }
 
-    /// A request came in.
+    /// Counts a request as in flight. Each call is paired with one of [`Metrics::end_request`].
     pub fn begin_request(&self, class: Class, caller: &CallerName) {
         self.in_flight.get_or_create(&request_labels(class, caller)).inc();
     }
 
-    /// A request got its final answer.
+    /// Ends a request that [`Metrics::begin_request`] counted. `latency` is the time from its
+    /// arrival to its final response.
     pub fn end_request(&self, class: Class, caller: &CallerName, latency: Duration) {
         let labels = request_labels(class, caller);
         self.in_flight.get_or_create(&labels).dec();
         self.latency.get_or_create(&labels).observe(latency.as_secs_f64());
     }
 
-    /// A request waited for a slot.
+    /// Records how long a request waited for a slot of a pool, whether or not it got one.
     pub fn observe_slot_wait(&self, class: Class, caller: &CallerName, wait: Duration) {
         self.slot_wait.get_or_create(&request_labels(class, caller)).observe(wait.as_secs_f64());
     }
 
-    /// A final answer was given.
+    /// Counts a final response to a caller, by its outcome and reason.
     pub fn count_response(&self, class: Class, outcome: &'static str, reason: &'static str) {
         self.responses
             .get_or_create(&ResponseLabels { class: class.label(), outcome, reason })
             .inc();
     }
 
-    /// A request was turned away.
+    /// Counts a request that was rejected with an error response, by reason.
     pub fn count_rejection(&self, reason: impl Into<String>) {
         self.rejections.get_or_create(&ReasonLabel { reason: reason.into() }).inc();
     }
 
-    /// A request is tried again.
+    /// Counts a further attempt at a request.
     pub fn count_retry(&self) {
         self.retries.inc();
     }
 
-    /// A record was folded.
+    /// Sets the offset of the last log record that was applied to the state.
     pub fn set_applied_revision(&self, offset: u64) {
         self.applied_revision.set(offset);
     }
 
-    /// An append ended.
+    /// Counts an append to the log by its result.
     pub fn count_append(&self, result: &'static str) {
         self.appends.get_or_create(&ReasonLabel { reason: result.to_owned() }).inc();
     }
 
-    /// A heartbeat ended.
+    /// Counts a heartbeat to a peer by its result.
     pub fn count_heartbeat(&self, result: &'static str) {
         self.heartbeats.get_or_create(&ReasonLabel { reason: result.to_owned() }).inc();
     }
 
-    /// All metrics as text.
+    /// Encodes all metrics as OpenMetrics text.
     #[must_use]
     pub fn render(&self) -> String {
         let registry = self.registry.lock().unwrap_or_else(PoisonError::into_inner);
         let mut text = String::new();
-        // Writing into a string cannot fail.
+        // Writing to a `String` cannot fail.
         let _ = encode(&mut text, &registry);
         text
     }
--- a/crates/crosspath_operator/src/lib.rs
+++ b/crates/crosspath_operator/src/lib.rs
@@ -1,10 +1,18 @@
-//! The operators' resource API.
+//! HTTP API with which operators manage resources.
 //!
-//! `GET/PUT/DELETE /v1/{kind}/{name}`, lists at `GET /v1/{kind}`, changes as JSON lines at
-//! `GET /v1/{kind}?watch=REVISION`, the daemons at `GET /v1/status`, the fate of a change at
-//! `GET /v1/changes/{id}`, what stands in the way at `GET /v1/explain/{vms|jobs}/{name}`, and
-//! `/metrics`, `/livez` and `/readyz` without a token. Every change that is answered with success
-//! has been folded, and carries its revision as `ETag`.
+//! | Request                                | Response                                            |
+//! | -------------------------------------- | --------------------------------------------------- |
+//! | `GET/PUT/DELETE /v1/{kind}/{name}`     | one resource                                        |
+//! | `PUT /v1/waves/{name}/phase`           | the wave, after its phase was set                   |
+//! | `GET /v1/{kind}`                       | all resources of a kind                             |
+//! | `GET /v1/{kind}?watch=REVISION`        | changes after a revision, as a stream of JSON lines |
+//! | `GET /v1/status`                       | the daemons                                         |
+//! | `GET /v1/changes/{id}`                 | outcome of a change                                 |
+//! | `GET /v1/explain/{vms or jobs}/{name}` | what blocks a VM or a job                           |
+//! | `GET /metrics`, `/livez`, `/readyz`    | metrics and probes, without a token                 |
+//!
+//! A change that is answered with success has been applied to the state. The response has its
+//! revision as `ETag`.
 
 pub mod model;
 mod response;
@@ -29,84 +37,87 @@
 
 use model::{Explanation, Outcome, Status};
 
-/// A change that was not accepted, or not certainly.
+/// A change was not accepted, or it is unknown whether it was.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum CommitError {
-    /// The fold rejected it.
+    /// The change was appended, and rejected when it was applied to the state.
     #[snafu(display("{conflict}"))]
     Rejected {
-        /// Why.
+        /// Rule or precondition that the change violates.
         conflict: Conflict,
     },
-    /// It was not appended; nothing changed.
+    /// The change was not accepted. It had no effect and will have none.
     #[snafu(display("the log does not take changes now; nothing was changed"))]
     NotAccepted,
-    /// It may have been appended.
+    /// The change may have been appended to the log.
     #[snafu(display("whether the change was accepted is not known; ask for change {change}"))]
     Unknown {
-        /// Id to ask for.
+        /// Identifier with which `GET /v1/changes/{id}` reports the outcome.
         change: String,
     },
 }
 
-/// What the API asks of the daemon.
+/// Operations of the daemon that the API calls.
 #[async_trait]
 pub trait Handler: Send + Sync + 'static {
-    /// The state, updated as records are folded.
+    /// Subscribes to the daemon's state, which changes as log records are applied.
     fn state(&self) -> channel::Receiver<Arc<State>>;
 
-    /// Appends changes together and waits until they are folded; gives their revision.
+    /// Appends `changes` to the log as one batch, waits until they are applied, and returns their
+    /// revision.
     ///
     /// # Errors
     ///
-    /// [`CommitError`].
+    /// [`CommitError`] if a change was rejected, nothing was appended, or the outcome is unknown.
     async fn commit(&self, changes: Vec<Change>) -> Result<Revision, CommitError>;
 
-    /// What became of a change whose fate was not known.
+    /// Returns the outcome of a change that was reported as [`CommitError::Unknown`].
     fn outcome(&self, change: &str) -> Outcome;
 
-    /// The daemons as this one sees them.
+    /// Returns the status of all daemons, as far as this one knows it.
     fn status(&self) -> Status;
 
-    /// What stands in the way of a VM or job; none when the resource does not exist.
+    /// Returns what blocks a VM or a job, or `None` if the resource does not exist.
     fn explain(&self, id: &Id) -> Option<Explanation>;
 
-    /// The metrics as text.
+    /// Returns all metrics as OpenMetrics text.
     fn metrics(&self) -> String;
 
-    /// Whether the daemon takes callers' requests.
+    /// Returns whether the daemon accepts callers' requests.
     fn is_ready(&self) -> bool;
 
-    /// A recent state at a revision, or the last one before it; none when that is too old.
+    /// Returns the newest retained state that is not after `revision`, or `None` if all retained
+    /// states are after it.
     fn state_at(&self, revision: Revision) -> Option<Arc<State>>;
 
-    /// Counts a request that was turned away, by status.
+    /// Counts a request that was answered with an error status.
     fn count_rejected(&self, status: u16);
 }
 
-/// Limits on a request.
+/// Limits on the body of a request.
 #[derive(Debug, Clone, Copy)]
 pub struct BodyLimits {
-    /// Bytes of a body.
+    /// Maximum size, in bytes.
     pub body_bytes: u64,
-    /// Time for a body to arrive.
+    /// Maximum time from the head of a request to the end of its body.
     pub body_timeout: Duration,
 }
 
-/// Who may do what.
+/// Operators that may use the API, with their tokens and rights.
 #[derive(Debug, Clone)]
 pub struct Access {
     operators: Arc<[Operator]>,
 }
 
 impl Access {
-    /// Lets these operators in.
+    /// Grants access to `operators` alone.
     #[must_use]
     pub fn new(operators: Vec<Operator>) -> Self {
         Self { operators: operators.into() }
     }
 
-    /// The operator that shows `token`; every one is compared, so that time tells nothing.
+    /// Returns the operator with `token`. Compares all operators, so that the response time does
+    /// not reveal which one matches.
     fn authenticate(&self, token: &str) -> Option<&Operator> {
         let mut matching = None;
         for operator in self.operators.iter() {
@@ -122,7 +133,8 @@
     operator.rights.contains(&right)
 }
 
-/// Answers operators on `listener` until the stop says otherwise.
+/// Serves the API on `listener` until `stop` reaches [`Stage::Finishing`], then until no request is
+/// in flight or `stop` reaches [`Stage::Ended`].
 pub async fn serve<H: Handler>(
     listener: TcpListener,
     limits: Limits,
--- a/crates/crosspath_operator/src/model.rs
+++ b/crates/crosspath_operator/src/model.rs
@@ -1,4 +1,4 @@
-//! What the API answers with, shared with the command-line tool.
+//! Response bodies of the API. The `crosspath` command line decodes them.
 
 use crosspath_state::budget::Usage;
 use crosspath_state::name::{JobName, PoolName, VmName, WaveName};
@@ -8,22 +8,22 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// One resource.
+/// A resource with its status.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Resource {
-    /// Kind and name.
+    /// Kind and name of the resource.
     #[serde(flatten)]
     pub id: Id,
-    /// Its revision.
+    /// Revision of the last change to the resource.
     pub revision: Revision,
-    /// As declared.
+    /// Spec as an operator declared it, without its kind.
     pub spec: Value,
-    /// What the system says of it.
+    /// Status as the daemons maintain it; an empty object for kinds without a status.
     pub status: Value,
 }
 
 impl Resource {
-    /// A resource of the state.
+    /// Returns the resource `id` of `state`, or `None` if it does not exist.
     #[must_use]
     pub fn of(state: &State, id: &Id) -> Option<Self> {
         let (revision, spec) = state.resource(id)?;
@@ -32,7 +32,7 @@
     }
 }
 
-/// The spec alone, without its kind.
+/// Returns the JSON form of a spec, without its kind.
 fn spec_value(spec: &Spec) -> Value {
     let mut value = serde_json::to_value(spec).unwrap_or_default();
     value.get_mut("spec").map(Value::take).unwrap_or_default()
@@ -58,125 +58,125 @@
     }
 }
 
-/// The value's JSON form; an empty object when there is none.
+/// Returns the JSON form of `value`, or an empty object if there is none.
 fn object(value: Option<impl Serialize>) -> Value {
     let value = value.and_then(|value| serde_json::to_value(value).ok());
     value.unwrap_or_else(|| Value::Object(serde_json::Map::new()))
 }
 
-/// Resources of one kind.
+/// All resources of one kind.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct List {
-    /// Revision of the whole list; watch from here.
+    /// Revision of the state that was listed. A watch from it misses no change.
     pub revision: Revision,
-    /// The resources.
+    /// Resources of the kind, ordered by name.
     pub items: Vec<Resource>,
 }
 
-/// One line of a watch.
+/// A change of a resource: one line of a watch.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum Event {
-    /// The resource is now like this.
+    /// The resource was created or updated.
     Changed {
-        /// The resource.
+        /// Resource after the change.
         resource: Resource,
     },
-    /// The resource is gone.
+    /// The resource was deleted.
     Deleted {
-        /// Which.
+        /// Kind and name of the deleted resource.
         id: Id,
-        /// Since this revision.
+        /// Revision of the first observed state without the resource.
         revision: Revision,
     },
 }
 
-/// What became of a change.
+/// Outcome of a change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "fate", rename_all = "snake_case")]
 pub enum Outcome {
-    /// It is in force from this revision.
+    /// The change was accepted and applied.
     Accepted {
-        /// The revision.
+        /// Revision from which the change is in effect.
         revision: Revision,
     },
-    /// The fold rejected it.
+    /// The change was rejected when it was applied to the state.
     Rejected {
-        /// Why.
+        /// Rule or precondition that the change violates.
         conflict: Conflict,
     },
-    /// It was never appended, and will not be.
+    /// The change was not accepted, and will have no effect even if it is still appended.
     NotAccepted,
-    /// Not known yet.
+    /// The outcome is not known yet; a later request may return it.
     Pending,
-    /// Too old, or never seen by this daemon.
+    /// This daemon has no record of the change: it is too old, or was never received here.
     #[serde(rename = "unheard")]
     Unrecorded,
 }
 
-/// A daemon as another sees it.
+/// Status of one daemon, as far as the reporting daemon knows it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DaemonStatus {
-    /// Its name.
+    /// Name of the daemon.
     pub name: String,
-    /// Whether it is a member.
+    /// Whether the daemon is a member of the group.
     pub member: bool,
-    /// What it had applied when last heard.
+    /// Revision that the daemon had applied at its last message; 0 if there was none.
     pub applied: Revision,
-    /// Time since it was last heard, in ms; none if never.
+    /// Time since the last message from the daemon, in ms; `None` if there was none.
     pub heard_ms_ago: Option<u64>,
-    /// Whether it takes callers' requests.
+    /// Whether the daemon accepts callers' requests.
     pub ready: bool,
-    /// Partitions of payment keys that it owns.
+    /// Number of partitions of payment keys that the daemon owns.
     pub partitions: usize,
-    /// Its guard.
+    /// Member that grants the daemon its lease; `None` if it has none.
     pub guard: Option<String>,
 }
 
-/// The daemons as one of them sees them.
+/// Status of all daemons, as far as the reporting daemon knows it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// Who says so.
+    /// Name of the reporting daemon.
     pub daemon: String,
-    /// What it has applied.
+    /// Revision that the reporting daemon has applied.
     pub applied: Revision,
-    /// Digest of its state.
+    /// Digest of the reporting daemon's state, for comparison with other daemons.
     pub digest: String,
-    /// Whether the log answers it.
+    /// Whether the reporting daemon can reach the log.
     pub log_up: bool,
-    /// Whether it acts for its partitions.
+    /// Whether the reporting daemon has a valid lease and so may act as a member.
     pub lease_valid: bool,
-    /// Why it has stopped deciding, if it has.
+    /// Why the reporting daemon has stopped making decisions; `None` while it makes them.
     pub halted: Option<String>,
-    /// Every daemon, itself among them.
+    /// All daemons, including the reporting one.
     pub daemons: Vec<DaemonStatus>,
 }
 
-/// What stands in the way of a resource.
+/// What blocks a VM or a job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Explanation {
-    /// Which resource.
+    /// Kind and name of the resource.
     pub id: Id,
-    /// Where it is.
+    /// Current status of the resource.
     pub status: Value,
-    /// What stands in the way; empty when nothing does.
+    /// What blocks the resource; empty if nothing does.
     pub obstacles: Vec<Value>,
 }
 
-/// An error.
+/// Body of an error response.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Problem {
-    /// Machine-readable reason.
+    /// Stable identifier of the error, for programs.
     pub reason: String,
-    /// For people.
+    /// Description of the error, for people.
     pub message: String,
-    /// The field that is wrong, if one is.
+    /// Path of the invalid field of the request; `None` for other errors.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub field: Option<String>,
-    /// The conflict, if it is one.
+    /// Conflict for which the change was rejected; `None` for other errors.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub conflict: Option<Conflict>,
-    /// Id to ask for the fate of the change, if that is not known.
+    /// Identifier with which to ask for the outcome of the change, if that is unknown.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub change: Option<String>,
 }
--- a/crates/crosspath_operator/src/response.rs
+++ b/crates/crosspath_operator/src/response.rs
@@ -1,4 +1,4 @@
-//! Errors of the API and their form.
+//! Error responses of the API, and helpers for successful ones.
 
 use crosspath_http::Body;
 use crosspath_http::body::{self, BodyError};
--- a/crates/crosspath_operator/src/route.rs
+++ b/crates/crosspath_operator/src/route.rs
@@ -1,4 +1,4 @@
-//! From a path and a method to a response.
+//! Routing of requests by path and method.
 
 use std::sync::Arc;
 
@@ -209,7 +209,7 @@
     })
 }
 
-/// Reads the spec of a known kind; the error names the field.
+/// Decodes the spec of a `kind`. The error has the path of the invalid field.
 fn decode_spec(kind: Kind, value: Value) -> Result<Spec, Error> {
     fn decode_value<T: for<'de> Deserialize<'de>>(value: Value) -> Result<T, Error> {
         serde_path_to_error::deserialize(value).map_err(|error| Error::Field {
--- a/crates/crosspath_operator/src/watch.rs
+++ b/crates/crosspath_operator/src/watch.rs
@@ -1,4 +1,4 @@
-//! Watches: one JSON line for each change of a kind, from a revision on.
+//! Watches: streams of the changes to all resources of a kind, one JSON line each.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -29,8 +29,8 @@
     is_initial: bool,
 }
 
-/// Streams changes after `from`, until the watcher goes or the daemon stops. A change may come
-/// twice when `from` lies between two states that the daemon kept.
+/// Streams the changes after the revision `from` until the client disconnects or the daemon stops.
+/// A change may be sent twice if `from` is between the revisions of two retained states.
 pub(crate) fn stream<H: Handler>(
     handler: &H,
     kind: Kind,
@@ -67,7 +67,7 @@
     }
 }
 
-/// One line for each resource of the kind that differs between two states.
+/// Returns one line for each resource of the `kind` that differs between two states.
 fn lines(kind: Kind, before: &State, after: &State) -> String {
     let names = before.names(kind).into_iter().chain(after.names(kind));
     let names: BTreeSet<_> = names.collect();
--- a/crates/crosspath_settings/src/error.rs
+++ b/crates/crosspath_settings/src/error.rs
@@ -1,41 +1,41 @@
-//! Errors that point at the field.
+//! Errors in a settings file, with the invalid field.
 
 use std::path::PathBuf;
 
 use snafu::Snafu;
 
-/// Settings that cannot be used.
+/// A settings file is unreadable or invalid.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
-    /// The file cannot be read.
+    /// The settings file cannot be read.
     #[snafu(display("{}: cannot be read: {source}", file.display()))]
     Read {
-        /// The file.
+        /// Path of the settings file.
         file: PathBuf,
-        /// What the system says.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The file is not JSON of the right shape.
+    /// The file is not valid JSON, or does not match the schema.
     #[snafu(display("{}: field {field}: {source}", file.display()))]
     Shape {
-        /// The file.
+        /// Path of the settings file.
         file: PathBuf,
-        /// Path of the field.
+        /// Path of the invalid field.
         field: String,
-        /// What the decoder says.
+        /// Error of the JSON decoder.
         source: serde_json::Error,
     },
-    /// A field has a value that cannot be used.
+    /// The value of a field is not allowed.
     #[snafu(display("{}: field {field}: {value} cannot be used; {remedy}", file.display()))]
     Value {
-        /// The file.
+        /// Path of the settings file.
         file: PathBuf,
-        /// Path of the field.
+        /// Path of the invalid field.
         field: &'static str,
-        /// Its value.
+        /// Value that is not allowed, or a placeholder for a secret.
         value: String,
-        /// What to write instead.
+        /// Instruction for a valid value.
         remedy: &'static str,
     },
 }
--- a/crates/crosspath_settings/src/lib.rs
+++ b/crates/crosspath_settings/src/lib.rs
@@ -1,7 +1,8 @@
-//! The daemon's settings: JSON [`Options`] as the user wrote them, resolved into [`Settings`].
+//! Settings of the daemon: the JSON [`Options`] of a settings file, resolved into [`Settings`].
 //!
-//! Options are all optional where a default is sensible and carry the documentation of each field.
-//! Settings are checked and complete; the rest of the program sees only them.
+//! An option can be left out where there is a sensible default. The doc comments of the options are
+//! the descriptions in the JSON schema. Settings are validated and complete; the other crates use
+//! only them.
 
 mod error;
 mod options;
--- a/crates/crosspath_settings/src/options.rs
+++ b/crates/crosspath_settings/src/options.rs
@@ -1,4 +1,4 @@
-//! Options as the user writes them.
+//! Options of the settings file, as they are written in JSON.
 
 use std::net::SocketAddr;
 
@@ -12,25 +12,25 @@
 #[derive(Debug, Clone, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Options {
-    /// Name of this daemon; the same for each VM that replaces this one.
+    /// Name of this daemon. A VM that replaces this one uses the same name.
     pub name: DaemonName,
-    /// Data centre of this daemon.
+    /// Data centre in which this daemon runs.
     pub data_centre: DataCentre,
-    /// Addresses that it listens on.
+    /// Addresses that this daemon listens on.
     pub listen: ListenOptions,
-    /// The other daemons. Every daemon lists the same set, less itself.
+    /// All other daemons. Every daemon lists the same set, except for itself.
     #[serde(default)]
     pub peers: Vec<PeerOptions>,
-    /// Secret that daemons show each other; at least 16 characters.
+    /// Secret with which daemons authenticate to each other; at least 16 characters.
     pub peer_token: String,
-    /// Address of the platform's interfaces.
+    /// Address of the platform's HTTP interfaces.
     pub platform: SocketAddr,
-    /// Operators that may use the resource API.
+    /// Operators that may use the resource API, with their tokens and rights.
     pub operators: Vec<OperatorOptions>,
-    /// Limits on what one daemon takes in.
+    /// Limits on requests to this daemon and on what it keeps in memory.
     #[serde(default)]
     pub limits: LimitOptions,
-    /// Intervals and leases.
+    /// Intervals, timeouts and lease lengths.
     #[serde(default)]
     pub timing: TimingOptions,
 }
@@ -39,90 +39,90 @@
 #[derive(Debug, Clone, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct ListenOptions {
-    /// For callers' requests.
+    /// Address for callers' requests.
     pub callers: SocketAddr,
-    /// For the resource API, `/metrics`, `/livez` and `/readyz`.
+    /// Address for the resource API, `/metrics`, `/livez` and `/readyz`.
     pub operators: SocketAddr,
-    /// For the other daemons.
+    /// Address for requests of the other daemons.
     pub peers: SocketAddr,
 }
 
-/// Another daemon.
+/// Another daemon of the same site.
 #[derive(Debug, Clone, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct PeerOptions {
-    /// Its name.
+    /// Name of the other daemon.
     pub name: DaemonName,
-    /// Where it listens for peers.
+    /// Address on which the other daemon listens for peers.
     pub address: SocketAddr,
 }
 
-/// An operator.
+/// An operator of the resource API.
 #[derive(Debug, Clone, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct OperatorOptions {
-    /// Name, as it stands in logs.
+    /// Name of the operator, as logged with each change.
     pub name: String,
-    /// SHA-256 of the bearer token, in hexadecimal.
+    /// SHA-256 hash of the bearer token, as 64 hexadecimal digits.
     pub token_sha256: String,
-    /// What the operator may do.
+    /// Rights of the operator.
     pub rights: Vec<Right>,
 }
 
-/// Limits; each has a default.
+/// Limits on requests and on what is kept in memory; each has a default.
 #[derive(Debug, Clone, Default, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct LimitOptions {
-    /// Connections taken on each listener; default 10,000.
+    /// Maximum number of connections to each listener; default 10,000.
     pub connections: Option<u32>,
-    /// Bytes of a request's head; default 16,384, at least 8,192.
+    /// Maximum size of a request's head, in bytes; default 16,384, at least 8,192.
     pub header_bytes: Option<u32>,
-    /// Bytes of a request's body; default 1,048,576.
+    /// Maximum size of a request's body, in bytes; default 1,048,576.
     pub body_bytes: Option<u64>,
-    /// Time for a request's head to arrive, in ms; default 5,000.
+    /// Timeout for receiving a request's head, in ms; default 5,000.
     pub header_timeout_ms: Option<u64>,
-    /// Time for a request's body to arrive, in ms; default 5,000.
+    /// Timeout for receiving a request's body, in ms; default 5,000.
     pub body_timeout_ms: Option<u64>,
-    /// Requests waiting for a slot of one pool; default 1,024.
+    /// Maximum number of requests that wait for a slot of one pool; default 1,024.
     pub queue: Option<u32>,
-    /// Share of a pool's slots that batch may take, in percent; default 75.
+    /// Maximum share of a pool's slots for batch requests, in percent; default 75.
     pub batch_ceiling_percent: Option<u32>,
-    /// One of this many grants goes to waiting batch; default 8.
+    /// At least one in this many slot grants goes to batch requests, if any wait; default 8.
     pub batch_floor_every: Option<u32>,
-    /// Payment keys kept by one daemon; default 40,000.
+    /// Maximum number of payment keys that one daemon keeps; default 40,000.
     pub keys: Option<u32>,
-    /// Bytes of an answer kept for re-sends; default 16,384.
+    /// Maximum size of a response that is kept for repeated requests, in bytes; default 16,384.
     pub answer_bytes: Option<u64>,
-    /// Bytes of answers kept for re-sends, over all keys of one daemon; default 8,388,608.
+    /// Maximum size of all responses that one daemon keeps, in bytes; default 8,388,608.
     pub answers_total_bytes: Option<u64>,
-    /// Time that a payment key is good for, in ms; default 600,000.
+    /// Time for which a payment key is valid, in ms; default 600,000.
     pub key_retention_ms: Option<u64>,
 }
 
-/// Intervals and leases; each has a default.
+/// Intervals, timeouts and lease lengths; each has a default.
 #[derive(Debug, Clone, Default, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct TimingOptions {
-    /// Time between two heartbeats to a peer, in ms; default 1,000.
+    /// Interval between rounds of heartbeats to peers, in ms; default 1,000.
     pub heartbeat_ms: Option<u64>,
-    /// How long a guard promises not to evict, in ms; default 5,000.
+    /// Length of a lease, for which a guard does not evict its member, in ms; default 5,000.
     pub lease_ms: Option<u64>,
-    /// How long a guard goes on promising after its own lease was last valid, in ms; default 30,000.
+    /// How long a guard grants leases after its own was last valid, in ms; default 30,000.
     pub tenure_ms: Option<u64>,
-    /// Largest drift between two clocks' rates, in parts per million; default 10,000.
+    /// Maximum drift between the rates of two clocks, in parts per million; default 10,000.
     pub drift_ppm: Option<u32>,
-    /// Largest difference between two wall clocks, in ms; default 2,000.
+    /// Maximum difference between two wall clocks, in ms; default 2,000.
     pub skew_ms: Option<u64>,
-    /// Time between two decisions on the fleet, in ms; default 50.
+    /// Interval between two rounds of decisions on the fleet, in ms; default 50.
     pub decide_ms: Option<u64>,
-    /// Time for the platform to answer a call, in ms; default 2,000.
+    /// Timeout of a call to the platform, in ms; default 2,000.
     pub platform_timeout_ms: Option<u64>,
-    /// Time for the log to hold a read open, in ms; default 1,000.
+    /// How long the log may hold a read open until there are new records, in ms; default 1,000.
     pub log_wait_ms: Option<u64>,
-    /// Records between two snapshots; default 2,000.
+    /// Number of log records between two snapshots of the state; default 2,000.
     pub snapshot_every: Option<u64>,
-    /// Time between unready and the end of listening in a planned stop, in ms; default 1,000.
+    /// Planned stop: time from not ready until listeners close, in ms; default 1,000.
     pub stop_wait_ms: Option<u64>,
-    /// Time for what is in flight in a planned stop, in ms; default 10,000.
+    /// Planned stop: timeout for requests in flight, and again for leaving, in ms; default 10,000.
     pub stop_drain_ms: Option<u64>,
 }
--- a/crates/crosspath_settings/src/settings.rs
+++ b/crates/crosspath_settings/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings, checked and complete.
+//! Validated settings, with defaults filled in.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -16,124 +16,126 @@
 const MIN_PEER_TOKEN_BYTES: usize = 16;
 const MIN_HEADER_BYTES: u32 = 8 * 1024;
 
-/// What an operator may do.
+/// Right of an operator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Right {
-    /// Get, list and watch.
+    /// Get, list and watch resources.
     Read,
-    /// Put and delete.
+    /// Create, update and delete resources.
     Write,
 }
 
-/// Settings of a daemon.
+/// Validated settings of a daemon.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Name of this daemon.
+    /// Name of this daemon, which a VM that replaces this one keeps.
     pub name: DaemonName,
-    /// Its data centre.
+    /// Data centre in which this daemon runs.
     pub data_centre: DataCentre,
-    /// Where callers connect.
+    /// Address that this daemon listens on for callers.
     pub callers_listen: SocketAddr,
-    /// Where operators connect.
+    /// Address that this daemon listens on for operators.
     pub operators_listen: SocketAddr,
-    /// Where peers connect.
+    /// Address that this daemon listens on for other daemons.
     pub peers_listen: SocketAddr,
-    /// The other daemons.
+    /// All other daemons of the site.
     pub peers: Vec<Peer>,
-    /// What daemons show each other.
+    /// Secret with which daemons authenticate to each other.
     pub peer_token: String,
-    /// The platform's address.
+    /// Address of the platform's HTTP interfaces.
     pub platform: SocketAddr,
-    /// Operators.
+    /// Operators that may use the resource API.
     pub operator_accounts: Vec<Operator>,
-    /// Limits.
+    /// Limits on requests to this daemon and on what it keeps in memory.
     pub limits: Limits,
-    /// Intervals and leases.
+    /// Intervals, timeouts and lease lengths.
     pub timing: Timing,
 }
 
-/// Another daemon.
+/// Another daemon of the same site.
 #[derive(Debug, Clone)]
 pub struct Peer {
-    /// Its name.
+    /// Name of the other daemon.
     pub name: DaemonName,
-    /// Where it listens.
+    /// Address on which the other daemon listens for peers.
     pub address: SocketAddr,
 }
 
-/// An operator.
+/// An operator of the resource API.
 #[derive(Debug, Clone)]
 pub struct Operator {
-    /// Name for logs.
+    /// Name of the operator, as logged with each change.
     pub name: String,
-    /// Hash of the token.
+    /// Hash of the operator's bearer token.
     pub token: Hash,
-    /// Rights.
+    /// Rights of the operator; empty if it may do nothing.
     pub rights: Vec<Right>,
 }
 
-/// Limits on what one daemon takes in.
+/// Limits on requests to one daemon and on what it keeps in memory.
 #[derive(Debug, Clone)]
 pub struct Limits {
-    /// Connections on each listener.
+    /// Maximum number of connections to each listener.
     pub connections: u32,
-    /// Bytes of a head.
+    /// Maximum size of a request's head, in bytes.
     pub header_bytes: u32,
-    /// Bytes of a body.
+    /// Maximum size of a request's body, in bytes.
     pub body_bytes: u64,
-    /// Time for a head.
+    /// Timeout for receiving a request's head.
     pub header_timeout: Duration,
-    /// Time for a body.
+    /// Timeout for receiving a request's body.
     pub body_timeout: Duration,
-    /// Requests waiting for one pool.
+    /// Maximum number of requests that wait for a slot of one pool.
     pub queue: u32,
-    /// Percent of a pool's slots for batch.
+    /// Maximum share of a pool's slots for batch requests, in percent.
     pub batch_ceiling_percent: u32,
-    /// One of this many grants goes to batch.
+    /// At least one in this many slot grants goes to batch requests, if any wait.
     pub batch_floor_every: u32,
-    /// Payment keys kept.
+    /// Maximum number of payment keys that one daemon keeps.
     pub keys: u32,
-    /// Bytes of an answer kept.
+    /// Maximum size of a response that is kept for repeated requests, in bytes.
     pub answer_bytes: u64,
-    /// Bytes of all answers kept.
+    /// Maximum size of all responses that are kept for repeated requests, in bytes.
     pub answers_total_bytes: u64,
-    /// How long a payment key is good for.
+    /// Time for which a payment key is valid.
     pub key_retention: Duration,
 }
 
-/// Intervals and leases.
+/// Intervals, timeouts and lease lengths.
 #[derive(Debug, Clone)]
 pub struct Timing {
-    /// Between heartbeats.
+    /// Interval between rounds of heartbeats to peers.
     pub heartbeat: Duration,
-    /// Of a guard's promise.
+    /// Length of a lease. While it is valid, the guard that granted it does not evict the member
+    /// that holds it.
     pub lease: Duration,
-    /// For which a guard promises after its own lease was last valid.
+    /// How long a guard continues to grant leases after its own lease was last valid.
     pub tenure: Duration,
-    /// Largest drift of clock rates, in parts per million.
+    /// Maximum drift between the rates of two clocks, in parts per million.
     pub drift_ppm: u32,
-    /// Largest difference of wall clocks.
+    /// Maximum difference between two wall clocks.
     pub skew: Duration,
-    /// Between decisions on the fleet.
+    /// Interval between two rounds of decisions on the fleet.
     pub decide: Duration,
-    /// For a call of the platform.
+    /// Timeout of a call to the platform.
     pub platform_timeout: Duration,
-    /// For a read of the log to wait.
+    /// How long the log may hold a read open until there are new records.
     pub log_wait: Duration,
-    /// Records between snapshots.
+    /// Number of log records between two snapshots of the state.
     pub snapshot_every: u64,
-    /// Between unready and the end of listening.
+    /// Time in a planned stop from not being ready until no more connections are accepted.
     pub stop_wait: Duration,
-    /// For what is in flight when stopping.
+    /// Maximum time in a planned stop for requests in flight, and again for leaving the group.
     pub stop_drain: Duration,
 }
 
-/// Reads and checks a settings file.
+/// Reads and validates a settings file.
 ///
 /// # Errors
 ///
-/// [`Error`] when the file cannot be read, has another shape, or a field cannot be used.
+/// [`Error`] if the file cannot be read, does not match the schema, or has a value that is not
+/// allowed.
 pub fn load(file: &Path) -> Result<Settings, Error> {
     let text = std::fs::read_to_string(file).context(ReadSnafu { file })?;
     let decoder = &mut serde_json::Deserializer::from_str(&text);
--- a/crates/crosspath_settings/tests/settings/main.rs
+++ b/crates/crosspath_settings/tests/settings/main.rs
@@ -1,4 +1,4 @@
-//! Settings as users write them.
+//! Settings files as users write them: which are accepted, and what the errors say.
 
 use std::io::Write as _;
 
@@ -18,19 +18,19 @@
 }
 
 fn load_result(settings: &Value) -> String {
-    let mut file = tempfile::NamedTempFile::new().expect("a file");
-    file.write_all(settings.to_string().as_bytes()).expect("written");
+    let mut file = tempfile::NamedTempFile::new().expect("temporary file is created");
+    file.write_all(settings.to_string().as_bytes()).expect("settings are written");
     match load(file.path()) {
         Ok(settings) => format!("ok: {}", settings.name),
         Err(error) => error.to_string().replace(&*file.path().to_string_lossy(), "FILE"),
     }
 }
 
-/// The good settings with one field set.
+/// Loads the valid settings with one field replaced.
 fn load_with(pointer: &str, value: Value) -> String {
     let mut settings = valid_settings();
-    let (parent, field) = pointer.rsplit_once('/').expect("a pointer");
-    let parent = settings.pointer_mut(parent).expect("a parent");
+    let (parent, field) = pointer.rsplit_once('/').expect("pointer has a field");
+    let parent = settings.pointer_mut(parent).expect("parent of the field exists");
     parent[field] = value;
     load_result(&settings)
 }
@@ -60,11 +60,12 @@
     insta::assert_snapshot!(results.join("\n"));
 }
 
-/// The committed schema is the program's own.
+/// The committed schema must match the one that the daemon prints; otherwise editors and users
+/// check their settings against outdated rules.
 #[test]
 fn the_schema_is_current() {
     let schema = schemars::schema_for!(Options);
-    let current = serde_json::to_string_pretty(&schema).expect("JSON") + "\n";
+    let current = serde_json::to_string_pretty(&schema).expect("schema is encoded as JSON") + "\n";
     let committed = include_str!("../../schema/crosspathd.schema.json");
-    assert_eq!(current, committed, "write it anew: crosspathd --settings-schema");
+    assert_eq!(current, committed, "update the file with: crosspathd --settings-schema");
 }
