--- a/crates/crosspath_soak/src/audit.rs
+++ b/crates/crosspath_soak/src/audit.rs
@@ -1,4 +1,4 @@
-//! The promises, checked at each start and at the end of a run.
+//! Checks the guarantees given to callers, at each start of a task and at the end of a run.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -7,39 +7,46 @@
 use crosspath_platform_stand_in::caller::Job;
 use crosspath_platform_stand_in::worker;
 
-/// Crashes of workers under a task after which it may be started fewer than as many times again.
+/// Number of worker crashes during a task after which the task must be suspected of causing them.
+///
+/// A task that does cause them may then be started fewer than this many times again.
 const CRASH_LIMIT: u64 = 3;
 
-/// What callers were submission of a job.
+/// State of a job as its caller knows it from the responses.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Submission {
-    /// It was accepted at least once.
+    /// At least one submit succeeded.
     pub(crate) accepted: bool,
-    /// Some try got no clear answer.
+    /// The job may be stored although no response said so, or a duplicate submit was not refused.
     pub(crate) unconfirmed: bool,
-    /// Its cancelling was asked for.
+    /// A cancellation was sent.
     pub(crate) cancel_requested: bool,
-    /// Its cancelling was accepted.
+    /// A cancellation succeeded.
     pub(crate) cancel_accepted: bool,
-    /// Nobody will try again.
+    /// The caller sends no more submits or cancellations for the job.
     pub(crate) closed: bool,
 }
 
 #[derive(Debug, Default)]
 struct State {
     jobs: BTreeMap<JobId, (Job, Submission)>,
+    /// Worker and number of the current run.
     running: BTreeMap<TaskId, (String, u64)>,
+    /// Tasks that have ended with success.
     completed: BTreeSet<TaskId>,
+    /// Tasks whose successful end the daemons have acknowledged.
     acknowledged: BTreeSet<TaskId>,
     started_jobs: BTreeSet<JobId>,
     starts: u64,
+    /// Runs started so far, on any worker.
     run_counts: BTreeMap<TaskId, u64>,
-    /// Lives of workers that ended under a task, and its starts since the third.
+    /// Workers that crashed during the task, and starts of the task since their number reached
+    /// [`CRASH_LIMIT`].
     crashes: BTreeMap<TaskId, (u64, u64)>,
     violations: Vec<String>,
 }
 
-/// What was promised of each job, and what was seen.
+/// Jobs that were submitted, what their callers know, and the runs that workers reported.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Audit(Arc<Mutex<State>>);
 
@@ -48,12 +55,12 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A job is about to be submitted.
+    /// Registers a job before its first submit.
     pub(crate) fn add_job(&self, job: &Job) {
         self.lock().jobs.entry(job.id).or_insert_with(|| (job.clone(), Submission::default()));
     }
 
-    /// Notes what callers were submission.
+    /// Updates what the caller of a job knows.
     pub(crate) fn update_submission(&self, job: JobId, change: impl FnOnce(&mut Submission)) {
         if let Some((_, submission)) = self.lock().jobs.get_mut(&job) {
             change(submission);
@@ -61,7 +68,7 @@
     }
 
     pub(crate) fn report_violation(&self, text: String) {
-        log::warn!("event=promise_broken {text}");
+        log::warn!("event=promise_broken violation={text:?}");
         self.lock().violations.push(text);
     }
 
@@ -69,7 +76,7 @@
         self.lock().violations.clone()
     }
 
-    /// Starts seen.
+    /// Number of runs that workers have started.
     pub(crate) fn starts(&self) -> u64 {
         self.lock().starts
     }
@@ -78,20 +85,23 @@
         self.lock().jobs.values().cloned().collect()
     }
 
-    /// Tasks of a job that run now.
+    /// Number of tasks of a job that are running.
     pub(crate) fn running(&self, job: JobId) -> usize {
         self.lock().running.keys().filter(|task| task.job == job).count()
     }
 
-    /// Whether every task of a job has ended well.
+    /// Whether every task of a job has ended with success.
     pub(crate) fn is_completed(&self, job: &Job) -> bool {
         let state = self.lock();
         tasks(job).all(|task| state.completed.contains(&task))
     }
 
-    /// Whether a job may be shown as failed: it crashes its workers, or as many lives ended under one of its tasks
-    /// as tell a task that does from its neighbours. A sound task may have bad neighbours and bad luck: seed 22009 of
-    /// the runs with jobs that crash workers took three lives under one beside such jobs, and a fourth by chance.
+    /// Whether a job may be reported as failed: it crashes its workers, or [`CRASH_LIMIT`] workers
+    /// crashed during one of its tasks.
+    ///
+    /// A task that crashes no worker can reach the limit by running beside tasks that do: with
+    /// `--deadly` and seed 22009 three workers crashed during such a task, and then a fourth by
+    /// chance.
     pub(crate) fn may_fail(&self, job: &Job) -> bool {
         let state = self.lock();
         let crash_count =
@@ -99,7 +109,7 @@
         job.work.crashes || tasks(job).any(|task| crash_count(task) >= CRASH_LIMIT)
     }
 
-    /// Jobs of which every try was refused may not have run.
+    /// Reports each job that ran although all of its submits were refused.
     pub(crate) fn check_refused(&self) {
         let mut state = self.lock();
         let refused = state.jobs.values().filter(|(_, submission)| {
@@ -108,12 +118,14 @@
         let started: Vec<JobId> =
             refused.map(|(job, _)| job.id).filter(|id| state.started_jobs.contains(id)).collect();
         for job in started {
-            state.violations.push(format!("job {job} was refused at each try, and ran"));
+            state
+                .violations
+                .push(format!("job {job} ran although all of its submits were refused"));
         }
     }
 }
 
-/// All tasks of a job, whose steps are done once.
+/// All tasks of a job; each of its steps runs once.
 pub(crate) fn tasks(job: &Job) -> impl Iterator<Item = TaskId> {
     let id = job.id;
     let steps = job.steps.clone().into_iter().enumerate();
@@ -124,12 +136,17 @@
 }
 
 impl State {
+    /// The violation that a start of a task is, if any.
     fn check_start(&self, worker: &str, task: TaskId, run: u64, text: &str) -> Option<String> {
         let Some((job, _)) = self.jobs.get(&task.job) else {
-            return Some(format!("{task} run {run} started on {worker}: nobody submitted its job"));
+            return Some(format!(
+                "{task} run {run} started on {worker}: its job was never submitted"
+            ));
         };
         if job.text() != text || !tasks(job).any(|known| known == task) {
-            return Some(format!("{task} run {run} started on {worker}: not as submitted"));
+            return Some(format!(
+                "{task} run {run} started on {worker}: differs from the submitted job"
+            ));
         }
         if let Some((other_worker, other_run)) = self.running.get(&task) {
             return Some(format!(
@@ -139,11 +156,13 @@
         let (crashes, starts_after) = self.crashes.get(&task).copied().unwrap_or_default();
         if job.work.crashes && starts_after >= CRASH_LIMIT {
             return Some(format!(
-                "{task} run {run} started on {worker}: start {starts_after} after three of {crashes} crashes"
+                "{task} run {run} started on {worker}: start {starts_after} since the third of {crashes} crashes"
             ));
         }
         if self.acknowledged.contains(&task) {
-            return Some(format!("{task} run {run} started on {worker} after its end was noted"));
+            return Some(format!(
+                "{task} run {run} started on {worker} after its end was acknowledged"
+            ));
         }
         let previous = tasks(job).filter(|other| other.step < task.step);
         let unfinished = previous.into_iter().find(|other| !self.completed.contains(other))?;
@@ -154,7 +173,7 @@
 impl worker::Observer for Audit {
     fn run_started(&self, worker: &str, task: &str, run: u64, text: &str) -> u64 {
         let Ok(id) = task.parse::<TaskId>() else {
-            self.report_violation(format!("{task} run {run}: no name of a task"));
+            self.report_violation(format!("{task} run {run}: not an identifier of a task"));
             return 0;
         };
         let mut state = self.lock();
--- a/crates/crosspath_soak/src/daemon.rs
+++ b/crates/crosspath_soak/src/daemon.rs
@@ -1,4 +1,4 @@
-//! One daemon as a process: started, signalled, ended. Only processes started here are touched.
+//! A daemon as a child process. Signals are sent only to processes that were started here.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -10,30 +10,32 @@
 use serde_json::json;
 use tokio::process::{Child, Command};
 
-/// Given to a daemon to end after the signal to stop.
+/// Time in which a daemon must exit after SIGTERM, also set as its `stop_grace_s`.
 const STOP_GRACE: Duration = Duration::from_secs(6);
 
-/// The daemon's program in the folder of this one.
+/// The `crosspathd` executable in the directory of this program, if it exists.
 pub(crate) fn default_program() -> Option<PathBuf> {
     let program = std::env::current_exe().ok()?.parent()?.join("crosspathd");
     program.exists().then_some(program)
 }
 
-/// Ports of every daemon; each has a loopback address of its own.
+/// Ports of every daemon. They can be the same because each daemon has its own loopback address.
 const CALLERS_PORT: u16 = 7_001;
 const READINESS_PORT: u16 = 7_002;
 const PEERS_PORT: u16 = 7_003;
 const METRICS_PORT: u16 = 7_004;
 
-/// A loopback address that no other daemon has, of this process or another: a port that is free for a
-/// moment may be taken by the time that a daemon is started again.
+/// A loopback address that no other daemon uses, whether started by this process or another.
+///
+/// Free ports of a shared address are not enough: another process may take a port while its daemon
+/// is down.
 fn loopback_ip(number: usize) -> Ipv4Addr {
     let [.., high, low] = std::process::id().to_be_bytes();
-    let number = u8::try_from(number % 250).expect("below 250");
+    let number = u8::try_from(number % 250).expect("a remainder modulo 250 fits into u8");
     Ipv4Addr::new(127, 1 + high % 250, low, 1 + number)
 }
 
-/// A daemon, running or not; dropping it kills its process.
+/// A daemon, running or stopped. Its process is killed on drop.
 #[derive(Debug)]
 pub(crate) struct Daemon {
     pub(crate) name: String,
@@ -45,7 +47,7 @@
 }
 
 impl Daemon {
-    /// Writes the settings of a daemon that reaches the store at `store`.
+    /// Writes the settings of a daemon that reaches the store at `store`; does not start it.
     pub(crate) fn new(
         number: usize,
         program: &Path,
@@ -83,7 +85,7 @@
         Ok(Self { name, callers_address, program, settings_file, log_file, child: None })
     }
 
-    /// Starts the process, if it does not run.
+    /// Starts the process unless it is running.
     pub(crate) fn start(&mut self) -> std::io::Result<()> {
         if self.is_running() {
             return Ok(());
@@ -106,7 +108,7 @@
         self.child.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
 
-    /// Sends a signal to the process, if it runs.
+    /// Sends a signal to the process if it is running.
     pub(crate) fn signal(&mut self, signal: Signal) {
         if !self.is_running() {
             return;
@@ -118,7 +120,7 @@
         }
     }
 
-    /// Kills the process and waits for its end.
+    /// Kills the process and waits for it to exit.
     pub(crate) async fn kill(&mut self) {
         if let Some(mut child) = self.child.take()
             && let Err(error) = child.kill().await
@@ -127,8 +129,8 @@
         }
     }
 
-    /// Asks the process to stop, waits for it, and kills it where it does not end in time; whether
-    /// it ended by itself.
+    /// Sends SIGTERM and kills the process if it has not exited within [`STOP_GRACE`]. Returns
+    /// whether it exited by itself.
     pub(crate) async fn stop(&mut self) -> bool {
         self.signal(Signal::SIGTERM);
         let Some(child) = &mut self.child else { return true };
--- a/crates/crosspath_soak/src/faults.rs
+++ b/crates/crosspath_soak/src/faults.rs
@@ -1,4 +1,4 @@
-//! Which faults strike what, and when.
+//! Injects random faults into the cluster.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,41 +11,42 @@
 use crate::proxy::Impairment;
 use crate::run::{Cluster, Plan};
 
-/// A killed daemon is started again after this at most, in ms.
+/// Longest time that a killed daemon stays down.
 const MAX_DOWNTIME_MS: u64 = 2_500;
-/// Longest fault of a connection, a process or the store, in ms.
+/// Longest fault of a connection, a process or the store.
 const MAX_FAULT_MS: u64 = 4_000;
-/// Between two faults, in ms.
+/// Interval between two faults.
 const FAULT_INTERVAL_MS: std::ops::Range<u64> = 150..1_500;
-/// Between two moments at which open connections go silent for good, in ms.
+/// Interval between two times at which open connections are silenced for good.
 const SILENCE_INTERVAL_MS: std::ops::Range<u64> = 1_000..5_000;
-/// Told apart from the seed of the other faults, which are drawn as without silences.
+/// XORed with the run's seed, so that the silenced connections do not change the sequence of the
+/// other faults.
 const SILENCE_SEED: u64 = 0x51_1e_4c_e5;
-/// Between two crashes of workers that begin again under their identifiers, in ms.
+/// Interval between two crashes of workers that restart under the same identifier.
 const CRASH_INTERVAL_MS: std::ops::Range<u64> = 100..700;
 /// As [`SILENCES_SEED`], for these crashes.
 const CRASH_SEED: u64 = 0xc4_a5_4e_5d;
 
-/// One fault.
+/// A fault and its target; daemons and workers by index.
 #[derive(Debug, Clone, Copy)]
 enum Fault {
-    /// A daemon is killed, and started again later.
+    /// Kills a daemon and starts it again later.
     Kill(usize),
-    /// All are.
+    /// Kills all daemons and starts them again later.
     KillAll,
-    /// A daemon is asked to stop, and started again.
+    /// Sends SIGTERM to a daemon and starts it again once it has exited.
     Stop(usize),
-    /// A daemon stands still.
+    /// Suspends a daemon by SIGSTOP.
     Freeze(usize),
-    /// A daemon is told that its settings have changed.
+    /// Sends SIGHUP to a daemon, as after a change of its settings.
     Reload(usize),
-    /// A daemon's connections to the store are harmed.
+    /// Impairs a daemon's connections to the store.
     CutFromStore(usize, Impairment),
-    /// All connections to a worker are harmed.
+    /// Impairs all connections to a worker.
     CutFromWorker(usize, Impairment),
-    /// A worker's process dies and another comes.
+    /// Crashes a worker, which restarts at once as another incarnation.
     Crash(usize),
-    /// The store misbehaves.
+    /// Puts the store into a faulty mode.
     Store(Mode),
 }
 
@@ -77,7 +78,7 @@
     }
 }
 
-/// Strikes as the plan says; faults overlap. Their number.
+/// Injects faults for the duration of the plan; they overlap. Returns their number.
 pub(crate) async fn inject(cluster: &Arc<Cluster>, plan: &Plan) -> usize {
     let (seed, duration) = (plan.seed, plan.duration);
     let crashes = async {
@@ -91,7 +92,7 @@
     overlapping + silences + crashes
 }
 
-/// Workers crash, and begin again at once.
+/// Crashes workers at short intervals; they restart at once. Returns the number of crashes.
 async fn crash_workers(cluster: &Cluster, seed: u64, duration: Duration) -> usize {
     let mut rng = StdRng::seed_from_u64(seed ^ CRASH_SEED);
     let until = tokio::time::Instant::now() + duration;
@@ -108,7 +109,8 @@
     }
 }
 
-/// Open connections to the store or to workers go silent for good, while new ones work.
+/// Silences open connections to the store or to workers for good, while new ones work. Returns how
+/// many times.
 async fn silence_connections(cluster: &Cluster, seed: u64, duration: Duration) -> usize {
     let mut rng = StdRng::seed_from_u64(seed ^ SILENCE_SEED);
     let until = tokio::time::Instant::now() + duration;
@@ -127,6 +129,8 @@
     }
 }
 
+/// Starts random faults without waiting for earlier ones to end, then waits for all. Returns their
+/// number.
 async fn inject_overlapping(cluster: &Arc<Cluster>, seed: u64, duration: Duration) -> usize {
     let mut rng = StdRng::seed_from_u64(seed);
     let until = tokio::time::Instant::now() + duration;
--- a/crates/crosspath_soak/src/main.rs
+++ b/crates/crosspath_soak/src/main.rs
@@ -1,9 +1,9 @@
-//! Runs real daemons as processes against stand-ins, injects faults from outside, and checks what
-//! callers and workers see.
+//! Runs real daemons as processes against a simulated platform, injects faults from outside, and
+//! checks what callers and workers observe.
 //!
-//! A run goes by its seed: which faults strike what, when and for how long, and what is submitted.
-//! Faults overlap. What depends on the machine's speed differs between two runs of a seed, so the
-//! logs of a run that broke a promise are kept.
+//! The seed of a run determines the jobs that are submitted, and the kind, target, time and
+//! duration of each fault. Faults overlap. Two runs of a seed still differ in what depends on the
+//! speed of the machine, so the logs of a run that broke a guarantee are kept.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -21,38 +21,38 @@
 mod run;
 mod traffic;
 
-/// Seeds that broke a promise once; each line holds one, and then its cause.
+/// Seeds of runs that broke a guarantee; each line holds a seed and then the cause.
 const REGRESSIONS: &str = include_str!("../seeds.txt");
 
-/// Runs daemons under faults and checks their promises.
+/// Runs daemons under faults and checks their guarantees.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options)]
 struct Options {
-    /// First seed.
+    /// First seed to run.
     #[bpaf(long, argument("SEED"), fallback(1))]
     first: u64,
-    /// Number of seeds.
+    /// Number of seeds to run, counted up from the first.
     #[bpaf(long, argument("N"), fallback(1))]
     seeds: u64,
-    /// Seconds of faults for each seed.
+    /// Seconds for which each seed submits jobs and injects faults.
     #[bpaf(long, argument("S"), fallback(20))]
     seconds: u64,
-    /// Daemons.
+    /// Number of daemons.
     #[bpaf(long, argument("N"), fallback(4))]
     daemons: usize,
-    /// Workers of each of the two pools.
+    /// Number of workers in each of the two pools.
     #[bpaf(long, argument("N"), fallback(4))]
     workers: usize,
-    /// Play the seeds that failed once, before the others.
+    /// Run the recorded seeds of past failures before the others.
     #[bpaf(long)]
     regressions: bool,
-    /// Some jobs crash the workers that start them.
+    /// Let some jobs crash the workers that start them.
     #[bpaf(long("deadly"))]
     crashing_jobs: bool,
-    /// Workers that crash begin again under their identifiers.
+    /// Crash workers often, and let crashed workers restart under the same identifier.
     #[bpaf(long("reborn"))]
     reuse_worker_ids: bool,
-    /// The daemon's program; by default the one beside this program.
+    /// Path of the daemon; by default `crosspathd` in the directory of this program.
     #[bpaf(long, argument("FILE"))]
     daemon: Option<PathBuf>,
 }
@@ -61,13 +61,15 @@
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("warn")).init();
     let options = options().run();
     let Some(program) = options.daemon.clone().or_else(daemon::default_program) else {
-        eprintln!("there is no crosspathd beside this program; build it, or name one by --daemon");
+        eprintln!(
+            "no crosspathd in the directory of this program; build it, or give its path by --daemon"
+        );
         return ExitCode::FAILURE;
     };
     let runtime = match tokio::runtime::Builder::new_multi_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(error) => {
-            eprintln!("cannot start: {error}");
+            eprintln!("cannot start the async runtime: {error}");
             return ExitCode::FAILURE;
         }
     };
@@ -92,7 +94,7 @@
                 return ExitCode::FAILURE;
             }
             Err(error) => {
-                eprintln!("seed {seed}: cannot be played: {error}");
+                eprintln!("seed {seed}: {error}");
                 return ExitCode::FAILURE;
             }
         }
@@ -100,7 +102,7 @@
     if failed_seeds == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-/// One run; none when a signal ends it, and with it the processes that it started.
+/// Runs one seed. None when SIGINT or SIGTERM interrupts it; its processes are then killed.
 async fn run_or_interrupt(plan: &Plan) -> Result<Option<Report>, run::Error> {
     let Ok(mut terminate) = signal(SignalKind::terminate()) else {
         return run::run(plan).await.map(Some);
@@ -112,6 +114,7 @@
     }
 }
 
+/// The recorded seeds if asked for, then the range of the options.
 fn seeds(options: &Options) -> Vec<u64> {
     let recorded =
         REGRESSIONS.lines().filter_map(|line| line.split_whitespace().next()?.parse().ok());
--- a/crates/crosspath_soak/src/proxy.rs
+++ b/crates/crosspath_soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy that can harm the connections through it.
+//! A loopback proxy that can impair the connections through it.
 
 use std::net::SocketAddr;
 use std::pin::pin;
@@ -12,27 +12,27 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinHandle;
 
-/// Between two looks whether held bytes may pass.
+/// Interval at which a connection checks how it is impaired.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 const BUFFER_BYTES: usize = 16 * 1024;
 
-/// What happens to connections.
+/// How the connections through a proxy are impaired.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub(crate) enum Impairment {
-    /// Nothing.
+    /// Not impaired.
     #[default]
     None,
-    /// Each piece of data is late by this.
+    /// Each chunk of data is forwarded this much later.
     Delay(Duration),
-    /// Open ones are cut and new ones closed at once.
+    /// Open connections are closed, and new ones as soon as they are accepted.
     Reset,
-    /// Nothing passes, either way; it passes when this is over.
+    /// Data in both directions is held back until the impairment ends.
     Silence,
-    /// What is asked passes, answers do not.
+    /// Requests pass; responses are held back until the impairment ends.
     NoAnswers,
 }
 
-/// A proxy before one server, until it is dropped.
+/// A proxy in front of one server. It accepts connections until it is dropped.
 #[derive(Debug)]
 pub(crate) struct Proxy {
     pub(crate) address: SocketAddr,
@@ -41,11 +41,11 @@
     task: JoinHandle<()>,
 }
 
-/// Connections through a proxy, numbered as they come.
+/// Connections through a proxy, numbered in order of acceptance.
 #[derive(Debug, Default)]
 struct Connections {
     accepted: AtomicU64,
-    /// Those with a number below this say nothing more, either way; nothing resets them.
+    /// Connections with a lower number carry no more data in either direction, but stay open.
     silenced_below: AtomicU64,
 }
 
@@ -71,13 +71,13 @@
         Ok(Self { address, impairment, connections, task })
     }
 
-    /// Silences all open connections for good; new ones work.
+    /// Silences all open connections for good. New connections work.
     pub(crate) fn silence_open(&self) {
         let accepted = self.connections.accepted.load(Ordering::SeqCst);
         self.connections.silenced_below.store(accepted, Ordering::SeqCst);
     }
 
-    /// Harms the connections for a while.
+    /// Impairs the connections for `duration`.
     pub(crate) async fn impair_for(&self, impairment: Impairment, duration: Duration) {
         self.set_impairment(impairment);
         tokio::time::sleep(duration).await;
@@ -103,7 +103,7 @@
             let forwarded = pin!(forward(client, target, impairment));
             let silenced = pin!(connections.until_silenced(number));
             if let Either::Right(((), _connection)) = select(forwarded, silenced).await {
-                // Neither side hears of an end.
+                // Keeps the sockets open, so that neither side sees the connection end.
                 std::future::pending::<()>().await;
             }
         }));
@@ -111,7 +111,7 @@
 }
 
 impl Connections {
-    /// Ends once a connection has gone silent.
+    /// Returns once the connection has been silenced.
     async fn until_silenced(&self, number: u64) {
         while number >= self.silenced_below.load(Ordering::SeqCst) {
             tokio::time::sleep(POLL_INTERVAL).await;
@@ -126,13 +126,14 @@
     let Ok(server) = TcpStream::connect(target).await else { return };
     let (from_client, to_client) = client.into_split();
     let (from_server, to_server) = server.into_split();
-    // Either way ending ends the connection.
+    // The connection ends when either direction ends.
     tokio::select! {
         () = relay(from_client, to_server, &impairment, false) => {}
         () = relay(from_server, to_client, &impairment, true) => {}
     }
 }
 
+/// Forwards one direction of a connection until it ends or is reset.
 async fn relay(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
--- a/crates/crosspath_soak/src/run.rs
+++ b/crates/crosspath_soak/src/run.rs
@@ -1,4 +1,5 @@
-//! One run: a site, its traffic and its faults, and what must hold when all is calm again.
+//! One run of a seed: builds a cluster, submits jobs and injects faults, and checks the guarantees
+//! once the faults have ended.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -18,33 +19,35 @@
 use crate::proxy::{Impairment, Proxy};
 use crate::traffic::{QUEUES, Traffic};
 
-/// From the start of the daemons to the first request.
+/// Time from the start of the daemons to the first request.
 const STARTUP_DELAY: Duration = Duration::from_secs(3);
-/// Between two submits, on the whole.
+/// Mean interval between two submits.
 const SUBMIT_INTERVAL: Duration = Duration::from_millis(60);
-/// Given to all jobs to end once all is calm: leases and takeovers take some seconds.
+/// Time in which all jobs must reach their expected state once the faults have ended: leases and
+/// takeovers take some seconds.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(40);
-/// Between two looks meanwhile.
+/// Interval between two checks of the jobs during [`SETTLE_TIMEOUT`].
 const SETTLE_POLL_INTERVAL: Duration = Duration::from_millis(500);
-/// Given to the tasks of lasting jobs to stop once those are cancelled.
+/// Time in which the tasks of long-running jobs must stop once these are cancelled.
 const STOP_DELAY: Duration = Duration::from_secs(6);
 
-/// What to run.
+/// Parameters of a run.
 #[derive(Debug, Clone)]
 pub(crate) struct Plan {
     pub(crate) seed: u64,
+    /// For how long jobs are submitted and faults are injected.
     pub(crate) duration: Duration,
     pub(crate) daemons: usize,
-    /// Of each pool.
+    /// Workers in each pool.
     pub(crate) workers: usize,
     /// Whether some jobs crash the workers that start them.
     pub(crate) crashing_jobs: bool,
-    /// Whether workers that crash begin again under their identifiers.
+    /// Whether workers crash often, and crashed workers restart under the same identifier.
     pub(crate) reuse_worker_ids: bool,
     pub(crate) program: PathBuf,
 }
 
-/// What came of it.
+/// Results of a run.
 #[derive(Debug)]
 pub(crate) struct Report {
     pub(crate) faults: usize,
@@ -53,26 +56,26 @@
     pub(crate) completed: usize,
     pub(crate) starts: u64,
     pub(crate) violations: Vec<String>,
-    /// Where the logs are, if a promise was broken.
+    /// Directory of the daemons' logs and settings, kept if a guarantee was broken.
     pub(crate) logs: Option<PathBuf>,
 }
 
-/// A run could not be set up.
+/// A run that could not be set up.
 #[derive(Debug, Snafu)]
 pub(crate) enum Error {
-    /// A file, a port or a process.
-    #[snafu(display("{what}: {source}"))]
+    /// A file could not be written, or a stand-in or proxy could not listen.
+    #[snafu(display("cannot set up the {what}: {source}"))]
     Setup { what: &'static str, source: std::io::Error },
 }
 
-/// Everything that faults can strike.
+/// Stand-ins, proxies and daemons of a run, into which faults are injected.
 #[derive(Debug)]
 pub(crate) struct Cluster {
     pub(crate) store: Arc<Store>,
     pub(crate) workers: Vec<Worker>,
     pub(crate) worker_proxies: Vec<Proxy>,
     pub(crate) daemons: Vec<Mutex<Daemon>>,
-    /// Between each daemon and the store.
+    /// Between each daemon and the store, in the order of the daemons.
     pub(crate) store_proxies: Vec<Proxy>,
 }
 
@@ -117,14 +120,14 @@
         Ok(cluster)
     }
 
-    /// Starts a daemon, if it does not run.
+    /// Starts a daemon unless it is running.
     pub(crate) async fn start(&self, daemon: usize) {
         if let Err(error) = self.daemons[daemon].lock().await.start() {
             log::warn!("event=daemon_not_started daemon={daemon} error=\"{error}\"");
         }
     }
 
-    /// Ends all faults.
+    /// Ends all faults and starts the daemons that are down.
     async fn clear_faults(&self) {
         self.store.set_mode(Mode::Up);
         for proxy in self.store_proxies.iter().chain(&self.worker_proxies) {
@@ -137,7 +140,7 @@
     }
 }
 
-/// Plays one seed.
+/// Runs one seed.
 pub(crate) async fn run(plan: &Plan) -> Result<Report, Error> {
     let directory = tempfile::tempdir().context(SetupSnafu { what: "folder" })?;
     let audit = Audit::default();
@@ -154,7 +157,7 @@
     let submissions = tokio::spawn(traffic.clone().run(plan.seed, plan.duration, SUBMIT_INTERVAL));
     let faults = faults::inject(&cluster, plan).await;
     if let Err(error) = submissions.await {
-        audit.report_violation(format!("callers failed: {error}"));
+        audit.report_violation(format!("the task that submits jobs failed: {error}"));
     }
     cluster.clear_faults().await;
     let completed = wait_until_settled(&audit, &traffic).await;
@@ -162,14 +165,14 @@
         let mut daemon = daemon.lock().await;
         if !daemon.is_running() {
             audit.report_violation(format!(
-                "{} does not run, though nothing strikes it",
+                "{} is not running although all faults have ended",
                 daemon.name
             ));
         }
     }
     let jobs = audit.jobs();
     let accepted = jobs.iter().filter(|(_, submission)| submission.accepted).count();
-    // Where nothing is taken no other promise is tried.
+    // Without an accepted job no other guarantee is put to the test.
     if accepted == 0 {
         audit.report_violation(format!("none of {} jobs was accepted", jobs.len()));
     }
@@ -186,7 +189,7 @@
     })
 }
 
-/// What a job still lacks, now that all is calm; none when nothing.
+/// Why a job is not yet in its expected state after the faults; none when it is.
 async fn check_job(
     audit: &Audit,
     traffic: &Traffic,
@@ -197,26 +200,28 @@
     let running = audit.running(job.id);
     match &lookup {
         Lookup::State(state) if state == "completed" => (!audit.is_completed(job))
-            .then(|| format!("job {} is shown as done and is not", job.id)),
+            .then(|| format!("job {} is reported as completed and is not", job.id)),
         Lookup::State(state) if state == "failed" && audit.may_fail(job) => {
-            (running > 0).then(|| format!("job {} was given up and runs", job.id))
+            (running > 0).then(|| format!("failed job {} still runs tasks", job.id))
         }
         Lookup::State(state) if state == "cancelled" && submission.cancel_requested => {
-            (running > 0).then(|| format!("cancelled job {} runs", job.id))
+            (running > 0).then(|| format!("cancelled job {} still runs tasks", job.id))
         }
         Lookup::State(state)
             if state == "running" && job.work.long_running && !submission.cancel_accepted =>
         {
             let total = job.steps.iter().sum::<u32>() as usize;
-            (running < total)
-                .then(|| format!("lasting job {} runs only {running} of {total} tasks", job.id))
+            (running < total).then(|| {
+                format!("long-running job {} runs only {running} of {total} tasks", job.id)
+            })
         }
         Lookup::None if !submission.accepted => None,
-        other => Some(format!("job {} may not be shown as {other:?} now ({submission:?})", job.id)),
+        other => Some(format!("job {} must not be reported as {other:?} ({submission:?})", job.id)),
     }
 }
 
-/// Waits until every job is as it must be; the number of completed ones.
+/// Waits until every job is in its expected state, up to [`SETTLE_TIMEOUT`]. Returns the number of
+/// jobs that are.
 async fn wait_until_settled(audit: &Audit, traffic: &Traffic) -> usize {
     let until = tokio::time::Instant::now() + SETTLE_TIMEOUT;
     let mut unsettled = audit.jobs();
@@ -244,17 +249,17 @@
     total - unsettled.len()
 }
 
-/// Cancels what lasts, which must then stop.
+/// Cancels the long-running jobs, whose tasks must then stop.
 async fn cancel_long_running(audit: &Audit, traffic: &Traffic) {
     let jobs = audit.jobs().into_iter().map(|(job, _)| job);
     let long_running: Vec<Job> = jobs.filter(|job| job.work.long_running).collect();
     for job in &long_running {
         if audit.running(job.id) > 0 && !traffic.cancel_at_any(job).await {
-            audit.report_violation(format!("job {} cannot be cancelled", job.id));
+            audit.report_violation(format!("no daemon accepts the cancellation of job {}", job.id));
         }
     }
     tokio::time::sleep(STOP_DELAY).await;
     for job in long_running.iter().filter(|job| audit.running(job.id) > 0) {
-        audit.report_violation(format!("job {} runs on after its cancelling", job.id));
+        audit.report_violation(format!("job {} still runs after its cancellation", job.id));
     }
 }
--- a/crates/crosspath_soak/src/traffic.rs
+++ b/crates/crosspath_soak/src/traffic.rs
@@ -1,4 +1,4 @@
-//! What callers do during a run.
+//! Callers that submit and cancel jobs during a run.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,14 +11,14 @@
 
 use crate::audit::Audit;
 
-/// Tries of one submit or cancel.
+/// Attempts at one submit or cancellation.
 const MAX_ATTEMPTS: usize = 5;
-/// Between two tries.
+/// Delay between two attempts.
 const RETRY_DELAY: Duration = Duration::from_millis(400);
-/// Queues, each with a pool of its own.
+/// Queues; each has its own pool.
 pub(crate) const QUEUES: [&str; 2] = ["counter", "meter"];
 
-/// A number in a hundred.
+/// Draws true with a probability of `percent` percent.
 fn chance(rng: &mut StdRng, percent: u32) -> bool {
     rng.random_range(0..100) < percent
 }
@@ -39,10 +39,11 @@
     }
 }
 
-/// One job in so many crashes its workers, where some do. By its identifier: the others stay as they are.
+/// One job in this many crashes its workers if the run has such jobs. Its identifier decides, so
+/// that the other jobs of a seed are the same in both cases.
 const CRASHING_JOB_INTERVAL: u64 = 23;
 
-/// Callers of all daemons.
+/// One caller for each daemon.
 #[derive(Debug, Clone)]
 pub(crate) struct Traffic {
     callers: Vec<Caller>,
@@ -59,7 +60,7 @@
         Self { callers: daemons.map(Caller::new).collect(), audit: audit.clone(), crashing_jobs }
     }
 
-    /// Submits jobs for a while, some of them twice, and cancels some.
+    /// Submits jobs for `duration`, some of them twice, and cancels some.
     pub(crate) async fn run(self, seed: u64, duration: Duration, interval: Duration) {
         let mut rng = StdRng::seed_from_u64(seed);
         let until = tokio::time::Instant::now() + duration;
@@ -78,7 +79,7 @@
         }
     }
 
-    /// One job, as its caller sees it.
+    /// Sends all requests for one job: its submit, and for some jobs a duplicate or a cancellation.
     async fn drive_job(self, job: Job, mut rng: StdRng) {
         self.audit.add_job(&job);
         for _ in 0..MAX_ATTEMPTS {
@@ -97,7 +98,7 @@
             tokio::time::sleep(RETRY_DELAY).await;
         }
         if chance(&mut rng, 10) {
-            // The same job arrives again; it remains one job.
+            // A duplicate submit must not create a second job.
             tokio::time::sleep(RETRY_DELAY.mul_f64(rng.random_range(0.0..4.0))).await;
             if self.random_caller(&mut rng).submit(&job).await != Outcome::Refused {
                 self.audit.update_submission(job.id, |submission| submission.unconfirmed = true);
@@ -126,7 +127,7 @@
         &self.callers[rng.random_range(0..self.callers.len())]
     }
 
-    /// A job's state, as the first daemon that knows something shows it.
+    /// State of a job as reported by the first daemon that can tell.
     pub(crate) async fn state(&self, job: &Job) -> Lookup {
         for caller in &self.callers {
             let lookup = caller.state(job).await;
@@ -137,7 +138,7 @@
         Lookup::Nothing
     }
 
-    /// Cancels a job at whichever daemon takes it.
+    /// Cancels a job through the first daemon that accepts; false if none does.
     pub(crate) async fn cancel_at_any(&self, job: &Job) -> bool {
         for caller in &self.callers {
             if caller.cancel(job).await == Outcome::Done {
