--- a/crates/crosspath_bench/src/baseline.rs
+++ b/crates/crosspath_bench/src/baseline.rs
@@ -1,4 +1,4 @@
-//! The plain ways that the users would otherwise use, kept for comparison.
+//! Simple strategies that an operator could follow without the planner, as baselines.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,7 +12,7 @@
 
 use crate::wave::{Planner, Strategy};
 
-/// One VM at a time in each pool.
+/// Drains one VM at a time in each pool.
 #[derive(Debug, Clone, Copy)]
 pub struct OneAtATime;
 
@@ -32,14 +32,15 @@
     }
 }
 
+/// VMs that are out of service for a wave.
 fn in_maintenance(
     state: &State,
 ) -> impl Iterator<Item = &crosspath_state::Stored<vm::Spec, vm::Phase>> {
     state.vms.values().filter(|vm| vm.status.wave().is_some())
 }
 
-/// Batches as large as the budget allows, in the order of the list; the next batch starts when the
-/// one before is back.
+/// Drains batches as large as the budget allows, in the order of the wave's targets; the next
+/// batch of a pool starts once all VMs of the previous one are back.
 #[derive(Debug, Clone, Copy)]
 pub struct FixedBatches;
 
@@ -76,7 +77,8 @@
     changes
 }
 
-/// Jobs go to the first VM with room, and jobs that could be suspended are moved like the others.
+/// Places each job on the first VM with enough free resources, and moves jobs that could be
+/// suspended like the others.
 #[derive(Debug, Clone, Copy)]
 pub struct FirstFitMoveAll;
 
@@ -117,7 +119,7 @@
     changes
 }
 
-/// Starts VMs in list order whenever the budget has room.
+/// Drains VMs in the order of the wave's targets, as many as the budget allows.
 fn drain_within_budget(state: &State) -> Vec<Change> {
     let mut used_budget: BTreeMap<PoolName, usize> = BTreeMap::new();
     let mut changes = Vec::new();
--- a/crates/crosspath_bench/src/counts.rs
+++ b/crates/crosspath_bench/src/counts.rs
@@ -1,4 +1,4 @@
-//! Counted figures: the same on every run.
+//! Counted figures, which are the same on every run.
 
 use std::time::Duration;
 
@@ -12,7 +12,9 @@
 use crate::{overload, slots};
 
 const SEED: u64 = 11;
+/// Offered load as a multiple of what the pool can serve.
 const OVERLOAD_FACTOR: f64 = 3.0;
+/// As [`OVERLOAD_FACTOR`], for the pool at low load.
 const UNLOADED_FACTOR: f64 = 0.3;
 
 fn fleets() -> [(&'static str, Fleet); 3] {
@@ -23,7 +25,7 @@
     ]
 }
 
-/// Three VMs that fail in the middle of a wave and are back after ten minutes.
+/// Three VMs, spread over the fleet, that fail during a wave and recover after ten minutes.
 #[must_use]
 pub fn failures(vms: usize) -> Vec<Failure> {
     let failure = |(number, at): (usize, u64)| Failure {
@@ -46,6 +48,7 @@
     figures
 }
 
+/// Figures of one maintenance wave over all pools of a fleet.
 fn wave_figures(name: &str, fleet: &Fleet) -> Vec<Figure> {
     let run = |failures: &[Failure]| wave::run(fleet.clone(), &Planner, failures);
     let planner = run(&[]);
@@ -82,12 +85,12 @@
     ]
 }
 
-/// Bytes of state and snapshots.
+/// Sizes of the state and its snapshots at several fleet sizes, and appends of a snapshot.
 fn size_figures() -> Vec<Figure> {
     let mut figures = Vec::new();
     for workers in [50, 200, 780, 3_120] {
         let fleet = fleet::generate(Size::scaled_to(workers), SEED);
-        let daemon = "entry-1".parse().expect("a name");
+        let daemon = "entry-1".parse().expect("a valid name");
         let writer = Writer { daemon, incarnation: Incarnation(1) };
         let chunks = snapshot::cut(&fleet.state, &writer);
         let state_bytes: usize = chunks.iter().map(|chunk| chunk.data.len()).sum();
@@ -105,6 +108,7 @@
     figures
 }
 
+/// Figures of the slots and of the latency of urgent requests under overload.
 fn routing_figures() -> Vec<Figure> {
     let mut figures = Vec::new();
     for daemons in [6, 24] {
--- a/crates/crosspath_bench/src/figure.rs
+++ b/crates/crosspath_bench/src/figure.rs
@@ -1,57 +1,57 @@
-//! One figure, its bound, and what a baseline gives.
+//! A figure with its bound and the value of a baseline.
 
 use std::collections::BTreeMap;
 
 use serde::Serialize;
 
-/// A figure as it is printed.
+/// A measured value in the form in which it is printed.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Figure {
-    /// Its name.
+    /// Name, by which `bounds.json` refers to the figure.
     #[serde(rename = "figure")]
     pub name: String,
-    /// Its value.
+    /// Measured value, rounded to three decimals.
     pub value: f64,
-    /// Its unit.
+    /// Unit of the value, the bound and the baseline.
     pub unit: &'static str,
-    /// What it may not exceed, if it is bound.
+    /// Highest value that passes the check; none if every value does.
     pub bound: Option<f64>,
-    /// What the plain way gives on the same input, if it was tried.
+    /// Value of a baseline on the same input, rounded to three decimals; none without a baseline.
     pub baseline: Option<f64>,
 }
 
 impl Figure {
-    /// A figure without a baseline; its bound comes from the file.
+    /// A figure without a baseline or a bound, see [`Self::with_baseline`] and [`with_bounds`].
     #[must_use]
     pub fn new(name: impl Into<String>, value: f64, unit: &'static str) -> Self {
         let value = (value * 1_000.0).round() / 1_000.0;
         Self { name: name.into(), value, unit, bound: None, baseline: None }
     }
 
-    /// Adds what the plain way gives.
+    /// Adds the value of the baseline.
     #[must_use]
     pub fn with_baseline(self, baseline: f64) -> Self {
         Self { baseline: Some((baseline * 1_000.0).round() / 1_000.0), ..self }
     }
 
-    /// Whether the bound is kept.
+    /// Whether the value does not exceed the bound; true without a bound.
     #[must_use]
     pub fn is_within_bound(&self) -> bool {
         self.bound.is_none_or(|bound| self.value <= bound)
     }
 }
 
-/// Bounds by figure, as committed.
+/// Bounds of `bounds.json`, by name of the figure.
 ///
 /// # Panics
 ///
-/// When the committed file is malformed.
+/// When the file is malformed.
 #[must_use]
 pub fn bounds() -> BTreeMap<String, f64> {
     serde_json::from_str(include_str!("../bounds.json")).expect("bounds.json is well formed")
 }
 
-/// Puts the committed bounds beside the figures.
+/// Adds the bounds of `bounds.json` to the figures.
 #[must_use]
 pub fn with_bounds(figures: Vec<Figure>) -> Vec<Figure> {
     let bounds = bounds();
--- a/crates/crosspath_bench/src/fleet.rs
+++ b/crates/crosspath_bench/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Fleets to decide on: the two deployments, and made-up ones of any size.
+//! Fleets as input of the benchmarks: those of `examples/`, and generated ones of any size.
 
 use std::collections::BTreeMap;
 
@@ -16,24 +16,24 @@
 const COBROS: &str = include_str!("../../../examples/cobros-unidos/resources.json");
 const ASSOCIATION: &str = include_str!("../../../examples/association/resources.json");
 
-/// Folds changes as one writer.
+/// State of a fleet, to which changes are applied in batches of a single writer.
 #[derive(Debug, Clone, Default)]
 pub struct Fleet {
-    /// The state so far.
+    /// State after all batches applied so far.
     pub state: State,
-    /// Batches so far.
+    /// Number of batches applied so far.
     pub batches: u64,
 }
 
 impl Fleet {
-    /// Folds one batch; one verdict for each change.
+    /// Applies one batch. Returns one verdict for each change.
     ///
     /// # Panics
     ///
-    /// Never: offsets are dense here.
+    /// Never: each batch is applied at the next offset.
     pub fn apply(&mut self, changes: Vec<Change>) -> Vec<Result<Revision, Conflict>> {
         self.batches += 1;
-        let daemon = "bench".parse().expect("a name");
+        let daemon = "bench".parse().expect("a valid name");
         let writer = Writer { daemon, incarnation: Incarnation(1) };
         let id = BatchId { writer, sequence: self.batches };
         let decided_on = self.state.applied;
@@ -41,26 +41,26 @@
         let offset = self.state.applied.next();
         match self.state.apply(offset, &Entry::Batch(batch)) {
             Ok(Applied::Batch(verdicts)) => verdicts,
-            other => panic!("not applied: {other:?}"),
+            other => panic!("batch not applied: {other:?}"),
         }
     }
 
     fn declare(&mut self, kind: Kind, name: &str, spec: Spec) {
-        let id = Id::new(kind, ResourceName::new(name).expect("a name"));
+        let id = Id::new(kind, ResourceName::new(name).expect("a valid name"));
         let change = Change::Put { id, spec: Box::new(spec), expected: None };
         for verdict in self.apply(vec![change]) {
-            verdict.unwrap_or_else(|conflict| panic!("{kind}/{name}: {conflict}"));
+            verdict.unwrap_or_else(|conflict| panic!("cannot declare {kind}/{name}: {conflict}"));
         }
     }
 }
 
-/// Cobros Unidos, as in `examples/`.
+/// The fleet of `examples/cobros-unidos`, with its jobs placed.
 #[must_use]
 pub fn cobros() -> Fleet {
     from_json(COBROS)
 }
 
-/// The Association, as in `examples/`.
+/// The fleet of `examples/association`, with its jobs placed.
 #[must_use]
 pub fn association() -> Fleet {
     from_json(ASSOCIATION)
@@ -77,24 +77,24 @@
     place_jobs(fleet)
 }
 
-/// Size of a made-up fleet.
+/// Size of a generated fleet.
 #[derive(Debug, Clone, Copy)]
 pub struct Size {
-    /// VMs.
+    /// Number of VMs, spread unevenly over the pools.
     pub workers: usize,
-    /// Pools.
+    /// Number of pools, each with a budget of its own.
     pub pools: usize,
-    /// Data centres.
+    /// Number of data centres, over which the VMs are spread.
     pub data_centres: usize,
-    /// Teams.
+    /// Number of teams, over which the jobs are spread.
     pub teams: usize,
 }
 
 impl Size {
-    /// Two years from now.
+    /// Expected size after two years of growth.
     pub const PROJECTED: Self = Self { workers: 780, pools: 35, data_centres: 8, teams: 25 };
 
-    /// The same proportions at another number of workers.
+    /// Size with `workers` VMs, and with pools and teams in the proportion of [`Self::PROJECTED`].
     #[must_use]
     pub fn scaled_to(workers: usize) -> Self {
         let pools = (workers * Self::PROJECTED.pools / Self::PROJECTED.workers).max(5);
@@ -103,11 +103,12 @@
     }
 }
 
-/// A made-up fleet: pools of uneven size, half of the cores in jobs, a third of those fixed.
+/// Generates a fleet: pools of uneven size, about half of the cores used by jobs, of which a third
+/// cannot be checkpointed.
 ///
 /// # Panics
 ///
-/// Never: everything it declares is valid.
+/// Never: everything that is declared is valid.
 #[must_use]
 pub fn generate(size: Size, seed: u64) -> Fleet {
     let mut rng = SmallRng::seed_from_u64(seed);
@@ -133,8 +134,8 @@
     for number in 0..size.workers * 2 {
         let pool = pool_of(rng.random_range(0..size.workers));
         let spec = job::Spec {
-            pool: format!("pool-{pool}").parse().expect("a name"),
-            team: format!("team-{}", number % size.teams).parse().expect("a name"),
+            pool: format!("pool-{pool}").parse().expect("a valid name"),
+            team: format!("team-{}", number % size.teams).parse().expect("a valid name"),
             class: if number % 4 == 0 { Class::Urgent } else { Class::Batch },
             cores: [2, 4, 8, 16][rng.random_range(0..4)],
             memory_mb: 8_192,
@@ -150,9 +151,9 @@
     let data_centre = number % data_centres;
     let rack = number / data_centres / 4;
     vm::Spec {
-        pool: format!("pool-{pool}").parse().expect("a name"),
-        data_centre: format!("dc-{data_centre}").parse().expect("a name"),
-        rack: format!("dc-{data_centre}-r{rack}").parse().expect("a name"),
+        pool: format!("pool-{pool}").parse().expect("a valid name"),
+        data_centre: format!("dc-{data_centre}").parse().expect("a valid name"),
+        rack: format!("dc-{data_centre}-r{rack}").parse().expect("a valid name"),
         address: ([127, 0, 0, 1], 9).into(),
         cores: 32,
         memory_mb: 131_072,
@@ -162,16 +163,16 @@
     }
 }
 
-/// Places every job that fits.
+/// Places every job that fits on some VM.
 fn place_jobs(mut fleet: Fleet) -> Fleet {
     let changes = crosspath_plan::decide(&fleet.state, &BTreeMap::new());
     for verdict in fleet.apply(changes) {
-        verdict.unwrap_or_else(|conflict| panic!("placement: {conflict}"));
+        verdict.unwrap_or_else(|conflict| panic!("placement rejected: {conflict}"));
     }
     fleet
 }
 
-/// Jobs that run now and can only move.
+/// Placed jobs that cannot be suspended, so that servicing their VM moves them.
 #[must_use]
 pub fn non_checkpointable_jobs(state: &State) -> Vec<JobName> {
     let jobs = state
--- a/crates/crosspath_bench/src/lib.rs
+++ b/crates/crosspath_bench/src/lib.rs
@@ -1,7 +1,8 @@
-//! Figures: counted ones with bounds, timed ones as ratios, and slopes.
+//! Benchmarks: counted figures with bounds, timed figures with their spread, and slopes over the
+//! size of a deployment.
 //!
-//! Counted figures step the pure decisions through made-up histories with a clock of their own, so
-//! that every run gives the same numbers; `bounds.json` holds what they may not exceed.
+//! Counted figures come from running the pure decision functions through simulated histories on a
+//! virtual clock, so that every run gives the same numbers. `bounds.json` holds their upper bounds.
 
 pub mod baseline;
 pub mod counts;
--- a/crates/crosspath_bench/src/main.rs
+++ b/crates/crosspath_bench/src/main.rs
@@ -1,4 +1,5 @@
-//! `crosspath_bench counts [--check] | report | timed | slopes`: one JSON object a line.
+//! `crosspath_bench counts [--check] | timed | slopes` prints each figure as a JSON object on its
+//! own line; `crosspath_bench report` writes the counted figures into `docs/CAPACITY.md`.
 
 use std::io::Write as _;
 use std::path::PathBuf;
@@ -10,21 +11,21 @@
 
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options)]
-/// Figures of crosspath
+/// Benchmarks of crosspath
 enum Options {
     /// Counted figures, the same on every run
     #[bpaf(command)]
     Counts {
-        /// End with an error when a figure is past its bound, or docs/CAPACITY.md says another
+        /// Fail when a figure exceeds its bound or docs/CAPACITY.md holds other values
         check: bool,
     },
     /// Write the counted figures into docs/CAPACITY.md
     #[bpaf(command)]
     Report,
-    /// Timed figures with their spread
+    /// Times of decisions at several sizes, with their spread
     #[bpaf(command)]
     Timed,
-    /// Memory, processor time and bytes of real daemons at several sizes
+    /// Memory, processor time, latency and bytes of real daemons at several sizes
     #[bpaf(command)]
     Slopes,
 }
@@ -43,28 +44,31 @@
     let unmeasured: Vec<_> =
         figure::bounds().into_keys().filter(|name| !is_measured(name)).collect();
     for figure in &exceeded {
-        eprintln!("{} is {}, past its bound of {:?}", figure.name, figure.value, figure.bound);
+        eprintln!(
+            "{} is {} and exceeds its bound of {:?}",
+            figure.name, figure.value, figure.bound
+        );
     }
     for name in &unmeasured {
-        eprintln!("{name} has a bound but is not measured");
+        eprintln!("{name} has a bound in bounds.json but was not measured");
     }
     let current = report::is_current(figures).unwrap_or_else(|error| {
         eprintln!("{error}");
         false
     });
     if !current {
-        eprintln!("docs/CAPACITY.md says other figures; run: crosspath_bench report");
+        eprintln!("docs/CAPACITY.md is out of date; run: crosspath_bench report");
     }
     let passed = exceeded.is_empty() && unmeasured.is_empty() && current;
     if passed { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-/// The daemon's program, built beside this one.
+/// Builds the daemon in release mode. Returns its path, in the directory of this program.
 fn build_daemon() -> PathBuf {
     let mut build = Command::new(std::env::var_os("CARGO").unwrap_or_else(|| "cargo".into()));
     build.args(["build", "--quiet", "--release", "-p", "crosspathd", "--bin", "crosspathd"]);
     if !build.status().is_ok_and(|status| status.success()) {
-        eprintln!("the daemon was not built; an older one is used if there is one");
+        eprintln!("cannot build crosspathd; using an earlier build if there is one");
     }
     let current_exe = std::env::current_exe().unwrap_or_default();
     current_exe.with_file_name("crosspathd")
--- a/crates/crosspath_bench/src/overload.rs
+++ b/crates/crosspath_bench/src/overload.rs
@@ -1,4 +1,4 @@
-//! Urgent requests among three times the load that a pool can serve, in virtual time.
+//! Latency of urgent requests at a multiple of the load that a pool can serve, in virtual time.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -17,20 +17,20 @@
 const SERVICE_MS: u64 = 40;
 const DEADLINE_MS: u64 = 2_000;
 const SECONDS: u64 = 60;
-/// One request of this many is urgent.
+/// One request in this many is urgent.
 const URGENT_ONE_IN: u64 = 6;
 const START_MS: u64 = 100_000;
 
-/// What urgent callers felt.
+/// Latency and success of the urgent requests.
 #[derive(Debug, Clone, Copy)]
 pub struct Summary {
-    /// 99th percentile of their latency, in ms.
+    /// 99th percentile of the latency of answered requests, in ms.
     pub p99_ms: u64,
-    /// Share of their requests that were answered in time.
+    /// Fraction of them that were answered before their deadline, 0 to 1.
     pub answered_fraction: f64,
 }
 
-/// Arrivals: time in ms and class, the same for every way that is compared.
+/// Poisson arrivals as time in ms and class, the same for all that are compared.
 fn arrivals(load: f64, seed: u64) -> Vec<(u64, Class)> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let per_ms = f64::from(VMS * SLOTS) / SERVICE_MS as f64 * load;
@@ -50,20 +50,20 @@
     Summary { p99_ms: latencies.value_at_quantile(0.99).max(1), answered_fraction }
 }
 
-/// A request that was not answered yet.
+/// A request that has not been answered yet.
 struct Request {
     arrived: u64,
     class: Class,
-    /// Once it has a slot.
+    /// VM on which it has a slot; none while it waits.
     vm: Option<VmName>,
 }
 
-/// One pool behind the product's dispatch, in virtual time.
+/// One pool behind [`Dispatch`], in virtual time.
 struct Pool {
     dispatch: Dispatch,
     rng: SmallRng,
     caller: CallerName,
-    /// When a request ends, and its ticket; the earliest first.
+    /// End of each running request, in ms, and its ticket; the earliest first.
     completions: BinaryHeap<Reverse<(u64, u64)>>,
     pending: BTreeMap<u64, Request>,
     latencies: Histogram<u64>,
@@ -74,17 +74,17 @@
         let bounds = Bounds { queue: 1_024, batch_ceiling_percent: 75, batch_floor_every: 8 };
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut dispatch = Dispatch::new(bounds);
-        let vm = |number| VmName::new(&format!("vm-{number}")).expect("a name");
+        let vm = |number| VmName::new(&format!("vm-{number}")).expect("a valid name");
         let targets: Vec<_> =
             (0..VMS).map(|number| Target { vm: vm(number), slots: SLOTS, local: true }).collect();
         dispatch.set_targets(&targets, Monotonic(START_MS), &mut rng);
         Self {
             dispatch,
             rng,
-            caller: CallerName::new("caller").expect("a name"),
+            caller: CallerName::new("caller").expect("a valid name"),
             completions: BinaryHeap::new(),
             pending: BTreeMap::new(),
-            latencies: Histogram::new(3).expect("three figures are allowed"),
+            latencies: Histogram::new(3).expect("three significant digits are allowed"),
         }
     }
 
@@ -102,7 +102,7 @@
         self.pending.insert(ticket, Request { arrived, class, vm });
     }
 
-    /// Ends what ends until then, in order; what waits takes its slots.
+    /// Completes the requests that end until then, in order; waiting requests take their slots.
     fn run_until(&mut self, until: u64) {
         while let Some(Reverse((at, ticket))) = self.completions.peek().copied() {
             if at > until {
@@ -118,7 +118,7 @@
             return;
         };
         if class == Class::Urgent && at - arrived <= DEADLINE_MS {
-            self.latencies.record(at - arrived).expect("in range");
+            self.latencies.record(at - arrived).expect("the histogram resizes itself");
         }
         for ticket in self.dispatch.expire(Monotonic(at)) {
             self.pending.remove(&ticket.0);
@@ -134,11 +134,11 @@
     }
 }
 
-/// The product's dispatch.
+/// Summary of the urgent requests with [`Dispatch`].
 ///
 /// # Panics
 ///
-/// Never.
+/// Never: the names are valid, and the histogram resizes itself.
 #[must_use]
 pub fn dispatch(load: f64, seed: u64) -> Summary {
     let mut pool = Pool::new(seed);
@@ -152,17 +152,18 @@
     summarize(&pool.latencies, urgent_sent)
 }
 
-/// One queue in the order of arrival, as long as it gets; those past their deadline are dropped.
+/// Summary of the urgent requests with one unbounded queue in order of arrival, which drops those
+/// past their deadline.
 ///
 /// # Panics
 ///
-/// Never.
+/// Never: the histogram resizes itself.
 #[must_use]
 pub fn fifo(load: f64, seed: u64) -> Summary {
     let mut free = VMS * SLOTS;
     let mut queue: VecDeque<(u64, Class)> = VecDeque::new();
     let mut completions: BinaryHeap<Reverse<u64>> = BinaryHeap::new();
-    let mut latencies = Histogram::<u64>::new(3).expect("three figures are allowed");
+    let mut latencies = Histogram::<u64>::new(3).expect("three significant digits are allowed");
     let mut urgent_sent = 0;
     let mut arrivals = arrivals(load, seed).into_iter().peekable();
     loop {
@@ -190,7 +191,7 @@
             completions.push(Reverse(now + SERVICE_MS));
             let latency = now + SERVICE_MS - arrived;
             if class == Class::Urgent && latency <= DEADLINE_MS {
-                latencies.record(latency).expect("in range");
+                latencies.record(latency).expect("the histogram resizes itself");
             }
         }
     }
--- a/crates/crosspath_bench/src/report.rs
+++ b/crates/crosspath_bench/src/report.rs
@@ -1,4 +1,4 @@
-//! The table of counted figures in `docs/CAPACITY.md`, kept the same as what is counted.
+//! The table of counted figures in `docs/CAPACITY.md`, which the check keeps equal to the figures.
 
 use std::path::PathBuf;
 
@@ -9,21 +9,21 @@
 const BEGIN: &str = "<!-- counted figures, written by `crosspath_bench report` -->";
 const END: &str = "<!-- end of counted figures -->";
 
-/// The page cannot be used.
+/// A page that cannot be read, written or updated.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// It cannot be read or written.
+    /// The page cannot be read or written.
     #[snafu(display("{}: {source}", path.display()))]
     Io {
-        /// The file.
+        /// Path of `docs/CAPACITY.md`.
         path: PathBuf,
-        /// Why.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The place of the table is not marked.
-    #[snafu(display("{}: no lines {BEGIN:?} and {END:?}", path.display()))]
+    /// The page lacks the lines that mark the place of the table.
+    #[snafu(display("{}: the lines {BEGIN:?} and {END:?} are missing", path.display()))]
     MissingMarkers {
-        /// The file.
+        /// Path of `docs/CAPACITY.md`.
         path: PathBuf,
     },
 }
@@ -46,7 +46,7 @@
     )
 }
 
-/// The page as it should be, and as it is.
+/// The page with the table of `figures`, and the page as it is.
 fn expected_and_current(figures: &[Figure]) -> Result<(String, String), Error> {
     let path = page_path();
     let current = std::fs::read_to_string(&path).context(IoSnafu { path: &path })?;
@@ -56,22 +56,22 @@
     Ok((expected, current))
 }
 
-/// Writes the table into the page.
+/// Replaces the table in the page by one of `figures`.
 ///
 /// # Errors
 ///
-/// [`Error`] when the page cannot be used.
+/// [`Error`] when the page cannot be read or written, or has no markers.
 pub fn write(figures: &[Figure]) -> Result<(), Error> {
     let (expected, _) = expected_and_current(figures)?;
     let path = page_path();
     std::fs::write(&path, expected).context(IoSnafu { path })
 }
 
-/// Whether the page says what was counted.
+/// Whether the table in the page holds `figures`.
 ///
 /// # Errors
 ///
-/// [`Error`] when the page cannot be used.
+/// [`Error`] when the page cannot be read or has no markers.
 pub fn is_current(figures: &[Figure]) -> Result<bool, Error> {
     let (expected, current) = expected_and_current(figures)?;
     Ok(expected == current)
--- a/crates/crosspath_bench/src/slopes.rs
+++ b/crates/crosspath_bench/src/slopes.rs
@@ -1,4 +1,4 @@
-//! Slopes of one real daemon: memory, processor time and peer bytes at several sizes.
+//! Memory, processor time, latency and bytes of real daemons, to compare several sizes.
 
 use std::net::Ipv4Addr;
 use std::path::Path;
@@ -19,38 +19,38 @@
 
 const SEED: u64 = 11;
 const IDLE_PERIOD: Duration = Duration::from_secs(5);
-/// Until handovers among many daemons are over.
+/// Time until handovers among many daemons have ended.
 const SETTLE_DELAY: Duration = Duration::from_secs(15);
-/// Clock ticks of `/proc/PID/stat` in a second.
+/// Clock ticks per second in `/proc/PID/stat`.
 const TICKS_PER_SECOND: f64 = 100.0;
 const MIB: f64 = 1_048_576.0;
 
-/// A slope that could not be measured.
+/// A figure that could not be measured.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The site does not run.
+    /// The stand-ins or a daemon did not start, or a daemon did not become ready.
     #[snafu(display("{source}"))]
     Site {
-        /// Why.
+        /// Error of the stand-ins or of the daemon.
         source: site::Error,
     },
-    /// A process cannot be looked at.
+    /// A file of a process, or the loopback listener, could not be used.
     #[snafu(display("cannot read {path}: {source}"))]
     Process {
-        /// The file.
+        /// Path of the file, or `loopback`.
         path: String,
-        /// Why.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// A call failed.
+    /// A call to a daemon or a stand-in failed.
     #[snafu(display("{source}"))]
     Call {
-        /// Why.
+        /// Error of the HTTP client.
         source: crosspath_http::client::Error,
     },
 }
 
-/// Resident memory in bytes and processor time in seconds of a process.
+/// Resident memory in bytes, and processor time in seconds, of a process.
 fn process_usage(id: u32) -> Result<(f64, f64), Error> {
     let read = |file: &str| {
         let path = format!("/proc/{id}/{file}");
@@ -90,7 +90,7 @@
     value.get_mut("spec").map(Value::take).unwrap_or_default()
 }
 
-/// The log as it would hold a fleet, so that a daemon can start from it.
+/// Appends a fleet to the log, from which a daemon can start.
 async fn preload(site: &Site, workers: usize) -> Result<(), Error> {
     let client = Client::new(site.fakes.platform, Duration::from_secs(10));
     let changes: Vec<_> = resources(workers)
@@ -115,18 +115,18 @@
     Ok(())
 }
 
-/// Memory and processor time of one daemon that carries a fleet, idle, and its time to start.
+/// Memory and processor time of one idle daemon with a fleet, and the time that it takes to start.
 ///
 /// # Errors
 ///
-/// [`Error`].
+/// [`Error`] when the site does not start, a call fails or a process cannot be read.
 pub async fn idle_daemon(program: &Path, workers: usize) -> Result<Vec<Figure>, Error> {
     let mut plan = Plan::new(program, 1);
     plan.timing = json!({});
     plan.fakes.vms = vm_configs(workers);
     let mut site = Site::start(&plan).await.context(SiteSnafu)?;
     preload(&site, workers).await?;
-    // Settles: jobs are placed, workers are looked at.
+    // Time to place the jobs and poll the workers.
     tokio::time::sleep(IDLE_PERIOD).await;
     let started = Instant::now();
     site.restart(0).context(SiteSnafu)?;
@@ -146,11 +146,11 @@
     ])
 }
 
-/// Idle processor time of each of several daemons with 50 workers.
+/// Processor time of each of several idle daemons with 50 workers, and the appends of all.
 ///
 /// # Errors
 ///
-/// [`Error`].
+/// [`Error`] when the site does not start, a call fails or a process cannot be read.
 pub async fn idle_daemons(program: &Path, count: usize) -> Result<Vec<Figure>, Error> {
     let mut plan = Plan::new(program, count);
     plan.timing = json!({});
@@ -180,18 +180,19 @@
     ])
 }
 
-/// Bytes of one heartbeat and of its answer, on the wire.
+/// Bytes of one heartbeat and of its response on the wire.
 ///
 /// # Errors
 ///
-/// [`Error`].
+/// [`Error`] when the site does not start, a call fails or a process cannot be read.
 pub async fn heartbeat_bytes(program: &Path) -> Result<Vec<Figure>, Error> {
     let plan = Plan::new(program, 2);
     let site = Site::start(&plan).await.context(SiteSnafu)?;
     let target = site.daemons[0].peers;
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await;
     let listener = listener.context(ProcessSnafu { path: "loopback" })?;
-    // The second daemon's place is taken by a listener that passes everything on and counts.
+    // The heartbeat is sent in the second daemon's name, through a listener that relays it and
+    // counts bytes.
     let (request_bytes, response_bytes) = relay_once(&listener, target, &site).await?;
     Ok(vec![
         Figure::new("beat_bytes", request_bytes, "bytes"),
@@ -199,6 +200,8 @@
     ])
 }
 
+/// Sends one heartbeat through `listener` to `target`. Returns the bytes of the request and of the
+/// response.
 async fn relay_once(
     listener: &TcpListener,
     target: std::net::SocketAddr,
@@ -213,7 +216,7 @@
     let applied = status.context(CallSnafu)?["applied"].as_u64().unwrap_or_default();
     let heartbeat = crosspath_peer::Beat {
         from: crosspath_state::record::Writer {
-            daemon: "entry-2".parse().expect("a name"),
+            daemon: "entry-2".parse().expect("a valid name"),
             incarnation: crosspath_state::record::Incarnation(1_800_000_000_000),
         },
         applied: crosspath_state::record::Revision(applied),
@@ -237,25 +240,25 @@
 const CHANGES: usize = 60;
 const BURST: usize = 100;
 
-/// Time from the acceptance of a change until it is in force on the last of six daemons, and of a
-/// burst of 100 from the first being sent.
+/// Time from the acceptance of a change until the last of six daemons has applied it, and from the
+/// first request of a burst of 100 changes until the last daemon has applied all.
 ///
 /// # Errors
 ///
-/// [`Error`].
+/// [`Error`] when the site does not start, a call fails or a process cannot be read.
 pub async fn config_propagation(program: &Path, log_latency_ms: u64) -> Result<Vec<Figure>, Error> {
     let mut plan = Plan::new(program, 6);
     plan.timing = json!({});
     plan.fakes.log_latency_ms = log_latency_ms;
     let site = Site::start(&plan).await.context(SiteSnafu)?;
     tokio::time::sleep(IDLE_PERIOD).await;
-    let mut times = Histogram::<u64>::new(3).expect("three figures are allowed");
+    let mut times = Histogram::<u64>::new(3).expect("three significant digits are allowed");
     for number in 0..CHANGES {
         let revision = put_team(&site, number % 6, number).await?;
         let accepted = Instant::now();
         wait_applied(&site, revision).await?;
         let millis = u64::try_from(accepted.elapsed().as_millis()).unwrap_or(u64::MAX);
-        times.record(millis).expect("resizes");
+        times.record(millis).expect("the histogram resizes itself");
     }
     let started = Instant::now();
     let puts = (0..BURST).map(|number| put_team(&site, number % 6, number));
@@ -274,6 +277,7 @@
     ])
 }
 
+/// Writes a team through one daemon. Returns the revision of the change.
 async fn put_team(site: &Site, through: usize, number: usize) -> Result<u64, Error> {
     let operator = site.daemons[through].operator();
     let body = json!({ "spec": { "max_cores": number } });
@@ -282,7 +286,7 @@
     Ok(put.context(CallSnafu)?["revision"].as_u64().unwrap_or_default())
 }
 
-/// Waits until every daemon lists the teams at `revision` or later.
+/// Waits until every daemon lists the teams at `revision` or a later one.
 async fn wait_applied(site: &Site, revision: u64) -> Result<(), Error> {
     let waits = site.daemons.iter().map(|daemon| async move {
         let operator = daemon.operator();
--- a/crates/crosspath_bench/src/slots.rs
+++ b/crates/crosspath_bench/src/slots.rs
@@ -1,4 +1,5 @@
-//! What fixed parts of the slots waste, against slots that all daemons could share freely.
+//! What is lost when each daemon has a fixed part of a VM's slots, compared with slots that all
+//! daemons share.
 
 use crosspath_route::split::Place;
 use crosspath_state::name::VmName;
@@ -7,14 +8,15 @@
 
 const VMS: u32 = 10;
 const SLOTS: u32 = 8;
+/// Offered load as a fraction of all slots.
 const LOAD_FACTOR: f64 = 0.7;
 const REQUESTS: u32 = 50_000;
 
-/// Share of requests that find no slot at their daemon while another daemon has one free, and the
-/// most that all parts together exceed a VM's slots.
+/// Fraction of requests that find no slot at their daemon while another daemon has a free one, and
+/// the largest number by which the parts of all daemons together exceed a VM's slots.
 #[must_use]
 pub fn waste_and_overshoot(daemons: u32, seed: u64) -> (f64, f64) {
-    let vm = |number: u32| VmName::new(&format!("vm-{number}")).expect("a name");
+    let vm = |number: u32| VmName::new(&format!("vm-{number}")).expect("a valid name");
     let part = |index: u32, number: u32| Place { index, daemons }.part(&vm(number), SLOTS);
     let daemon_slots: Vec<u32> =
         (0..daemons).map(|index| (0..VMS).map(|number| part(index, number)).sum()).collect();
@@ -45,6 +47,7 @@
     (f64::from(refused) / f64::from(REQUESTS), f64::from(overshoot))
 }
 
+/// Draws from the exponential distribution with mean 1.
 fn exponential(rng: &mut SmallRng) -> f64 {
     let uniform: f64 = rng.random_range(f64::EPSILON..1.0);
     -uniform.ln()
--- a/crates/crosspath_bench/src/timed.rs
+++ b/crates/crosspath_bench/src/timed.rs
@@ -1,4 +1,4 @@
-//! Timed figures, as ratios within one run or with their spread.
+//! Times of decisions and of applying a batch, with their spread.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -11,18 +11,18 @@
 const RUNS: usize = 15;
 const SEED: u64 = 11;
 
-/// Least, middle and most of several runs.
+/// Shortest, median and longest time of several runs.
 #[derive(Debug, Clone, Copy)]
 pub struct Spread {
-    /// The least.
+    /// Shortest of the measured times.
     pub min: Duration,
-    /// The middle one.
+    /// Median of the measured times.
     pub median: Duration,
-    /// The most.
+    /// Longest of the measured times.
     pub max: Duration,
 }
 
-/// Times `work` several times over.
+/// Runs `work` repeatedly and measures the time of each run.
 pub fn measure<T>(mut work: impl FnMut() -> T) -> Spread {
     let mut durations: Vec<Duration> = (0..RUNS)
         .map(|_| {
@@ -44,7 +44,7 @@
     ]
 }
 
-/// A fleet whose jobs have all lost their places.
+/// The fleet with all of its jobs unplaced.
 fn with_jobs_unplaced(fleet: &Fleet) -> Fleet {
     let mut fleet = fleet.clone();
     let action = crosspath_state::record::JobAction::Unplace;
@@ -54,7 +54,7 @@
     fleet
 }
 
-/// Decisions and folds at several sizes.
+/// Times of decisions, digests and applied batches at several fleet sizes.
 #[must_use]
 pub fn decisions() -> Vec<Figure> {
     let mut figures = Vec::new();
@@ -73,7 +73,7 @@
         figures.extend(figures_of(&format!("digest_{workers}"), digest));
         let apply = measure(|| {
             let mut copy = fleet.clone();
-            let vm = copy.state.vms.keys().next().cloned().expect("a VM");
+            let vm = copy.state.vms.keys().next().cloned().expect("the fleet has a VM");
             copy.apply(vec![Change::Step { vm, step: Step::Undrain }])
         });
         figures.extend(figures_of(&format!("fold_{workers}"), apply));
@@ -81,6 +81,7 @@
     figures
 }
 
+/// The fleet with one of its placed jobs unplaced.
 fn with_one_job_unplaced(fleet: &Fleet) -> Fleet {
     let mut fleet = fleet.clone();
     let placed = fleet.state.jobs.iter().find(|(_, job)| job.status.phase.vm().is_some());
--- a/crates/crosspath_bench/src/wave.rs
+++ b/crates/crosspath_bench/src/wave.rs
@@ -1,4 +1,5 @@
-//! Steps a wave through the pure decisions, with instant platform fakes and a clock of its own.
+//! Simulates a maintenance wave on the pure decision functions, with a platform that acts at once
+//! and a virtual clock.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -14,30 +15,30 @@
 
 use crate::fleet::{self, Fleet};
 
-/// Time from a drain to the reboot, at the least.
+/// Time from a VM's drain until its worker is idle, and its reboot can start.
 pub const DRAIN_TIME: Duration = Duration::from_secs(10);
 
-/// Time that a reboot takes.
+/// Duration of a VM's reboot, which starts after [`DRAIN_TIME`].
 pub const REBOOT_TIME: Duration = Duration::from_secs(170);
 
-/// A VM that fails during the wave, and comes back.
+/// Failure of a VM during the wave, and its recovery.
 #[derive(Debug, Clone)]
 pub struct Failure {
-    /// Which VM, in name order.
+    /// Index of the VM in name order.
     pub vm_index: usize,
-    /// When it fails.
+    /// Time of the failure, from the start of the wave.
     pub fails_at: Duration,
-    /// When it is back.
+    /// Time of the recovery, from the start of the wave.
     pub recovers_at: Duration,
 }
 
-/// Decides what happens next; [`Planner`] is ours, the others are in [`crate::baseline`].
+/// Decides the next changes: [`Planner`], or a baseline of [`crate::baseline`].
 pub trait Strategy {
-    /// Changes for the log.
+    /// Changes to append to the log; empty when nothing can be done before time passes.
     fn next_changes(&self, state: &State, observed: &BTreeMap<VmName, Observed>) -> Vec<Change>;
 }
 
-/// The product's own decisions, as the daemon commits them.
+/// The decisions that a daemon commits, from [`crosspath_plan::decide`].
 #[derive(Debug, Clone, Copy)]
 pub struct Planner;
 
@@ -47,40 +48,43 @@
     }
 }
 
-/// How a wave went.
+/// Result of a simulated wave.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Outcome {
-    /// Whether it ended.
+    /// Whether the wave ended.
     pub finished: bool,
-    /// Time it took over its lower bound.
+    /// Duration of the wave divided by its lower bound.
     pub time_over_bound: f64,
-    /// Moves over their lower bound: each job that can only move must move once.
+    /// Moves of jobs divided by their lower bound: one move for each job that cannot be suspended.
     pub moves_over_bound: f64,
-    /// Most often that one job moved.
+    /// Highest number of moves of one job.
     pub max_moves_per_job: u32,
-    /// Batches appended for each VM serviced.
+    /// Batches appended during the wave, per VM of the fleet.
     pub appends_per_vm: f64,
-    /// Revisions at which a pool exceeded its budget.
+    /// Number of batches after which a pool exceeded its budget, summed over the pools.
     pub budget_violations: u32,
-    /// Changes that the fold rejected.
+    /// Changes that were rejected when their batch was applied.
     pub rejected_changes: u32,
 }
 
+/// A wave in progress.
 struct Simulation<'a> {
     fleet: Fleet,
     now: Duration,
+    /// When each VM in maintenance was drained.
     maintenance_since: BTreeMap<VmName, Duration>,
     failures: &'a [Failure],
+    /// VMs that have failed and not yet recovered.
     down: BTreeSet<VmName>,
     budget_violations: u32,
     rejected_changes: u32,
 }
 
-/// Runs one wave over every pool.
+/// Simulates one wave over all pools.
 ///
 /// # Panics
 ///
-/// When the wave itself is not accepted.
+/// When the wave itself is rejected, or a budget lets no VM out.
 #[must_use]
 pub fn run(fleet: Fleet, strategy: &impl Strategy, failures: &[Failure]) -> Outcome {
     let vms = fleet.state.vms.len();
@@ -119,20 +123,22 @@
 }
 
 impl Simulation<'_> {
+    /// Declares the wave. Returns the lower bound of its duration.
     fn declare_wave(&mut self) -> Duration {
         let pools: Vec<PoolName> = self.fleet.state.pools.keys().cloned().collect();
         let failures = self.failures.len();
         let pause_after_failures = u32::try_from(failures).unwrap_or(u32::MAX).saturating_add(1);
         let spec = crosspath_state::wave::Spec { pools, canary: false, pause_after_failures };
         let bound = bound::wave_time(&self.fleet.state, &spec, DRAIN_TIME + REBOOT_TIME);
-        let id = Id::new(Kind::Wave, "wave".parse().expect("a name"));
+        let id = Id::new(Kind::Wave, "wave".parse().expect("a valid name"));
         let put = Change::Put { id, spec: Box::new(Spec::Wave(spec)), expected: None };
         let verdicts = self.fleet.apply(vec![put]);
-        assert!(verdicts.iter().all(Result::is_ok), "{verdicts:?}");
-        bound.expect("every budget lets one VM out")
+        assert!(verdicts.iter().all(Result::is_ok), "wave rejected: {verdicts:?}");
+        bound.expect("every budget lets at least one VM out")
     }
 
-    /// Commits what is decided, or else lets time pass; whether the wave goes on.
+    /// Commits the decided changes; advances the clock if they changed nothing. Returns whether the
+    /// wave goes on.
     fn step(&mut self, strategy: &impl Strategy) -> bool {
         let observed = self.observe();
         let changes = strategy.next_changes(&self.fleet.state, &observed);
@@ -182,7 +188,7 @@
         self.maintenance_since.iter().map(observe_vm).collect()
     }
 
-    /// Goes to the next time at which something happens.
+    /// Advances the clock to the next event. Returns false when there is none.
     fn advance(&mut self) -> bool {
         let ends = self.maintenance_since.values().flat_map(|maintenance_since| {
             [*maintenance_since + DRAIN_TIME, *maintenance_since + DRAIN_TIME + REBOOT_TIME]
@@ -196,6 +202,7 @@
         true
     }
 
+    /// Commits the failures and recoveries of the current time.
     fn apply_failures(&mut self) {
         let names: Vec<VmName> = self.fleet.state.vms.keys().cloned().collect();
         let mut changes = Vec::new();
@@ -213,7 +220,7 @@
     }
 }
 
-/// The steps that start VMs among some changes.
+/// VMs that the changes drain.
 #[must_use]
 pub fn drained_vms(changes: &[Change]) -> Vec<VmName> {
     let drain = |change: &Change| match change {
