--- a/crates/crosspath_job/src/record.rs
+++ b/crates/crosspath_job/src/record.rs
@@ -131,14 +131,14 @@
 }
 
 const CLAIM_KEY: &str = "claim";
-const ACCEPTED: &str = "job/";
-const PROGRESS: &str = "progress/";
-const CANCELLED: &str = "cancel/";
+const ACCEPTED_PREFIX: &str = "job/";
+const PROGRESS_PREFIX: &str = "progress/";
+const CANCELLED_PREFIX: &str = "cancel/";
 
 /// All keys of a job. They are deleted together when the job's retention ends.
 #[must_use]
 pub fn job_keys(job: JobId) -> [String; 3] {
-    [ACCEPTED, PROGRESS, CANCELLED].map(|prefix| format!("{prefix}{job}"))
+    [ACCEPTED_PREFIX, PROGRESS_PREFIX, CANCELLED_PREFIX].map(|prefix| format!("{prefix}{job}"))
 }
 
 fn json(value: &impl Serialize) -> Vec<u8> {
@@ -154,9 +154,9 @@
     #[must_use]
     pub fn key(&self) -> String {
         match self {
-            Self::Accepted(job, _) => format!("{ACCEPTED}{job}"),
-            Self::Progress(job, _) => format!("{PROGRESS}{job}"),
-            Self::Cancelled(job, _) => format!("{CANCELLED}{job}"),
+            Self::Accepted(job, _) => format!("{ACCEPTED_PREFIX}{job}"),
+            Self::Progress(job, _) => format!("{PROGRESS_PREFIX}{job}"),
+            Self::Cancelled(job, _) => format!("{CANCELLED_PREFIX}{job}"),
             Self::Claim(_) => CLAIM_KEY.to_owned(),
             Self::Tombstone(key) => key.clone(),
         }
@@ -187,13 +187,13 @@
             return value(key, bytes).map(Self::Claim);
         }
         let job = |prefix| key.strip_prefix(prefix).and_then(|id| id.parse::<JobId>().ok());
-        if let Some(job) = job(ACCEPTED) {
+        if let Some(job) = job(ACCEPTED_PREFIX) {
             return Ok(Self::Accepted(job, Arc::new(value(key, bytes)?)));
         }
-        if let Some(job) = job(PROGRESS) {
+        if let Some(job) = job(PROGRESS_PREFIX) {
             return value(key, bytes).map(|progress| Self::Progress(job, progress));
         }
-        if let Some(job) = job(CANCELLED) {
+        if let Some(job) = job(CANCELLED_PREFIX) {
             return value(key, bytes).map(|by| Self::Cancelled(job, by));
         }
         KeySnafu { key }.fail()
--- a/crates/crosspath_quota/tests/quota/histories.rs
+++ b/crates/crosspath_quota/tests/quota/histories.rs
@@ -10,7 +10,7 @@
 const RECOVERY_STEPS: u32 = 20_000;
 
 const NO_FAULTS: Faults =
-    Faults { ledger: 0, owner: 0, lost: 0, duplicated: 0, limit: 0, max_delay_ms: 4 };
+    Faults { new_ledger: 0, new_owner: 0, lost: 0, duplicated: 0, new_limit: 0, max_delay_ms: 4 };
 
 fn run_histories(faults: Faults) -> u64 {
     let mut starts = 0;
@@ -45,19 +45,26 @@
 
 #[test]
 fn maxima_rise_and_fall() {
-    assert!(run_histories(Faults { limit: 10, ..NO_FAULTS }) > 10_000);
+    assert!(run_histories(Faults { new_limit: 10, ..NO_FAULTS }) > 10_000);
 }
 
 #[test]
 fn owners_and_ledgers_change() {
     assert!(
-        run_histories(Faults { ledger: 3, owner: 10, max_delay_ms: 100, ..NO_FAULTS }) > 10_000
+        run_histories(Faults { new_ledger: 3, new_owner: 10, max_delay_ms: 100, ..NO_FAULTS })
+            > 10_000
     );
 }
 
 #[test]
 fn all_faults_at_once() {
-    let faults =
-        Faults { ledger: 3, owner: 10, lost: 100, duplicated: 100, limit: 5, max_delay_ms: 200 };
+    let faults = Faults {
+        new_ledger: 3,
+        new_owner: 10,
+        lost: 100,
+        duplicated: 100,
+        new_limit: 5,
+        max_delay_ms: 200,
+    };
     assert!(run_histories(faults) > 10_000);
 }
--- a/crates/crosspath_quota/tests/quota/simulation.rs
+++ b/crates/crosspath_quota/tests/quota/simulation.rs
@@ -23,11 +23,11 @@
 /// Probability of each fault per step, in thousandths, and the longest message delay.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Faults {
-    pub(crate) ledger: u32,
-    pub(crate) owner: u32,
+    pub(crate) new_ledger: u32,
+    pub(crate) new_owner: u32,
     pub(crate) lost: u32,
     pub(crate) duplicated: u32,
-    pub(crate) limit: u32,
+    pub(crate) new_limit: u32,
     pub(crate) max_delay_ms: u64,
 }
 
@@ -98,8 +98,14 @@
 
     /// Injects no further faults; the simulation must then reach a stable state.
     pub(crate) fn stop_faults(&mut self) {
-        self.faults =
-            Faults { ledger: 0, owner: 0, lost: 0, duplicated: 0, limit: 0, ..self.faults };
+        self.faults = Faults {
+            new_ledger: 0,
+            new_owner: 0,
+            lost: 0,
+            duplicated: 0,
+            new_limit: 0,
+            ..self.faults
+        };
     }
 
     pub(crate) fn waiting_tasks(&self) -> usize {
@@ -125,17 +131,17 @@
     }
 
     fn inject_faults(&mut self) {
-        if self.chance(self.faults.ledger) {
+        if self.chance(self.faults.new_ledger) {
             let term = self.ledgers.len() as u64 + 1;
             self.ledgers.push((Ledger::new(term), self.newest_maximum()));
         }
-        if self.chance(self.faults.owner) {
+        if self.chance(self.faults.new_owner) {
             let at = self.rng.random_range(0..self.shards.len());
             let shard = &mut self.shards[at];
             shard.epoch += 1;
             shard.allowance = Allowance::new(u32::try_from(at).expect("few shards"), shard.epoch);
         }
-        if self.chance(self.faults.limit) {
+        if self.chance(self.faults.new_limit) {
             let maximum = self.rng.random_range(5..80);
             self.maxima.push((self.now, maximum));
         }
--- a/crates/crosspath_schedule/src/losses.rs
+++ b/crates/crosspath_schedule/src/losses.rs
@@ -101,7 +101,7 @@
 
     /// Whether a run is ruled out as the cause of its worker's loss: it is a long-running one that
     /// has passed its probation.
-    fn is_above_suspicion(&self, id: TaskId, number: u64) -> bool {
+    fn is_ruled_out_as_cause(&self, id: TaskId, number: u64) -> bool {
         self.is_long_running(id) && self.is_past_probation(id, number)
     }
 
@@ -135,7 +135,7 @@
         let Some(run) = self.run(id, number) else { return };
         let never_sent = run.phase == Phase::Planned;
         let draining = self.workers.get(worker).is_some_and(|worker| worker.entry.draining);
-        if never_sent || draining || self.is_above_suspicion(id, number) {
+        if never_sent || draining || self.is_ruled_out_as_cause(id, number) {
             return;
         }
         let Colocation { others, alone } = colocation;
@@ -290,7 +290,7 @@
     /// that have passed their probation.
     pub(crate) fn colocation(&self, worker: &Worker) -> Colocation {
         let runs = worker.runs.keys();
-        let suspects = runs.filter(|(task, run)| !self.is_above_suspicion(*task, *run));
+        let suspects = runs.filter(|(task, run)| !self.is_ruled_out_as_cause(*task, *run));
         let alone = suspects.count() <= 1;
         Colocation { others: worker.runs.len().saturating_sub(1), alone }
     }
--- a/crates/crosspath_schedule/src/report.rs
+++ b/crates/crosspath_schedule/src/report.rs
@@ -76,8 +76,7 @@
     #[must_use]
     pub fn report(&self, now: Duration) -> Pool {
         let mut pool = Pool::default();
-        for worker in self.workers.values().filter(|worker| !self.is_superseded_incarnation(worker))
-        {
+        for worker in self.workers.values().filter(|worker| !self.is_replaced_incarnation(worker)) {
             let is_long_running = |task| self.step_of(task).is_some_and(|step| step.long_running);
             let long_running = worker.runs.iter().filter(|((task, _), _)| is_long_running(*task));
             let long_running: Vec<u64> =
@@ -113,7 +112,7 @@
     }
 
     /// Whether a worker does not answer while another worker on the same VM does.
-    fn is_superseded_incarnation(&self, worker: &Worker) -> bool {
+    fn is_replaced_incarnation(&self, worker: &Worker) -> bool {
         let same_vm = |other: &&Worker| {
             other.entry.vm == worker.entry.vm && other.entry.id != worker.entry.id
         };
--- a/crates/crosspath_schedule/src/stall.rs
+++ b/crates/crosspath_schedule/src/stall.rs
@@ -15,7 +15,7 @@
 /// gains some percent within it, and resuming from a checkpoint takes only a part of it.
 const STALL_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// Added to the suspicion score of a worker for each stalled run; two of them quarantine it.
-const STALL_PENALTY: f64 = 1.5;
+const SUSPICION_STALLED: f64 = 1.5;
 
 impl Scheduler {
     /// Stops all stalled runs on workers that answer.
@@ -29,7 +29,7 @@
             let Some(worker) = self.run(task, run).map(|run| run.worker.clone()) else { continue };
             log::info!("event=run_stalled task={task} run={run} worker={worker}");
             if let Some(worker) = self.workers.get_mut(&worker) {
-                worker.add_suspicion(now, STALL_PENALTY);
+                worker.add_suspicion(now, SUSPICION_STALLED);
             }
             self.stop_run(now, task, run);
         }
