--- a/crates/crosspath/src/commands/evacuate.rs
+++ b/crates/crosspath/src/commands/evacuate.rs
@@ -1,6 +1,7 @@
-//! `crosspath evacuate` and `crosspath evacuations`: data centres that are to get no new work.
+//! `crosspath evacuate` and `crosspath evacuations`: data centres in which no new work is placed.
 //!
-//! Both ask the platform's store, where an operator's word stands: it is in force once the store has taken it.
+//! Both commands use the platform's store instead of a daemon. The store holds the evacuation
+//! requests, and a request takes effect once the store has accepted it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -8,30 +9,32 @@
 use std::time::Duration;
 
 use crosspath_border::operator::{Change, Evacuation};
-use crosspath_border::store::{Error as StoreError, Guard, Partition, Store as _, Stored, Topic};
+use crosspath_border::store::{
+    Error as StoreError, Partition, Precondition, Store as _, Stored, Topic,
+};
 use crosspath_border::worker::Entry;
 use crosspath_platform::LogStore;
 use serde::Serialize;
 use snafu::ResultExt as _;
 
-use crate::error::{Error, ExitStatus, NoDataCentreSnafu, StoreSnafu};
+use crate::error::{Error, ExitStatus, StoreSnafu, UnknownDataCentreSnafu};
 use crate::output::{self, Format};
 use crate::table;
 
-/// For each call of the store.
+/// Timeout of each call to the store.
 const TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Workers of one pool in an evacuated data centre.
 #[derive(Debug, Default, Serialize)]
 struct Pool {
     workers: usize,
-    /// Those of them that say that they will end.
+    /// Number of the workers that will shut down soon.
     leaving: usize,
 }
 
-type DataCentres = BTreeMap<Arc<str>, BTreeMap<Arc<str>, Pool>>;
+type PoolsByDataCentre = BTreeMap<Arc<str>, BTreeMap<Arc<str>, Pool>>;
 
-/// Asks for the evacuation of a data centre, or takes that back.
+/// Requests the evacuation of a data centre, or withdraws that request with `undo`.
 pub(crate) async fn run(
     format: Format,
     address: SocketAddr,
@@ -39,33 +42,40 @@
     undo: bool,
 ) -> Result<ExitStatus, Error> {
     let store = LogStore::new(address, TIMEOUT);
-    let workers = workers(&store).await.context(StoreSnafu)?;
+    let workers = worker_entries(&store).await.context(StoreSnafu)?;
     let known: BTreeSet<_> = workers.iter().map(|entry| &*entry.data_centre).collect();
     if !undo && !known.contains(data_centre) {
         let known = Vec::from_iter(known).join(", ");
-        return NoDataCentreSnafu { data_centre, known }.fail();
+        return UnknownDataCentreSnafu { data_centre, known }.fail();
     }
-    let word = Evacuation { data_centre: data_centre.into(), asked: !undo };
-    let record = LogStore::evacuation(&word);
-    let appended = store.append(only(Topic::Operators), &[record], Guard::Free).await;
+    let evacuation = Evacuation { data_centre: data_centre.into(), requested: !undo };
+    let record = LogStore::evacuation(&evacuation);
+    let appended = store
+        .append(single_partition(Topic::Operators), &[record], Precondition::Unconditional)
+        .await;
     appended.context(StoreSnafu)?;
-    print(format, &store, &workers).await
+    print_evacuated(format, &store, &workers).await
 }
 
-/// Shows which data centres are evacuated.
+/// Shows the evacuated data centres and their workers.
 pub(crate) async fn show(format: Format, address: SocketAddr) -> Result<ExitStatus, Error> {
     let store = LogStore::new(address, TIMEOUT);
-    let workers = workers(&store).await.context(StoreSnafu)?;
-    print(format, &store, &workers).await
+    let workers = worker_entries(&store).await.context(StoreSnafu)?;
+    print_evacuated(format, &store, &workers).await
 }
 
-async fn print(format: Format, store: &LogStore, workers: &[Entry]) -> Result<ExitStatus, Error> {
-    let records = newest(store, Topic::Operators).await.context(StoreSnafu)?;
-    let evacuated = records.iter().filter_map(|record| match store.change(record) {
-        Ok(Change::Evacuation(word)) if word.asked => Some(word.data_centre),
+async fn print_evacuated(
+    format: Format,
+    store: &LogStore,
+    workers: &[Entry],
+) -> Result<ExitStatus, Error> {
+    let records = newest_records(store, Topic::Operators).await.context(StoreSnafu)?;
+    let evacuated = records.iter().filter_map(|record| match store.decode_change(record) {
+        Ok(Change::Evacuation(evacuation)) if evacuation.requested => Some(evacuation.data_centre),
         _ => None,
     });
-    let mut data_centres: DataCentres = evacuated.map(|name| (name, BTreeMap::new())).collect();
+    let mut data_centres: PoolsByDataCentre =
+        evacuated.map(|name| (name, BTreeMap::new())).collect();
     for entry in workers {
         let Some(pools) = data_centres.get_mut(&entry.data_centre) else { continue };
         let pool = pools.entry(Arc::clone(&entry.pool)).or_default();
@@ -76,7 +86,7 @@
     Ok(ExitStatus::Success)
 }
 
-fn text(data_centres: &DataCentres) -> String {
+fn text(data_centres: &PoolsByDataCentre) -> String {
     if data_centres.is_empty() {
         return "no data centre is evacuated".to_owned();
     }
@@ -94,18 +104,18 @@
     table::render(&["DATA CENTRE", "POOL", "WORKERS", "LEAVING"], &rows)
 }
 
-/// Entries of the worker list that can be read.
-async fn workers(store: &LogStore) -> Result<Vec<Entry>, StoreError> {
-    let records = newest(store, Topic::Workers).await?;
-    Ok(records.iter().filter_map(|record| store.worker(record).ok()).collect())
+/// Returns the entries of the worker list. Skips entries that cannot be decoded.
+async fn worker_entries(store: &LogStore) -> Result<Vec<Entry>, StoreError> {
+    let records = newest_records(store, Topic::Workers).await?;
+    Ok(records.iter().filter_map(|record| store.decode_worker(record).ok()).collect())
 }
 
-/// The newest record of each key of a topic with one partition.
-async fn newest(store: &LogStore, topic: Topic) -> Result<Vec<Stored>, StoreError> {
+/// Returns the newest record of each key of a topic that has a single partition.
+async fn newest_records(store: &LogStore, topic: Topic) -> Result<Vec<Stored>, StoreError> {
     let mut records: Vec<Stored> = Vec::new();
     loop {
         let after = records.last().map(|record| record.key.clone());
-        let page = store.newest(only(topic), after.as_deref()).await?;
+        let page = store.newest(single_partition(topic), after.as_deref()).await?;
         let more = page.more && !page.records.is_empty();
         records.extend(page.records);
         if !more {
@@ -114,6 +124,6 @@
     }
 }
 
-fn only(topic: Topic) -> Partition {
+fn single_partition(topic: Topic) -> Partition {
     Partition { topic, number: 0 }
 }
--- a/crates/crosspath_http/src/body.rs
+++ b/crates/crosspath_http/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies: bounded reading and ready answers.
+//! Request bodies read within limits, and response bodies that are complete from the start.
 
 use std::time::Duration;
 
@@ -10,67 +10,67 @@
 use serde::Serialize;
 use snafu::Snafu;
 
-/// Any error of a body that is passed on.
+/// Error of a body that is streamed through.
 pub type BoxError = Box<dyn std::error::Error + Send + Sync>;
 
-/// The body of an answer.
+/// Body of a response.
 pub type Body = UnsyncBoxBody<Bytes, BoxError>;
 
-/// A request body that was not taken.
+/// Request body that could not be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum BodyError {
-    /// It is too large.
+    /// The body exceeds the size limit.
     #[snafu(display("body is larger than {limit} bytes"))]
     TooLarge {
-        /// The limit.
+        /// Maximum size in bytes.
         limit: u64,
     },
-    /// It did not arrive in time.
+    /// The body did not arrive within the time limit.
     #[snafu(display("body did not arrive within {} ms", limit.as_millis()))]
     TooSlow {
-        /// The limit.
+        /// Time that was allowed for the whole body.
         limit: Duration,
     },
-    /// It ended before it was whole.
+    /// The connection failed or closed before the end of the body.
     #[snafu(display("body ended before it was whole"))]
-    Cut,
+    Truncated,
 }
 
-/// Reads a whole body, bounded in size and time.
+/// Reads a whole body of at most `bytes` bytes within `timeout`.
 ///
 /// # Errors
 ///
-/// [`BodyError`] when a bound is passed or the body is cut short.
-pub async fn read(body: Incoming, bytes: u64, time: Duration) -> Result<Bytes, BodyError> {
+/// [`BodyError`] if the body exceeds a limit or is truncated.
+pub async fn read(body: Incoming, bytes: u64, timeout: Duration) -> Result<Bytes, BodyError> {
     let limit = usize::try_from(bytes).unwrap_or(usize::MAX);
-    let whole = Limited::new(body, limit).collect();
-    let Ok(whole) = tokio::time::timeout(time, whole).await else {
-        return TooSlowSnafu { limit: time }.fail();
+    let collected = Limited::new(body, limit).collect();
+    let Ok(collected) = tokio::time::timeout(timeout, collected).await else {
+        return TooSlowSnafu { limit: timeout }.fail();
     };
-    match whole {
-        Ok(whole) => Ok(whole.to_bytes()),
+    match collected {
+        Ok(collected) => Ok(collected.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => TooLargeSnafu { limit: bytes }.fail(),
-        Err(_) => CutSnafu.fail(),
+        Err(_) => TruncatedSnafu.fail(),
     }
 }
 
-/// A body that is there already.
+/// Returns a body that consists of `bytes`.
 #[must_use]
 pub fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into()).map_err(|never| match never {}).boxed_unsync()
 }
 
-/// An answer with a JSON body.
+/// Returns a response with `value` as its JSON body.
 ///
 /// # Panics
 ///
-/// When `value` has no JSON form.
+/// Panics if `value` cannot be serialised as JSON.
 #[must_use]
 pub fn json(status: StatusCode, value: &impl Serialize) -> Response<Body> {
-    let bytes = serde_json::to_vec(value).expect("answers have a JSON form");
-    let mut answer = Response::new(full(bytes));
-    *answer.status_mut() = status;
-    let kind = header::HeaderValue::from_static("application/json");
-    answer.headers_mut().insert(header::CONTENT_TYPE, kind);
-    answer
+    let bytes = serde_json::to_vec(value).expect("response bodies serialise as JSON");
+    let mut response = Response::new(full(bytes));
+    *response.status_mut() = status;
+    let content_type = header::HeaderValue::from_static("application/json");
+    response.headers_mut().insert(header::CONTENT_TYPE, content_type);
+    response
 }
--- a/crates/crosspath_http/src/client.rs
+++ b/crates/crosspath_http/src/client.rs
@@ -1,8 +1,10 @@
-//! A small JSON client for one server.
+//! JSON client for one server.
 //!
-//! An open connection may go silent for good while new ones work, and nothing but an answer that does
-//! not come shows it. So a call without an answer costs the client all its idle connections, which may
-//! be silent too: the next call is made on a new one. What waits long is probed by keep-alives.
+//! A connection that is open can stop delivering data for good, without a reset, while new
+//! connections to the same server work. Only a missing response reveals this. A call without a
+//! response therefore discards all idle connections of the client, since they may be dead too, and
+//! the next call opens a new one. TCP keep-alive probes detect dead connections on which a call
+//! waits for a long time.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -13,7 +15,7 @@
 use http::{Request, header};
 use http_body_util::{BodyExt as _, Full, Limited};
 use hyper::body::Incoming;
-use hyper_util::client::legacy::Client as Pool;
+use hyper_util::client::legacy::Client as HyperClient;
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::TokioExecutor;
 use serde::Serialize;
@@ -23,56 +25,59 @@
 use crate::connection::Connection;
 use crate::latency::Latency;
 
-const MAX_ANSWER_BYTES: usize = 64 * 1024 * 1024;
-/// Idle time after which a connection is probed, and time between probes: the kernel counts whole
-/// seconds.
+/// Maximum size of a response body in bytes.
+const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
+/// Idle time before the first keep-alive probe, and interval between probes. The kernel counts in
+/// whole seconds.
 const KEEPALIVE: Duration = Duration::from_secs(1);
-/// Probes without an answer after which a connection is dead: one may be lost.
+/// Unanswered keep-alive probes after which a connection is closed. A single probe may be lost on
+/// a working connection.
 const KEEPALIVE_PROBES: u32 = 2;
 
-/// A call that gave no answer that can be used.
+/// Call that yielded no usable response.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
-    /// The request was never sent, so it had no effect.
-    #[snafu(display("{address} was not reached"))]
+    /// The request was never sent and had no effect.
+    #[snafu(display("{address} could not be reached"))]
     NotSent {
-        /// The server.
+        /// Address of the server.
         address: SocketAddr,
     },
-    /// The request may have had its effect; no answer came.
-    #[snafu(display("{address} gave no answer"))]
+    /// No response came. The request may have taken effect or may still do so.
+    #[snafu(display("{address} did not answer"))]
     NoAnswer {
-        /// The server.
+        /// Address of the server.
         address: SocketAddr,
     },
-    /// The server answered with an error.
+    /// The status of the response is not a success.
     #[snafu(display("{address} answered {status}: {body}"))]
     Status {
-        /// The server.
+        /// Address of the server.
         address: SocketAddr,
-        /// Its status.
+        /// Status of the response.
         status: StatusCode,
-        /// Its body.
+        /// Body of the response; invalid UTF-8 is replaced.
         body: String,
     },
-    /// The answer is not of the agreed form.
-    #[snafu(display("{address} gave a malformed answer: {source}"))]
+    /// The body of a successful response cannot be decoded.
+    #[snafu(display("invalid response from {address}: {source}"))]
     Malformed {
-        /// The server.
+        /// Address of the server.
         address: SocketAddr,
-        /// What the decoder says.
+        /// Error of the JSON decoder.
         source: serde_json::Error,
     },
 }
 
-type Connections = Pool<HttpConnector, Full<Bytes>>;
+type Pool = HyperClient<HttpConnector, Full<Bytes>>;
 
-/// A client of one server; clones share its connections.
+/// Client of one server. Clones share its connections.
 #[derive(Debug, Clone)]
 pub struct Client {
-    connections: Arc<Mutex<Connections>>,
-    /// Idle connections for what goes by the process that it reaches.
+    pool: Arc<Mutex<Pool>>,
+    /// Idle connections for requests that depend on the server process which they reach. The pool
+    /// does not tell which process a connection leads to.
     pub(crate) idle: Arc<Mutex<Vec<Connection>>>,
     latency: Arc<Mutex<Latency>>,
     pub(crate) connect_timeout: Duration,
@@ -81,34 +86,34 @@
     token: Option<String>,
 }
 
-/// An answer as it came.
+/// Response with any status.
 #[derive(Debug)]
-pub struct Answer {
+pub struct Response {
     /// Status and headers.
     pub head: http::response::Parts,
-    /// The whole body.
+    /// Complete body.
     pub body: Bytes,
 }
 
-impl AsRef<Self> for Answer {
+impl AsRef<Self> for Response {
     fn as_ref(&self) -> &Self {
         self
     }
 }
 
 impl Client {
-    /// Makes a client; each call takes at most `timeout`.
+    /// Creates a client whose calls and new connections each take at most `timeout`.
     #[must_use]
     pub fn new(address: SocketAddr, timeout: Duration) -> Self {
         Self::with_connect_timeout(address, timeout, timeout)
     }
 
-    /// As [`Self::new`], with a bound of its own for a new connection. A connection that is not
-    /// made within `connect` is [`Error::NotSent`].
+    /// As [`Self::new`], with a separate limit for new connections. If a connection is not
+    /// established within `connect`, the call fails with [`Error::NotSent`].
     #[must_use]
     pub fn with_connect_timeout(address: SocketAddr, connect: Duration, timeout: Duration) -> Self {
         Self {
-            connections: Arc::new(Mutex::new(connections(connect))),
+            pool: Arc::new(Mutex::new(new_pool(connect))),
             idle: Arc::default(),
             latency: Arc::default(),
             connect_timeout: connect,
@@ -118,23 +123,25 @@
         }
     }
 
-    /// Shows `token` as bearer with each call.
+    /// Sends `token` as the bearer token of each call.
     #[must_use]
     pub fn with_token(self, token: impl Into<String>) -> Self {
         Self { token: Some(token.into()), ..self }
     }
 
-    /// The server.
+    /// Address of the server.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sends `body` as JSON and reads the JSON answer.
+    /// Sends `body` as JSON and decodes the JSON response. Without a body the request is empty; an
+    /// empty response is decoded as `null`.
     ///
     /// # Errors
     ///
-    /// [`Error`]; only [`Error::NotSent`] says that the call had no effect.
+    /// [`Error`] if there is no usable response. Only after [`Error::NotSent`] is it certain that
+    /// the call had no effect.
     pub async fn call<A: DeserializeOwned>(
         &self,
         method: Method,
@@ -144,7 +151,7 @@
         self.call_within(method, path, body, self.timeout).await
     }
 
-    /// As [`Self::call`], with a time of its own.
+    /// As [`Self::call`], with a separate timeout.
     ///
     /// # Errors
     ///
@@ -157,16 +164,16 @@
         timeout: Duration,
     ) -> Result<A, Error> {
         let request = Request::builder().method(method).uri(path);
-        let answer = self.send_within(request, encode(body), timeout).await?;
-        self.decode(&answer)
+        let response = self.send_within(request, encode(body), timeout).await?;
+        self.decode(&response)
     }
 
-    /// As [`Self::call`], for a call whose effect is the same however often it arrives.
+    /// As [`Self::call`], for an idempotent call: it is hedged, so it may arrive several times.
     ///
     /// # Errors
     ///
     /// As for [`Self::call`].
-    pub async fn call_repeatable<A: DeserializeOwned>(
+    pub async fn call_idempotent<A: DeserializeOwned>(
         &self,
         method: Method,
         path: &str,
@@ -174,35 +181,36 @@
     ) -> Result<A, Error> {
         let request = Request::builder().method(method).uri(path);
         let body = encode(body);
-        let answer = self.send_repeatable(request, body, self.timeout, Duration::ZERO).await?;
-        self.decode(&answer)
+        let response = self.send_idempotent(request, body, self.timeout, Duration::ZERO).await?;
+        self.decode(&response)
     }
 
-    fn decode<A: DeserializeOwned>(&self, answer: &Answer) -> Result<A, Error> {
+    fn decode<A: DeserializeOwned>(&self, response: &Response) -> Result<A, Error> {
         let address = self.address;
-        let status = answer.head.status;
+        let status = response.head.status;
         if !status.is_success() {
-            let body = String::from_utf8_lossy(&answer.body).into_owned();
+            let body = String::from_utf8_lossy(&response.body).into_owned();
             return StatusSnafu { address, status, body }.fail();
         }
-        let bytes = if answer.body.is_empty() { b"null".as_slice() } else { &answer.body };
+        let bytes = if response.body.is_empty() { b"null".as_slice() } else { &response.body };
         serde_json::from_slice(bytes).context(MalformedSnafu { address })
     }
 
-    /// Sends a request whose URI is a path, and reads the whole answer, whatever its status.
+    /// Sends a request whose URI is a path, and reads the whole response, whatever its status.
     ///
     /// # Errors
     ///
-    /// [`Error::NotSent`] or [`Error::NoAnswer`].
+    /// [`Error::NotSent`] if the request was not sent, [`Error::NoAnswer`] if the connection failed
+    /// or no complete response came in time.
     pub async fn send(
         &self,
         request: http::request::Builder,
         body: Bytes,
-    ) -> Result<Answer, Error> {
+    ) -> Result<Response, Error> {
         self.send_within(request, body, self.timeout).await
     }
 
-    /// As [`Self::send`], with a time of its own.
+    /// As [`Self::send`], with a separate timeout.
     ///
     /// # Errors
     ///
@@ -212,40 +220,42 @@
         request: http::request::Builder,
         body: Bytes,
         timeout: Duration,
-    ) -> Result<Answer, Error> {
+    ) -> Result<Response, Error> {
         let request = self.request(request, body)?;
-        // Also when the caller stops waiting first, and this future is dropped.
-        let doubt = Doubt { client: self };
+        // Discards the idle connections on a timeout, and also if the caller stops waiting first
+        // and drops this future.
+        let pending = PendingCall { client: self };
         let exchange = tokio::time::timeout(timeout, self.exchange(request));
-        let Ok(answer) = exchange.await else {
+        let Ok(response) = exchange.await else {
             return NoAnswerSnafu { address: self.address }.fail();
         };
-        doubt.settle();
-        answer
+        pending.complete();
+        response
     }
 
-    /// As [`Self::send_within`], for a request whose effect is the same however often it arrives.
-    /// The server may let `wait` pass before it answers.
+    /// As [`Self::send_within`], for an idempotent request: it is hedged, so it may arrive several
+    /// times. The server may take up to `wait` before it answers, in addition to the usual delay.
     ///
     /// # Errors
     ///
     /// As for [`Self::send`].
-    pub async fn send_repeatable(
+    pub async fn send_idempotent(
         &self,
         request: http::request::Builder,
         body: Bytes,
         timeout: Duration,
         wait: Duration,
-    ) -> Result<Answer, Error> {
+    ) -> Result<Response, Error> {
         let request = self.request(request, body)?;
         let exchange = || self.exchange(request.clone());
-        self.repeat(exchange, timeout, wait).await
+        self.hedge(exchange, timeout, wait).await
     }
 
-    /// Time after which an answer is overdue now, beyond what the server may wait.
+    /// Current delay without a response after which an idempotent request is sent again, in
+    /// addition to the time that the server is allowed to wait.
     #[must_use]
-    pub fn overdue(&self) -> Duration {
-        self.latency().overdue()
+    pub fn hedging_delay(&self) -> Duration {
+        self.latency().hedging_delay()
     }
 
     pub(crate) fn request(
@@ -267,48 +277,49 @@
         self.latency.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Gives up the idle connections; calls under way keep theirs.
-    pub(crate) fn renew(&self) {
-        *self.connections() = connections(self.connect_timeout);
+    /// Discards the idle connections. Calls in progress keep theirs.
+    pub(crate) fn discard_idle(&self) {
+        *self.pool() = new_pool(self.connect_timeout);
         self.idle().clear();
     }
 
-    fn connections(&self) -> MutexGuard<'_, Connections> {
-        self.connections.lock().unwrap_or_else(PoisonError::into_inner)
+    fn pool(&self) -> MutexGuard<'_, Pool> {
+        self.pool.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) async fn exchange(&self, request: Request<Full<Bytes>>) -> Result<Answer, Error> {
+    pub(crate) async fn exchange(&self, request: Request<Full<Bytes>>) -> Result<Response, Error> {
         let address = self.address;
-        let connections = self.connections().clone();
-        let answer = match connections.request(request).await {
-            Ok(answer) => answer,
+        let pool = self.pool().clone();
+        let response = match pool.request(request).await {
+            Ok(response) => response,
             Err(error) if error.is_connect() => return NotSentSnafu { address }.fail(),
             Err(_) => return NoAnswerSnafu { address }.fail(),
         };
-        whole(address, answer).await
+        read_response(address, response).await
     }
 }
 
-/// Reads the whole of an answer.
-pub(crate) async fn whole(
+/// Reads the whole response.
+pub(crate) async fn read_response(
     address: SocketAddr,
-    answer: http::Response<Incoming>,
-) -> Result<Answer, Error> {
-    let (head, body) = answer.into_parts();
-    let Ok(whole) = Limited::new(body, MAX_ANSWER_BYTES).collect().await else {
+    response: http::Response<Incoming>,
+) -> Result<Response, Error> {
+    let (head, body) = response.into_parts();
+    let Ok(body) = Limited::new(body, MAX_RESPONSE_BYTES).collect().await else {
         return NoAnswerSnafu { address }.fail();
     };
-    Ok(Answer { head, body: whole.to_bytes() })
+    Ok(Response { head, body: body.to_bytes() })
 }
 
 fn encode(body: Option<&impl Serialize>) -> Bytes {
-    let bytes = body.map(|body| serde_json::to_vec(body).expect("requests have a JSON form"));
+    let bytes =
+        body.map(|body| serde_json::to_vec(body).expect("request bodies serialise as JSON"));
     bytes.unwrap_or_default().into()
 }
 
-/// Connections to one server, none open yet.
-fn connections(connect_timeout: Duration) -> Connections {
-    Pool::builder(TokioExecutor::new()).build(connector(connect_timeout))
+/// Creates a pool without open connections.
+fn new_pool(connect_timeout: Duration) -> Pool {
+    HyperClient::builder(TokioExecutor::new()).build(connector(connect_timeout))
 }
 
 pub(crate) fn connector(connect_timeout: Duration) -> HttpConnector {
@@ -321,21 +332,22 @@
     connector
 }
 
-/// A call that has no answer yet. Dropped without one it gives up the idle connections.
+/// Call that has no response yet. If it is dropped before it is completed, the idle connections of
+/// the client are discarded.
 #[derive(Debug)]
-pub(crate) struct Doubt<'a> {
+pub(crate) struct PendingCall<'a> {
     pub(crate) client: &'a Client,
 }
 
-impl Doubt<'_> {
-    /// The call has ended with an answer, or with an error of its connection.
-    pub(crate) fn settle(self) {
+impl PendingCall<'_> {
+    /// Marks the call as ended, with a response or with an error of its connection.
+    pub(crate) fn complete(self) {
         std::mem::forget(self);
     }
 }
 
-impl Drop for Doubt<'_> {
+impl Drop for PendingCall<'_> {
     fn drop(&mut self) {
-        self.client.renew();
+        self.client.discard_idle();
     }
 }
--- a/crates/crosspath_http/src/connection.rs
+++ b/crates/crosspath_http/src/connection.rs
@@ -1,8 +1,8 @@
-//! Connections of which it is known which process is at their other end.
+//! Connections that are bound to a known server process.
 //!
-//! A pool hands out any connection to an address. After a restart of the server a new one leads to another process, and
-//! nothing tells before its first answer. As long as a connection is open, though, it leads to the process that
-//! answered over it before.
+//! A pool returns any connection to an address. After a restart of the server, a new connection
+//! leads to another process, which cannot be detected before the first response. An open
+//! connection, however, always leads to the process that has already answered over it.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -15,52 +15,57 @@
 use hyper_util::client::legacy::connect::HttpConnector;
 use tower::ServiceExt as _;
 
-use crate::client::{Answer, Client, Doubt, Error, NoAnswerSnafu, NotSentSnafu, connector, whole};
+use crate::client::{
+    Client, Error, NoAnswerSnafu, NotSentSnafu, PendingCall, Response, connector, read_response,
+};
 
-/// An answer, and the connection that it came over; closed unless it is kept.
+/// Response together with the connection over which it came. The connection is closed on drop
+/// unless it is kept alive.
 #[derive(Debug)]
-pub struct Heard {
-    /// The answer.
-    pub answer: Answer,
+pub struct Exchange {
+    /// Response to the request.
+    pub response: Response,
     connection: Connection,
     idle: Arc<Mutex<Vec<Connection>>>,
 }
 
-impl AsRef<Answer> for Heard {
-    fn as_ref(&self) -> &Answer {
-        &self.answer
+impl AsRef<Response> for Exchange {
+    fn as_ref(&self) -> &Response {
+        &self.response
     }
 }
 
-impl Heard {
-    /// Keeps the connection for further requests.
-    pub fn keep(self) -> Answer {
+impl Exchange {
+    /// Keeps the connection for further requests, bound to the same process as before.
+    pub fn keep_alive(self) -> Response {
         let process = self.connection.process;
-        self.keep_to(process)
+        self.keep_alive_to(process)
     }
 
-    /// Keeps the connection for further requests; the answer tells which process it leads to, or does not.
-    pub fn keep_to(self, process: Option<u64>) -> Answer {
+    /// Keeps the connection for further requests and binds it to `process`; `None` if the response
+    /// does not identify the process.
+    pub fn keep_alive_to(self, process: Option<u64>) -> Response {
         let mut connection = self.connection;
         connection.process = process;
         self.idle.lock().unwrap_or_else(PoisonError::into_inner).push(connection);
-        self.answer
+        self.response
     }
 }
 
-/// A connection for one request at a time.
+/// Connection that carries one request at a time.
 #[derive(Debug)]
 pub(crate) struct Connection {
     address: SocketAddr,
     sender: SendRequest<Full<Bytes>>,
-    /// The process that answered over it last, as far as its answer told.
+    /// Process that answered last over the connection; `None` if no response has identified it.
     pub(crate) process: Option<u64>,
 }
 
 impl Connection {
-    /// Opens a connection.
+    /// Connects to `address`.
     pub(crate) async fn open(connector: HttpConnector, address: SocketAddr) -> Result<Self, Error> {
-        let uri: Uri = format!("http://{address}/").parse().expect("an address makes a URI");
+        let uri: Uri =
+            format!("http://{address}/").parse().expect("socket address is a valid URI authority");
         let Ok(stream) = connector.oneshot(uri).await else {
             return NotSentSnafu { address }.fail();
         };
@@ -71,19 +76,19 @@
         Ok(Self { address, sender, process: None })
     }
 
-    /// Whether another request can be sent.
+    /// Waits until the connection can carry another request; false if it is closed.
     pub(crate) async fn is_open(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the whole response.
     pub(crate) async fn exchange(
         &mut self,
         request: Request<Full<Bytes>>,
-    ) -> Result<Answer, Error> {
+    ) -> Result<Response, Error> {
         let address = self.address;
         match self.sender.send_request(in_origin_form(request, address)).await {
-            Ok(answer) => whole(address, answer).await,
+            Ok(response) => read_response(address, response).await,
             Err(error) if error.is_canceled() => NotSentSnafu { address }.fail(),
             Err(_) => NoAnswerSnafu { address }.fail(),
         }
@@ -91,27 +96,29 @@
 }
 
 impl Client {
-    /// As [`Self::send_repeatable`], for a request that may depend on which process it reaches: `request` makes it
-    /// for the process that answered over its connection before, or for one that is not known.
+    /// As [`Self::send_idempotent`], for a request whose content depends on the process that it
+    /// reaches. `request` receives the process that the connection is bound to, or `None` if that
+    /// is unknown.
     ///
     /// # Errors
     ///
     /// As for [`Self::send`].
-    pub async fn send_by_process(
+    pub async fn send_idempotent_with(
         &self,
         request: impl Fn(Option<u64>) -> (http::request::Builder, Bytes),
         timeout: Duration,
         wait: Duration,
-    ) -> Result<Heard, Error> {
+    ) -> Result<Exchange, Error> {
         let request = |process| {
             let (request, body) = request(process);
             self.request(request, body)
         };
-        let exchange = || self.exchange_directly(&request);
-        self.repeat(exchange, timeout, wait).await
+        let exchange = || self.exchange_over_connection(&request);
+        self.hedge(exchange, timeout, wait).await
     }
 
-    /// Sends a request over a connection that leads to `process`; none where there is no such connection.
+    /// Sends a request over an idle connection that is bound to `process`. Returns `None` without
+    /// sending if there is no such connection.
     ///
     /// # Errors
     ///
@@ -122,34 +129,34 @@
         request: http::request::Builder,
         body: Bytes,
         timeout: Duration,
-    ) -> Option<Result<Heard, Error>> {
-        let leads_there = |connection: &Connection| connection.process == Some(process);
-        let mut connection = self.idle_connection(leads_there).await?;
+    ) -> Option<Result<Exchange, Error>> {
+        let matches_process = |connection: &Connection| connection.process == Some(process);
+        let mut connection = self.idle_connection(matches_process).await?;
         let request = match self.request(request, body) {
             Ok(request) => request,
             Err(error) => return Some(Err(error)),
         };
-        let doubt = Doubt { client: self };
+        let pending = PendingCall { client: self };
         let exchange = tokio::time::timeout(timeout, connection.exchange(request));
-        let Ok(answer) = exchange.await else {
+        let Ok(response) = exchange.await else {
             return Some(NoAnswerSnafu { address: self.address }.fail());
         };
-        doubt.settle();
+        pending.complete();
         let idle = Arc::clone(&self.idle);
-        Some(answer.map(|answer| Heard { answer, connection, idle }))
+        Some(response.map(|response| Exchange { response, connection, idle }))
     }
 
     pub(crate) fn idle(&self) -> MutexGuard<'_, Vec<Connection>> {
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// An idle connection that is still open, the one used last.
-    async fn idle_connection(&self, suits: impl Fn(&Connection) -> bool) -> Option<Connection> {
+    /// Takes the most recently used idle connection that matches and is still open.
+    async fn idle_connection(&self, matches: impl Fn(&Connection) -> bool) -> Option<Connection> {
         loop {
             let mut connection = {
                 let mut idle = self.idle();
-                let at = idle.iter().rposition(&suits)?;
-                idle.remove(at)
+                let index = idle.iter().rposition(&matches)?;
+                idle.remove(index)
             };
             if connection.is_open().await {
                 return Some(connection);
@@ -157,24 +164,26 @@
         }
     }
 
-    async fn exchange_directly(
+    async fn exchange_over_connection(
         &self,
         request: &impl Fn(Option<u64>) -> Result<Request<Full<Bytes>>, Error>,
-    ) -> Result<Heard, Error> {
+    ) -> Result<Exchange, Error> {
         let mut connection = match self.idle_connection(|_| true).await {
             Some(connection) => connection,
             None => Connection::open(connector(self.connect_timeout), self.address).await?,
         };
-        let answer = connection.exchange(request(connection.process)?).await?;
-        Ok(Heard { answer, connection, idle: Arc::clone(&self.idle) })
+        let response = connection.exchange(request(connection.process)?).await?;
+        Ok(Exchange { response, connection, idle: Arc::clone(&self.idle) })
     }
 }
 
-/// The request as servers take it: its URI is a path, and a header names the server.
+/// Converts the request to origin form: the URI is reduced to path and query, and the `Host` header
+/// names the server.
 fn in_origin_form(mut request: Request<Full<Bytes>>, address: SocketAddr) -> Request<Full<Bytes>> {
     let path = request.uri().path_and_query().cloned();
     *request.uri_mut() = path.map(Uri::from).unwrap_or_default();
-    let host = HeaderValue::try_from(address.to_string()).expect("an address makes a header");
+    let host =
+        HeaderValue::try_from(address.to_string()).expect("socket address is a valid header value");
     request.headers_mut().insert(header::HOST, host);
     request
 }
--- a/crates/crosspath_http/tests/http/main.rs
+++ b/crates/crosspath_http/tests/http/main.rs
@@ -1,5 +1,5 @@
-//! Tests of the client against servers over loopback.
+//! Tests of the HTTP client against servers on the loopback interface.
 
+mod hedge;
 mod latency;
-mod repeat;
 mod silent;
--- a/crates/crosspath_job/src/id.rs
+++ b/crates/crosspath_job/src/id.rs
@@ -8,19 +8,19 @@
 
 const JOB_DIGITS: usize = 16;
 
-/// A text that is not an identifier.
+/// Text that is not a valid job or task identifier.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
-#[snafu(display("\"{text}\" is not {wanted}"))]
+#[snafu(display("\"{text}\" is not {expected}"))]
 pub struct ParseError {
     text: String,
-    wanted: &'static str,
+    expected: &'static str,
 }
 
-fn malformed(text: &str, wanted: &'static str) -> ParseError {
-    ParseError { text: text.to_owned(), wanted }
+fn malformed(text: &str, expected: &'static str) -> ParseError {
+    ParseError { text: text.to_owned(), expected }
 }
 
-/// Identifier of a job, chosen by its caller: 16 hexadecimal digits.
+/// Identifier of a job, chosen by its caller. Written as 16 lower-case hexadecimal digits.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(pub u64);
 
@@ -62,22 +62,23 @@
     }
 }
 
-/// One task of a job.
+/// Identifier of one task of a job. Written as `JOB.TIME.STEP.INDEX`, where `TIME` is the
+/// occurrence.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
-    /// Its job.
+    /// Job that the task belongs to.
     pub job: JobId,
-    /// Which of the job's times, from 0.
-    pub time: u32,
-    /// Which step, from 0.
+    /// Occurrence of the job, counted from 0.
+    pub occurrence: u32,
+    /// Position of the step within the job, counted from 0.
     pub step: u32,
-    /// Which task of the step, from 0.
+    /// Position of the task within the step, counted from 0.
     pub index: u32,
 }
 
 impl fmt::Display for TaskId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}.{}.{}.{}", self.job, self.time, self.step, self.index)
+        write!(f, "{}.{}.{}.{}", self.job, self.occurrence, self.step, self.index)
     }
 }
 
@@ -91,17 +92,17 @@
     type Err = ParseError;
 
     fn from_str(text: &str) -> Result<Self, ParseError> {
-        let wanted = "JOB.TIME.STEP.INDEX";
+        let expected = "JOB.TIME.STEP.INDEX";
         let mut parts = text.split('.');
         let job = parts.next().unwrap_or_default().parse()?;
         let mut number = || -> Result<u32, ParseError> {
             let part = parts.next().unwrap_or_default();
-            part.parse().map_err(|_| malformed(text, wanted))
+            part.parse().map_err(|_| malformed(text, expected))
         };
-        let (time, step, index) = (number()?, number()?, number()?);
+        let (occurrence, step, index) = (number()?, number()?, number()?);
         if parts.next().is_some() {
-            return Err(malformed(text, wanted));
+            return Err(malformed(text, expected));
         }
-        Ok(Self { job, time, step, index })
+        Ok(Self { job, occurrence, step, index })
     }
 }
--- a/crates/crosspath_node/src/appender.rs
+++ b/crates/crosspath_node/src/appender.rs
@@ -1,11 +1,12 @@
-//! Appending what callers ask for, many at a time.
+//! Appends the records of callers' requests to shards, in batches.
 //!
-//! What arrives while an append to the shard is under way goes with the next, unless that takes long. A
-//! record whose append got no answer is appended again: it is the newest of its key either way.
+//! Records that arrive while an append to the shard is in flight form the next batch, which is sent
+//! when that append ends or takes too long. A record whose append got no answer is appended again:
+//! the log keeps the newest record of a key, so a duplicate does no harm.
 //!
-//! Records go to the shard's owner, who appends those of all daemons together: a partition takes its appends in
-//! turn, and a slow store would keep few of them if each daemon appended by itself. An owner that does not answer is
-//! passed by.
+//! Batches are relayed to the shard's owner, which appends the records of all daemons together. A
+//! partition executes its appends one after the other, so a slow store would complete few of them
+//! if each daemon appended by itself. An owner that does not answer is bypassed.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,7 +14,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use crosspath_border::store::{Error, Keyed};
+use crosspath_border::store::{Error, NewRecord};
 use crosspath_job::record::Record;
 use futures::future::{Either, join_all, select};
 use futures::stream::{FuturesUnordered, StreamExt as _};
@@ -23,68 +24,74 @@
 
 use crate::clock;
 use crate::node::Node;
-use crate::pending::{self, Outcome, Patience, Pending};
-use crate::rpc::{self, Failure, Question};
+use crate::pending::{self, Deadlines, Outcome, Pending};
+use crate::rpc::{self, Failure, Request};
 
-/// Between tries of an append that was refused.
+/// Delay before a failed append is attempted again.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// After which an owner that has not answered is asked whether it lives: an append takes 10 ms, and an
-/// owner that is busy some 50 ms more.
-const OWNER_PATIENCE: Duration = Duration::from_millis(300);
-/// For an append by the shard's owner while the store is slow: one under way, and the next.
+/// Interval at which an owner is probed while its answer to an append is outstanding. An append
+/// takes 10 ms, and some 50 ms more if the owner is busy.
+const OWNER_PROBE_INTERVAL: Duration = Duration::from_millis(300);
+/// Timeout of an append through the shard's owner. While the store is slow, it covers the owner's
+/// append in flight and the next one.
 const OWNER_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// After which an owner takes records back that wait for a slow store: an append that takes 0.4 s is
-/// under way, and the one for them would end too late for the callers.
-const OWNER_WAIT: Duration = Duration::from_millis(800);
-/// After which an owner says that records surely are not kept: some tries, and in time for the asking
-/// daemon to tell its caller when to come back.
-const OWNER_REFUSAL: Duration = Duration::from_millis(250);
-/// After which it says that it does not know; before the asking daemon stops waiting.
-const OWNER_DOUBT: Duration = Duration::from_millis(1_000);
-/// Other daemons that are asked to append in one try. Where the store turns away a third of the daemons,
-/// one in 27 tries fails and is repeated; where it turns away all, callers hear of it soon.
-const RELAYS: usize = 2;
-/// After which an append under way holds up the next no longer. A quick store takes 5 to 10 ms, through the
-/// owner some 15; with one that is slow, a caller would wait for two such appends and its own, at its daemon and at
-/// the owner.
-const NEXT_AFTER: Duration = Duration::from_millis(30);
-/// Appends to a shard under way at most, where its owner makes them: a partition of a slow store takes one after the
-/// other, 17 a second where it is 57 times as slow, and those of its owner's commits too.
-const MOST_AS_OWNER: usize = 3;
-/// The same where the owner is asked for them, who makes one of many.
-const MOST_RELAYED: usize = 8;
-/// Records in one append at most; with a job of 4 KB far below the store's bound on a call.
+/// Time after which the owner withdraws records that are still queued behind a slow store. With
+/// appends that take 0.4 s, the append for these records would end too late for the callers.
+const OWNER_QUEUE_TIMEOUT: Duration = Duration::from_millis(800);
+/// Time after which the owner stops retrying records that are certainly not stored. It allows for
+/// some attempts, and leaves the requesting daemon time to tell its caller when to retry.
+const OWNER_REFUSE_AFTER: Duration = Duration::from_millis(250);
+/// Time after which the owner reports the outcome as unknown. Shorter than [`OWNER_TIMEOUT`], so
+/// that the requesting daemon still receives the answer.
+const OWNER_UNKNOWN_AFTER: Duration = Duration::from_millis(1_000);
+/// Maximum number of other daemons that are asked to append in one attempt. If the store refuses a
+/// third of the daemons, one attempt in 27 fails and is retried; if it refuses all of them, callers
+/// learn of it soon.
+const MAX_RELAYS: usize = 2;
+/// Time after which the next batch is sent although an append is still in flight. A fast store
+/// takes 5 to 10 ms, and some 15 ms through the owner. With a slow store, a caller would otherwise
+/// wait for two appends besides its own, one at its daemon and one at the owner.
+const PIPELINE_DELAY: Duration = Duration::from_millis(30);
+/// Maximum number of appends in flight to a shard at its owner. A partition executes them one after
+/// the other, along with the owner's commits: 17 per second when the store is 57 times as slow.
+const MAX_IN_FLIGHT_AS_OWNER: usize = 3;
+/// Maximum number of appends in flight to a shard at the other daemons. The owner combines them
+/// into fewer appends.
+const MAX_IN_FLIGHT_RELAYED: usize = 8;
+/// Maximum number of records in one append. With jobs of 4 KB this is far below the store's size
+/// limit.
 const MAX_RECORDS: usize = 128;
 
-/// One queue of records a shard.
+/// Queues of records to append, one for each shard number; created on first use.
 #[derive(Debug, Default)]
 pub(crate) struct Appenders(Mutex<HashMap<u32, mpsc::UnboundedSender<Pending>>>);
 
-/// Appends a record to a shard.
+/// Appends a record to a shard and returns its outcome. While the store is silent, there is a
+/// single attempt, which `deadlines` do not bound.
 pub(crate) async fn append(
     node: &Arc<Node>,
     shard: u32,
     record: &Record,
-    patience: Patience,
+    deadlines: Deadlines,
 ) -> Outcome {
-    let record = Keyed { key: record.key(), value: record.value().into() };
-    if rpc::is_taken_here(node, shard, &record) {
+    let record = NewRecord { key: record.key(), value: record.value().into() };
+    if rpc::is_taken_locally(node, shard, &record) {
         return Outcome::Taken;
     }
-    // What is under way may hold the queue up for long while the store is silent.
+    // While the store is silent, appends in flight may block the queue for long, so bypass it.
     if node.is_store_silent(clock::now()) {
         let records = [record];
-        let appended = append_somehow(node, shard, &records).await;
-        node.append_ended(clock::now(), appended.as_ref().err());
+        let appended = append_with_fallback(node, shard, &records).await;
+        node.record_append_result(clock::now(), appended.as_ref().err());
         return match appended {
-            Ok(by) => {
-                by.tell_owner(node, shard, &records);
-                by.outcome(&records[0].key)
+            Ok(route) => {
+                route.notify_owner(node, shard, &records);
+                route.outcome(&records[0].key)
             }
             Err(error) => outcome_of(error),
         };
     }
-    let (pending, waiter) = pending::pair(record, patience);
+    let (pending, waiter) = pending::pair(record, deadlines);
     sender(node, shard).send(pending).ok();
     waiter.outcome(clock::now()).await
 }
@@ -99,56 +106,60 @@
     sender.clone()
 }
 
-/// Sends what waits, as few appends as can be while the store is quick: what comes while one is under way waits
-/// for it and goes together. One that is slow, or whose answer is lost, holds nothing up for long.
+/// Sends queued records in as few appends as possible while the store is fast: records that arrive
+/// during an append wait for it and are sent together. An append that is slow, or whose answer is
+/// lost, delays the next one by [`PIPELINE_DELAY`] at most, as long as there are fewer in flight
+/// than allowed.
 async fn run(node: Arc<Node>, shard: u32, mut receiver: mpsc::UnboundedReceiver<Pending>) {
-    let mut waiting: Vec<Pending> = Vec::new();
-    let mut under_way = FuturesUnordered::new();
-    // When the next may be sent beside others, and at all.
-    let mut next = Instant::now();
-    let mut rested = next;
+    let mut queued: Vec<Pending> = Vec::new();
+    let mut in_flight = FuturesUnordered::new();
+    // `next_at`: when the next append may be sent beside those in flight.
+    // `retry_at`: until then nothing is sent, after a failure.
+    let mut next_at = Instant::now();
+    let mut retry_at = next_at;
     loop {
         let is_owner = node.owned().contains_key(&shard);
-        let may_send = under_way.len() < if is_owner { MOST_AS_OWNER } else { MOST_RELAYED };
+        let may_send =
+            in_flight.len() < if is_owner { MAX_IN_FLIGHT_AS_OWNER } else { MAX_IN_FLIGHT_RELAYED };
         tokio::select! {
-            failed = under_way.select_next_some(), if !under_way.is_empty() => {
+            failed = in_flight.select_next_some(), if !in_flight.is_empty() => {
                 if failed {
-                    rested = Instant::now() + RETRY_PAUSE;
+                    retry_at = Instant::now() + RETRY_PAUSE;
                 }
             }
-            received = receiver.recv(), if waiting.len() < MAX_RECORDS => {
+            received = receiver.recv(), if queued.len() < MAX_RECORDS => {
                 let Some(pending) = received else { return };
-                waiting.push(pending);
-                while waiting.len() < MAX_RECORDS && let Ok(pending) = receiver.try_recv() {
-                    waiting.push(pending);
+                queued.push(pending);
+                while queued.len() < MAX_RECORDS && let Ok(pending) = receiver.try_recv() {
+                    queued.push(pending);
                 }
             }
-            () = sleep_until(next.max(rested)), if !waiting.is_empty() && may_send => {}
+            () = sleep_until(next_at.max(retry_at)), if !queued.is_empty() && may_send => {}
         }
         let now = Instant::now();
-        let is_due = under_way.is_empty() || (may_send && now >= next);
-        if waiting.is_empty() || !is_due || now < rested {
+        let is_due = in_flight.is_empty() || (may_send && now >= next_at);
+        if queued.is_empty() || !is_due || now < retry_at {
             continue;
         }
-        let batch: Vec<_> = waiting.drain(..).filter(Pending::take).collect();
+        let batch: Vec<_> = queued.drain(..).filter(Pending::begin_send).collect();
         if !batch.is_empty() {
-            next = now + NEXT_AFTER;
-            under_way.push(append_batch(&node, shard, batch));
+            next_at = now + PIPELINE_DELAY;
+            in_flight.push(append_batch(&node, shard, batch));
         }
     }
 }
 
-/// Appends records until each has its outcome; whether the last try failed.
+/// Appends records until each has its outcome; returns whether the last attempt failed.
 async fn append_batch(node: &Arc<Node>, shard: u32, mut batch: Vec<Pending>) -> bool {
     loop {
-        let records: Vec<Keyed> = batch.iter().map(|pending| pending.record.clone()).collect();
-        let appended = append_somehow(node, shard, &records).await;
-        node.append_ended(clock::now(), appended.as_ref().err());
+        let records: Vec<NewRecord> = batch.iter().map(|pending| pending.record.clone()).collect();
+        let appended = append_with_fallback(node, shard, &records).await;
+        node.record_append_result(clock::now(), appended.as_ref().err());
         match appended {
-            Ok(by) => {
-                by.tell_owner(node, shard, &records);
+            Ok(route) => {
+                route.notify_owner(node, shard, &records);
                 for pending in batch.drain(..) {
-                    let outcome = by.outcome(&pending.record.key);
+                    let outcome = route.outcome(&pending.record.key);
                     pending.settle(outcome);
                 }
                 return false;
@@ -159,9 +170,9 @@
                     batch.len()
                 );
                 for pending in &mut batch {
-                    pending.failed(!error.is_not_done());
+                    pending.attempt_failed(!error.had_no_effect());
                 }
-                batch = give_up(node, batch);
+                batch = settle_expired(node, batch);
                 if batch.is_empty() {
                     return true;
                 }
@@ -171,36 +182,41 @@
     }
 }
 
-/// Answers those that are not tried again; the others. While the store is down one try by all ways is
-/// enough: a caller that waits through more only comes back later.
-fn give_up(node: &Node, batch: Vec<Pending>) -> Vec<Pending> {
+/// Settles the records that are not attempted again and returns the others. While the store is
+/// down, one attempt over all routes is enough: more of them only delay the caller's own retry.
+fn settle_expired(node: &Node, batch: Vec<Pending>) -> Vec<Pending> {
     let now = clock::now();
     let is_down = node.store_down_for(now).is_some();
-    let mut kept = Vec::new();
+    let mut remaining = Vec::new();
     for pending in batch {
-        match pending.verdict(now, is_down) {
+        match pending.final_outcome(now, is_down) {
             Some(outcome) => pending.settle(outcome),
-            None => kept.push(pending),
+            None => remaining.push(pending),
         }
     }
-    kept
+    remaining
 }
 
-/// What an append that failed says of its records.
+/// Outcome of a record whose append failed with `error`.
 pub(crate) fn outcome_of(error: Error) -> Outcome {
-    if error.is_not_done() { Outcome::NotKept } else { Outcome::Unknown }
+    if error.had_no_effect() { Outcome::NotKept } else { Outcome::Unknown }
 }
 
-/// Appends what another daemon was asked for, with what this one was asked for; one outcome for all.
-pub(crate) async fn append_as_owner(node: &Arc<Node>, shard: u32, records: Vec<Keyed>) -> Outcome {
+/// Appends records relayed by another daemon, batched with this daemon's own. Returns their common
+/// outcome, or [`Outcome::Unknown`] if they have different ones.
+pub(crate) async fn append_as_owner(
+    node: &Arc<Node>,
+    shard: u32,
+    records: Vec<NewRecord>,
+) -> Outcome {
     let now = clock::now();
-    let patience = Patience {
-        waits_until: now + OWNER_WAIT,
-        refused_at: now + OWNER_REFUSAL,
-        doubted_until: now + OWNER_DOUBT,
+    let deadlines = Deadlines {
+        send_by: now + OWNER_QUEUE_TIMEOUT,
+        refuse_at: now + OWNER_REFUSE_AFTER,
+        unknown_at: now + OWNER_UNKNOWN_AFTER,
     };
     let waiters = records.iter().map(|record| {
-        let (pending, waiter) = pending::pair(record.clone(), patience);
+        let (pending, waiter) = pending::pair(record.clone(), deadlines);
         sender(node, shard).send(pending).ok();
         waiter.outcome(now)
     });
@@ -209,100 +225,112 @@
     if outcomes.iter().all(|outcome| *outcome == first) { first } else { Outcome::Unknown }
 }
 
-/// Appends through the shard's owner, or else directly or through any daemon that the store serves.
-async fn append_somehow(node: &Arc<Node>, shard: u32, records: &[Keyed]) -> Result<By, Error> {
+/// Appends through the shard's owner. If this daemon is the owner, none is known, or the owner
+/// fails or is unresponsive, appends without it.
+async fn append_with_fallback(
+    node: &Arc<Node>,
+    shard: u32,
+    records: &[NewRecord],
+) -> Result<Route, Error> {
     let owner = node.holder(shard).filter(|_| !node.owned().contains_key(&shard));
-    let by_any = async || append_by_any(node, shard, records).await.map(|()| By::Other);
-    let Some(owner) = owner else { return by_any().await };
-    let by_owner = pin!(rpc::relay_append(node, owner, shard, records, OWNER_TIMEOUT));
-    let by_owner = match select(by_owner, pin!(owner_is_silent(node, owner))).await {
-        Either::Left((Ok(taken), _)) => return Ok(By::Owner { taken }),
-        // Appended by each daemon, they would hold the store up even more.
+    let without_owner =
+        async || append_without_owner(node, shard, records).await.map(|()| Route::WithoutOwner);
+    let Some(owner) = owner else { return without_owner().await };
+    let via_owner = pin!(rpc::relay_append(node, owner, shard, records, OWNER_TIMEOUT));
+    let via_owner = match select(via_owner, pin!(until_owner_unresponsive(node, owner))).await {
+        Either::Left((Ok(taken), _)) => return Ok(Route::Owner { taken }),
+        // The store is slow. Appends by each daemon would slow it down even more.
         Either::Left((Err(failure @ (Failure::Unsent | Failure::Unanswered)), _)) => {
             return Err(failure.into());
         }
         Either::Left((Err(failure), _)) => {
-            node.holders_doubted.notify_one();
-            return by_any().await.map_err(|other| worse(failure.into(), other));
+            node.holders_stale.notify_one();
+            return without_owner().await.map_err(|other| combine_errors(failure.into(), other));
         }
-        Either::Right(((), by_owner)) => by_owner,
+        Either::Right(((), via_owner)) => via_owner,
     };
-    // The owner may have it appended all the same; that twice is as good as once.
-    match select(by_owner, pin!(by_any())).await {
-        Either::Left((Ok(taken), _)) => Ok(By::Owner { taken }),
-        Either::Right((Ok(by), _)) => Ok(by),
+    // The owner may still append the records. A duplicate append does no harm.
+    match select(via_owner, pin!(without_owner())).await {
+        Either::Left((Ok(taken), _)) => Ok(Route::Owner { taken }),
+        Either::Right((Ok(route), _)) => Ok(route),
         Either::Left((Err(failure), other)) => {
-            other.await.map_err(|other| worse(failure.into(), other))
+            other.await.map_err(|other| combine_errors(failure.into(), other))
         }
         Either::Right((Err(error), other)) => other
             .await
-            .map(|taken| By::Owner { taken })
-            .map_err(|failure| worse(error, failure.into())),
+            .map(|taken| Route::Owner { taken })
+            .map_err(|failure| combine_errors(error, failure.into())),
     }
 }
 
-/// Who has appended a record.
+/// Route by which records were appended.
 #[derive(Debug, Clone)]
-enum By {
-    /// The shard's owner, who knows of it; not of records with these keys, whose identifiers other
-    /// customers' jobs have.
+enum Route {
+    /// Through the shard's owner, which knows of them. It did not append the records whose keys are
+    /// in `taken`: their identifiers belong to other customers' jobs.
     Owner { taken: Vec<String> },
-    /// This daemon, or one that the store serves.
-    Other,
+    /// By this daemon, or through another one that is not known to be the owner.
+    WithoutOwner,
 }
 
-impl By {
-    /// Has the owner hear of records sooner than by the log, if it does not know of them; nobody waits
-    /// for that.
-    fn tell_owner(&self, node: &Arc<Node>, shard: u32, records: &[Keyed]) {
+impl Route {
+    /// Notifies the owner of records that were appended without it, in the background, so that it
+    /// need not wait until it reads them from the log.
+    fn notify_owner(&self, node: &Arc<Node>, shard: u32, records: &[NewRecord]) {
         if matches!(self, Self::Owner { .. }) {
             return;
         }
         for record in records {
             let (node, record) = (Arc::clone(node), record.clone());
-            drop(tokio::spawn(async move { rpc::tell_kept(&node, shard, &record).await }));
+            drop(tokio::spawn(async move { rpc::notify_stored(&node, shard, &record).await }));
         }
     }
 }
 
-impl By {
-    /// What became of the record with a key.
+impl Route {
+    /// Outcome of the record with the given key.
     fn outcome(&self, key: &str) -> Outcome {
         match self {
             Self::Owner { taken } if taken.iter().any(|other| other == key) => Outcome::Taken,
-            Self::Owner { .. } | Self::Other => Outcome::Kept,
+            Self::Owner { .. } | Self::WithoutOwner => Outcome::Kept,
         }
     }
 }
 
-/// Ends when an owner that was asked to append turns out to be silent; one that answers other questions
-/// waits for the store.
-async fn owner_is_silent(node: &Node, owner: SocketAddr) {
+/// Returns once the owner fails to answer a probe. An owner that answers probes but not the append
+/// is waiting for the store.
+async fn until_owner_unresponsive(node: &Node, owner: SocketAddr) {
     loop {
-        tokio::time::sleep(OWNER_PATIENCE).await;
-        if let Err(error) = node.peers.ask(owner, &Question::Life).await {
+        tokio::time::sleep(OWNER_PROBE_INTERVAL).await;
+        if let Err(error) = node.peers.call(owner, &Request::Incarnation).await {
             log::info!("event=owner_silent peer={owner} error=\"{error}\"");
             return;
         }
     }
 }
 
-/// What two failed ways say together: what is in doubt by one of them is in doubt.
-fn worse(one: Error, other: Error) -> Error {
-    if one.is_not_done() { other } else { one }
+/// Combines the errors of two routes: if either append may have taken effect, returns an error that
+/// says so.
+fn combine_errors(one: Error, other: Error) -> Error {
+    if one.had_no_effect() { other } else { one }
 }
 
-async fn append_by_any(node: &Arc<Node>, shard: u32, records: &[Keyed]) -> Result<(), Error> {
+/// Appends directly, or else through up to [`MAX_RELAYS`] other daemons, chosen at random.
+async fn append_without_owner(
+    node: &Arc<Node>,
+    shard: u32,
+    records: &[NewRecord],
+) -> Result<(), Error> {
     let mut error = match node.append(shard, records).await {
         Ok(()) => return Ok(()),
         Err(error) => error,
     };
-    let mut peers = node.other_daemons();
-    let (some, _) = peers.partial_shuffle(&mut rand::rng(), RELAYS);
-    for peer in &*some {
+    let mut peers = node.other_owners();
+    let (relays, _) = peers.partial_shuffle(&mut rand::rng(), MAX_RELAYS);
+    for peer in &*relays {
         match rpc::relay_append(node, *peer, shard, records, rpc::TIMEOUT).await {
             Ok(_) => return Ok(()),
-            Err(failure) => error = worse(error, failure.into()),
+            Err(failure) => error = combine_errors(error, failure.into()),
         }
     }
     Err(error)
--- /dev/null
+++ b/crates/crosspath_node/src/config_sync.rs
@@ -0,0 +1,86 @@
+//! Detects that the operators' log may have unread records, and fetches their content from peers.
+//!
+//! The operators' log is read by long polls, so a daemon receives an answer of the store every
+//! `feed::LONG_POLL_TIMEOUT`. If the store refuses its calls or does not answer, the daemon
+//! cannot know whether there is a newer configuration, and asks other daemons. Until one answers,
+//! it goes on serving by the configuration that it has, but gives no final refusals: an unknown key
+//! or queue may be a new one.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use crosspath_border::operator::Config;
+use rand::seq::SliceRandom as _;
+
+use crate::clock;
+use crate::feed;
+use crate::node::Node;
+use crate::rpc::{Reply, Request};
+
+/// Time since the last confirmation after which a newer configuration may be in effect. Covers a
+/// long poll and its delay in a slow store.
+const STALE_AFTER: Duration = Duration::from_millis(2_000);
+/// Interval between checks whether the configuration may be stale, and between queries of peers
+/// while it may be. It leaves a third of 2 s, the shortest known time within which a configuration
+/// must take effect, for the peer's answer.
+const CHECK_INTERVAL: Duration = Duration::from_millis(400);
+/// Maximum number of peers that are queried in one round. If the store refuses a third of the
+/// daemons, one round in three would reach only a refused daemon if it queried one peer; with three
+/// peers it is one in 27.
+const PEERS_PER_ROUND: usize = 3;
+
+/// Whether data that was last confirmed at `confirmed_at` may be stale at `now`.
+#[must_use]
+pub fn may_be_stale(confirmed_at: Duration, now: Duration) -> bool {
+    now > confirmed_at + STALE_AFTER
+}
+
+/// Queries other daemons for a newer configuration while the store does not confirm the current
+/// one.
+pub(crate) async fn run(node: Arc<Node>) {
+    loop {
+        tokio::time::sleep(CHECK_INTERVAL).await;
+        if may_be_stale(node.operator_log_confirmed_at(), clock::now()) {
+            query_peers(&node).await;
+        }
+    }
+}
+
+async fn query_peers(node: &Node) {
+    let mut others = node.other_owners();
+    let (selected, _) = others.partial_shuffle(&mut rand::rng(), PEERS_PER_ROUND);
+    let known = node.table().map(|table| table.version);
+    for peer in &*selected {
+        let asked_at = clock::now();
+        match node.peers.call(*peer, &Request::Config { known }).await {
+            Ok(Reply::Config { newer, evacuated, confirmed_ms_ago }) => {
+                if let Some(config) = newer {
+                    log::info!("event=config_of_peer version={} peer={peer}", config.version);
+                    feed::apply_config(node, *config);
+                }
+                node.evacuations().merge(&evacuated);
+                let confirmed_at = asked_at.saturating_sub(Duration::from_millis(confirmed_ms_ago));
+                node.set_operator_log_confirmed(confirmed_at);
+                return;
+            }
+            // The peer's own configuration may be stale.
+            Ok(_) => {}
+            Err(error) => log::info!("event=config_not_told peer={peer} error=\"{error}\""),
+        }
+    }
+}
+
+/// Reply to a daemon that has version `known` of the configuration. It contains a configuration
+/// only if that of this daemon is newer. [`Reply::NotOwner`] if this daemon's own data may be
+/// stale.
+pub(crate) fn reply(node: &Node, known: Option<u64>) -> Reply {
+    let (read_at, now) = (node.operator_log_read_at(), clock::now());
+    if may_be_stale(read_at, now) {
+        return Reply::NotOwner;
+    }
+    let newer = node.table().filter(|table| known.is_none_or(|known| table.version > known));
+    let newer = newer.map(|table| Box::new(Config::clone(&table.config)));
+    let confirmed_ms_ago =
+        u64::try_from(now.saturating_sub(read_at).as_millis()).unwrap_or(u64::MAX);
+    Reply::Config { newer, evacuated: node.evacuated(), confirmed_ms_ago }
+}
--- a/crates/crosspath_node/src/daemon.rs
+++ b/crates/crosspath_node/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Starts the daemon's listeners and tasks, and waits for the end.
+//! Starts the daemon's listeners and tasks, waits for a signal, and shuts down.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use crosspath_border::advice::Advisor;
-use crosspath_border::entry::Handler;
+use crosspath_border::ingress::Handler;
 use crosspath_border::store::Store;
 use crosspath_border::vm::Fleet;
 use crosspath_border::worker::Runner;
@@ -23,49 +23,51 @@
 use crate::member::Member;
 use crate::node::{Node, Parts};
 use crate::settings::Settings;
-use crate::{clock, feed, fresh, map, membership, rpc, workers};
+use crate::{clock, config_sync, feed, map, membership, rpc, workers};
 
-/// From unready to the end of taking connections: the balancer asks each second and stops after two
-/// misses.
-const UNREADY: Duration = Duration::from_millis(2_600);
-/// Left of the grace when what is in flight is cut off.
-const GRACE_MARGIN: Duration = Duration::from_millis(700);
+/// Time from reporting unready until no more connections are accepted. The balancer probes
+/// readiness every second and sends no more callers after two failed probes.
+const UNREADY_PERIOD: Duration = Duration::from_millis(2_600);
+/// Part of the grace period that remains when requests still in flight are cut off.
+const SHUTDOWN_MARGIN: Duration = Duration::from_millis(700);
 
 type Serving = Pin<Box<dyn Future<Output = ()> + Send>>;
 type Serve = fn(TcpListener, Limits, watch::Receiver<Stage>, Arc<dyn Handler>) -> Serving;
 
-/// What the daemon needs of the platform.
+/// Interfaces to the platform that the daemon uses.
 #[derive(Debug)]
 pub struct Ports {
-    /// The log.
+    /// Client of the platform's log store.
     pub store: Arc<dyn Store>,
-    /// Workers.
+    /// Client for calls to workers.
     pub runner: Arc<dyn Runner>,
-    /// VMs; none where they are not managed.
+    /// Client of the platform's VM list; `None` if VMs are not managed.
     pub fleet: Option<Arc<dyn Fleet>>,
-    /// The advice service; none where there is none.
+    /// Client of the advice service; `None` if the deployment has none.
     pub advisor: Option<Arc<dyn Advisor>>,
-    /// Serves callers.
+    /// Server for the callers' interface.
     pub serve_callers: Serve,
-    /// Answers the balancer.
+    /// Server for the balancer's readiness probes.
     pub serve_readiness: Serve,
 }
 
 /// The daemon could not start.
 #[derive(Debug, Snafu)]
 pub enum RunError {
-    /// An address cannot be listened on.
-    #[snafu(display("cannot listen on {address}: {source}; is another process there?"))]
+    /// A listener cannot be bound to its address.
+    #[snafu(display(
+        "cannot listen on {address}: {source}; check whether another process uses the address"
+    ))]
     Listen {
-        /// The address.
+        /// Address of the listener, from the settings.
         address: SocketAddr,
-        /// What the system says.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// Signals cannot be listened for.
-    #[snafu(display("cannot listen for signals: {source}"))]
+    /// A signal handler cannot be installed.
+    #[snafu(display("cannot install signal handlers: {source}"))]
     Signals {
-        /// What the system says.
+        /// Error of the operating system.
         source: std::io::Error,
     },
 }
@@ -74,11 +76,11 @@
     TcpListener::bind(address).await.context(ListenSnafu { address })
 }
 
-/// Runs the daemon until it is told to stop.
+/// Runs the daemon until it receives SIGTERM or SIGINT, then shuts it down.
 ///
 /// # Errors
 ///
-/// [`RunError`] when it cannot start.
+/// [`RunError`] if a listener or a signal handler cannot be set up.
 pub async fn run(settings: Settings, ports: Ports) -> Result<(), RunError> {
     clock::now();
     let mut terminate = signal(SignalKind::terminate()).context(SignalsSnafu)?;
@@ -93,7 +95,7 @@
     let member = Member {
         address: settings.peers,
         name: Arc::clone(&settings.name),
-        life: format!("{:x}", clock::wall_ms()).into(),
+        incarnation: format!("{:x}", clock::wall_ms()).into(),
         millicores: settings.millicores,
     }
     .to_string();
@@ -108,16 +110,16 @@
         advisor,
     }));
     let callers = serve(&node, listeners, serve_callers, serve_readiness);
-    drop(tokio::spawn(feed::follow_operators(Arc::clone(&node))));
-    drop(tokio::spawn(fresh::follow(Arc::clone(&node))));
+    drop(tokio::spawn(feed::follow_operator_log(Arc::clone(&node))));
+    drop(tokio::spawn(config_sync::run(Arc::clone(&node))));
     drop(tokio::spawn(workers::follow(Arc::clone(&node))));
-    drop(tokio::spawn(map::follow(Arc::clone(&node))));
+    drop(tokio::spawn(map::run(Arc::clone(&node))));
     let member = tokio::spawn(membership::run(Arc::clone(&node)));
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
             _ = interrupt.recv() => break,
-            // Nothing in the settings can change while the daemon runs; requests go on.
+            // No setting can change while the daemon runs, so SIGHUP has no effect on requests.
             _ = hangup.recv() => log::info!("event=settings_unchanged"),
         }
     }
@@ -133,42 +135,44 @@
 ) -> tokio::task::JoinHandle<()> {
     let [callers, readiness, peers, metrics] = listeners;
     let handler: Arc<dyn Handler> = Arc::new(Gateway::new(Arc::clone(node)));
-    let never = node.answering.subscribe();
+    let internal_stage = node.internal_stage.subscribe();
     let readiness =
-        serve_readiness(readiness, Limits::default(), never.clone(), Arc::clone(&handler));
+        serve_readiness(readiness, Limits::default(), internal_stage.clone(), Arc::clone(&handler));
     drop(tokio::spawn(readiness));
-    drop(tokio::spawn(rpc::serve(peers, never.clone(), Arc::clone(node))));
-    drop(tokio::spawn(serve_metrics(metrics, never, Arc::clone(node))));
+    drop(tokio::spawn(rpc::serve(peers, internal_stage.clone(), Arc::clone(node))));
+    drop(tokio::spawn(serve_metrics(metrics, internal_stage, Arc::clone(node))));
     tokio::spawn(serve_callers(callers, Limits::default(), node.stage.subscribe(), handler))
 }
 
 async fn serve_metrics(listener: TcpListener, stop: watch::Receiver<Stage>, node: Arc<Node>) {
     server::serve(listener, Limits::default(), stop, move |_, _| {
-        let text = node.metrics.text();
+        let text = node.metrics.encode();
         async move { Response::new(body::full(text)) }
     })
     .await;
 }
 
-/// Unready first, so that the balancer sends callers elsewhere, and shards to others; then no
-/// further connections, while what is in flight finishes.
+/// Shuts down. First reports unready, so that the balancer sends callers to other daemons, and
+/// leaves the group, so that it reassigns the shards. Then accepts no more connections while
+/// requests in flight finish.
 async fn stop(
     node: &Arc<Node>,
     member: tokio::task::JoinHandle<()>,
     callers: tokio::task::JoinHandle<()>,
 ) {
-    let began = clock::now();
+    let started_at = clock::now();
     log::info!("event=stopping");
     node.stopping.send_replace(true);
-    // A join under way could undo the leaving.
+    // A join still in flight could make this daemon a member again after it has left.
     member.await.ok();
     membership::leave(node).await;
-    tokio::time::sleep((began + UNREADY).saturating_sub(clock::now())).await;
+    tokio::time::sleep((started_at + UNREADY_PERIOD).saturating_sub(clock::now())).await;
     node.stage.send_replace(Stage::Finishing);
-    let left = (began + node.settings.stop_grace).saturating_sub(clock::now() + GRACE_MARGIN);
-    if tokio::time::timeout(left, callers).await.is_err() {
+    let remaining =
+        (started_at + node.settings.stop_grace).saturating_sub(clock::now() + SHUTDOWN_MARGIN);
+    if tokio::time::timeout(remaining, callers).await.is_err() {
         log::warn!("event=stop_cut_off");
     }
     node.stage.send_replace(Stage::Ended);
-    log::info!("event=stopped after_ms={}", clock::now().saturating_sub(began).as_millis());
+    log::info!("event=stopped after_ms={}", clock::now().saturating_sub(started_at).as_millis());
 }
--- a/crates/crosspath_node/src/gateway.rs
+++ b/crates/crosspath_node/src/gateway.rs
@@ -1,59 +1,64 @@
-//! What callers are answered.
+//! Handles callers' requests: submits, queries and cancels jobs.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use async_trait::async_trait;
-use crosspath_border::entry::{Access, Cancelled, Handler, Resolved, Shown, Submitted};
+use crosspath_border::ingress::{Access, Cancelled, Handler, Lookup, Resolved, Submitted};
 use crosspath_border::operator::{DEFAULT_BODY_BYTES, Queue};
 use crosspath_job::progress::State;
-use crosspath_job::record::{Accepted, Asker, Record};
+use crosspath_job::record::{Accepted, Record, Requester};
 use crosspath_job::{JobId, Spec};
 use futures::future::join_all;
 
 use crate::appender;
 use crate::clock;
-use crate::fresh;
+use crate::config_sync;
 use crate::metrics::Call;
 use crate::node::Node;
-use crate::pending::{Outcome, Patience};
-use crate::rpc::{self, Answer, Question};
+use crate::pending::{Deadlines, Outcome};
+use crate::rpc::{self, Reply, Request};
 
-/// Share of a caller's patience that is used for tries to find out how a job is, or whether it is kept.
-/// Less than half: by then the caller should have its answer.
-const PATIENCE: f64 = 0.45;
-/// Share of it after which a job that surely is not kept is refused, so that the caller can come
-/// back in time. Two or three tries, each of which also goes through other daemons.
-const REFUSAL_PATIENCE: f64 = 0.15;
-/// Share of it after which a job that was not sent yet is taken back: while the store is slow it waits
-/// for an append under way, and is better served by the next than by coming back.
-const WAIT_PATIENCE: f64 = 0.3;
-/// Between questions to a holder that is not known or is taking over.
-const ASK_PAUSE: Duration = Duration::from_millis(60);
-/// A caller that was refused comes back after this: about the time of a takeover.
+/// Fraction of a caller's timeout that is spent on attempts to determine a job's state, or whether
+/// it is stored. Less than half, since the caller should have its answer by then.
+const UNKNOWN_FRACTION: f64 = 0.45;
+/// Fraction of a caller's timeout after which a job that is certainly not stored is refused, so
+/// that the caller can retry in time. It allows for two or three attempts, each of which also goes
+/// through other daemons.
+const REFUSE_FRACTION: f64 = 0.15;
+/// Fraction of a caller's timeout after which a job that has not been sent is withdrawn. While
+/// the store is slow, the job waits for an append in flight, and the next append serves it better
+/// than a retry of the caller.
+const SEND_FRACTION: f64 = 0.3;
+/// Interval between queries for a job while the shard's holder is unknown, is taking over, or does
+/// not answer.
+const OWNER_RETRY_INTERVAL: Duration = Duration::from_millis(60);
+/// Delay in seconds after which a refused caller should retry: about the time that a takeover
+/// takes.
 const RETRY_AFTER_S: u32 = 1;
-/// The same while the store is silent or has been down for [`LONG_DOWN`]: outages take some seconds, and
-/// callers try a few times only.
-const SILENT_RETRY_AFTER_S: u32 = 2;
+/// The same while the store does not answer or has been down for [`OUTAGE_THRESHOLD`]. Longer,
+/// since outages last some seconds and callers retry only a few times.
+const OUTAGE_RETRY_AFTER_S: u32 = 2;
 
-/// A store that has been down for so long is taken for away; what is down for less may be back within a
-/// second.
-const LONG_DOWN: Duration = Duration::from_secs(1);
-/// For which a cancel looks for its job's shard before it goes to all where the job may be.
-const FIND_PATIENCE: Duration = Duration::from_millis(400);
+/// Time after which a store that is down counts as having an outage; before that, it may be back
+/// within a second.
+const OUTAGE_THRESHOLD: Duration = Duration::from_secs(1);
+/// Time for which a cancellation searches for the job's shard before it is appended to all shards
+/// where the job may be.
+const LOCATE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Where a job is.
+/// Result of the search for a job's shard.
 #[derive(Debug, Clone, Copy)]
-enum Found {
-    /// In a shard.
-    At(u32, State),
-    /// No owner knows it.
-    Nowhere,
-    /// Some owner does not answer.
-    Unsure,
+enum Location {
+    /// The owner of this shard has the job, in this state.
+    InShard(u32, State),
+    /// All owners answered, and none has the job.
+    NotFound,
+    /// Not found, but some owner did not answer.
+    Unknown,
 }
 
-/// The callers' side of the daemon.
+/// Handler of the callers' requests at one daemon.
 #[derive(Debug)]
 pub struct Gateway {
     node: Arc<Node>,
@@ -64,116 +69,118 @@
         Self { node }
     }
 
-    fn until(&self, within: Duration) -> Duration {
-        clock::now() + within.mul_f64(PATIENCE)
+    fn lookup_deadline(&self, within: Duration) -> Duration {
+        clock::now() + within.mul_f64(UNKNOWN_FRACTION)
     }
 
-    /// When a caller whose record was not kept is to come back.
+    /// Delay in seconds after which a caller whose record was not stored should retry.
     fn retry_after_s(&self) -> u32 {
         let now = clock::now();
-        let down = self.node.store_down_for(now).is_some_and(|down| down >= LONG_DOWN);
-        if down || self.node.is_store_silent(now) { SILENT_RETRY_AFTER_S } else { RETRY_AFTER_S }
+        let down = self.node.store_down_for(now).is_some_and(|down| down >= OUTAGE_THRESHOLD);
+        if down || self.node.is_store_silent(now) { OUTAGE_RETRY_AFTER_S } else { RETRY_AFTER_S }
     }
 
-    fn patience(within: Duration) -> Patience {
+    fn submit_deadlines(within: Duration) -> Deadlines {
         let now = clock::now();
-        Patience {
-            waits_until: now + within.mul_f64(WAIT_PATIENCE),
-            refused_at: now + within.mul_f64(REFUSAL_PATIENCE),
-            doubted_until: now + within.mul_f64(PATIENCE),
+        Deadlines {
+            send_by: now + within.mul_f64(SEND_FRACTION),
+            refuse_at: now + within.mul_f64(REFUSE_FRACTION),
+            unknown_at: now + within.mul_f64(UNKNOWN_FRACTION),
         }
     }
 
-    /// Asks the owners of all shards where the queue's job may be.
-    async fn find(&self, access: &Access, job: JobId, until: Duration) -> Found {
+    /// Searches for a job by querying the owners of all shards where a job of this queue may be.
+    async fn locate(&self, access: &Access, job: JobId, deadline: Duration) -> Location {
         let queue = &access.queue;
         let pools = match self.node.table() {
             Some(table) => table.pools_of(queue),
             None => [Arc::clone(&queue.pool)].into(),
         };
-        let mut unsure = false;
+        let mut incomplete = false;
         for pool in pools {
-            let Some(shards) = self.node.map().shards_of_job(&pool, job) else {
-                unsure = true;
+            let Some(shards) = self.node.map().candidate_shards(&pool, job) else {
+                incomplete = true;
                 continue;
             };
             for shard in shards {
-                match self.ask_state(shard, job, asker(access), until).await {
-                    Some(Some(state)) => return Found::At(shard, state),
+                match self.query_state(shard, job, requester(access), deadline).await {
+                    Some(Some(state)) => return Location::InShard(shard, state),
                     Some(None) => {}
-                    None => unsure = true,
+                    None => incomplete = true,
                 }
             }
         }
-        if unsure { Found::Unsure } else { Found::Nowhere }
+        if incomplete { Location::Unknown } else { Location::NotFound }
     }
 
-    /// Shards whose owner is to hear that the job is cancelled: the job's, or all where it may be
-    /// while no owner knows it.
+    /// Shards to which the job's cancellation is appended: the job's shard, or all where it may be
+    /// if the search does not find it. `None` if the pool's shards are unknown.
     async fn shards_to_cancel(
         &self,
         access: &Access,
         job: JobId,
-        until: Duration,
+        deadline: Duration,
     ) -> Option<Vec<u32>> {
         let queue = &access.queue;
-        let shards = self.node.map().shards_of_job(&queue.pool, job)?;
-        if shards.len() == 1 && !self.has_moved(queue) {
+        let shards = self.node.map().candidate_shards(&queue.pool, job)?;
+        if shards.len() == 1 && !self.has_changed_pool(queue) {
             return Some(shards);
         }
-        let soon = until.min(clock::now() + FIND_PATIENCE);
-        match self.find(access, job, soon).await {
-            Found::At(shard, _) => Some(vec![shard]),
-            Found::Nowhere | Found::Unsure => Some(shards),
+        let locate_deadline = deadline.min(clock::now() + LOCATE_TIMEOUT);
+        match self.locate(access, job, locate_deadline).await {
+            Location::InShard(shard, _) => Some(vec![shard]),
+            Location::NotFound | Location::Unknown => Some(shards),
         }
     }
 
-    /// Whether the queue had another pool before.
-    fn has_moved(&self, queue: &Queue) -> bool {
+    /// Whether the queue used another pool earlier in this process's lifetime.
+    fn has_changed_pool(&self, queue: &Queue) -> bool {
         self.node.table().is_some_and(|table| table.pools_of(queue).len() > 1)
     }
 
-    async fn ask_state(
+    async fn query_state(
         &self,
         shard: u32,
         job: JobId,
-        asker: Asker,
-        until: Duration,
+        requester: Requester,
+        deadline: Duration,
     ) -> Option<Option<State>> {
         loop {
-            let question = Question::State { shard, job, asker: asker.clone() };
-            if let Some(Answer::State(state)) = rpc::ask_holder(&self.node, shard, question).await {
+            let request = Request::State { shard, job, requester: requester.clone() };
+            if let Some(Reply::State(state)) = rpc::call_holder(&self.node, shard, request).await {
                 return Some(state);
             }
-            if clock::now() + ASK_PAUSE > until {
+            if clock::now() + OWNER_RETRY_INTERVAL > deadline {
                 return None;
             }
-            tokio::time::sleep(ASK_PAUSE).await;
+            tokio::time::sleep(OWNER_RETRY_INTERVAL).await;
         }
     }
 }
 
-fn asker(access: &Access) -> Asker {
-    Asker { queue: Arc::clone(&access.queue.name), customer: access.customer.clone() }
+fn requester(access: &Access) -> Requester {
+    Requester { queue: Arc::clone(&access.queue.name), customer: access.customer.clone() }
 }
 
 #[async_trait]
 impl Handler for Gateway {
     fn resolve(&self, host: &str, path: &str, key: Option<&str>) -> Resolved {
-        let Some(table) = self.node.table() else { return Resolved::Unready };
-        let refused = |refusal| {
-            if fresh::may_be_old(self.node.operators_heard(), clock::now()) {
-                Resolved::Unsure { retry_after_s: RETRY_AFTER_S }
+        let Some(table) = self.node.table() else { return Resolved::NotReady };
+        let unless_stale = |refusal| {
+            if config_sync::may_be_stale(self.node.operator_log_confirmed_at(), clock::now()) {
+                Resolved::MaybeStale { retry_after_s: RETRY_AFTER_S }
             } else {
                 refusal
             }
         };
-        let Some((queue, rest)) = table.resolve(host, path) else {
-            return refused(Resolved::Unknown);
+        let Some((queue, subpath)) = table.resolve(host, path) else {
+            return unless_stale(Resolved::Unknown);
         };
-        match table.caller(&queue, key) {
-            Some(caller) => Resolved::Access(Access { queue, customer: caller.customer(), rest }),
-            None => refused(Resolved::Unauthorized),
+        match table.authorize(&queue, key) {
+            Some(caller) => {
+                Resolved::Access(Access { queue, customer: caller.customer(), subpath })
+            }
+            None => unless_stale(Resolved::Unauthorized),
         }
     }
 
@@ -185,24 +192,24 @@
         let pools_known = self.node.table().is_some_and(|table| {
             let serving = table.config.pools.iter().filter(|pool| !pool.spare);
             let map = self.node.map();
-            serving.into_iter().all(|pool| map.has(&pool.name))
+            serving.into_iter().all(|pool| map.is_complete_for(&pool.name))
         });
         pools_known && !self.node.is_stopping()
     }
 
     async fn submit(&self, access: &Access, job: JobId, spec: Spec, within: Duration) -> Submitted {
-        let began = clock::now();
+        let started_at = clock::now();
         let queue = &access.queue;
-        // A job that arrives again after its queue has moved is still the job of its first pool.
-        if self.has_moved(queue) {
-            match self.find(access, job, self.until(within)).await {
-                Found::At(..) => return Submitted::Accepted,
-                Found::Nowhere => {}
-                Found::Unsure => return Submitted::NotTaken { retry_after_s: RETRY_AFTER_S },
+        // A job that is submitted again after its queue changed pools stays in its first pool.
+        if self.has_changed_pool(queue) {
+            match self.locate(access, job, self.lookup_deadline(within)).await {
+                Location::InShard(..) => return Submitted::Accepted,
+                Location::NotFound => {}
+                Location::Unknown => return Submitted::NotTaken { retry_after_s: RETRY_AFTER_S },
             }
         }
-        let lasts = spec.steps.iter().any(|step| step.lasting);
-        let Some(shard) = self.node.map().shard_of_job(&queue.pool, job, lasts) else {
+        let long_running = spec.steps.iter().any(|step| step.long_running);
+        let Some(shard) = self.node.map().shard_for_new_job(&queue.pool, job, long_running) else {
             log::info!("event=submit job={job} queue={} outcome=no_shard", queue.name);
             return Submitted::NotTaken { retry_after_s: RETRY_AFTER_S };
         };
@@ -216,15 +223,15 @@
             spec,
         };
         let record = Record::Accepted(job, Arc::new(accepted));
-        let patience = Self::patience(within);
-        let outcome = appender::append(&self.node, shard, &record, patience).await;
-        let took = clock::now().saturating_sub(began);
+        let deadlines = Self::submit_deadlines(within);
+        let outcome = appender::append(&self.node, shard, &record, deadlines).await;
+        let took = clock::now().saturating_sub(started_at);
         log::info!(
             "event=submit job={job} queue={} shard={shard} outcome={outcome:?} took_ms={}",
             queue.name,
             took.as_millis()
         );
-        self.node.metrics.called(Call::Submit, &queue.name, took);
+        self.node.metrics.observe_call(Call::Submit, &queue.name, took);
         match outcome {
             Outcome::Kept => Submitted::Accepted,
             Outcome::Taken => Submitted::Taken,
@@ -235,36 +242,36 @@
         }
     }
 
-    async fn state(&self, access: &Access, job: JobId, within: Duration) -> Shown {
-        let began = clock::now();
-        let shown = match self.find(access, job, self.until(within)).await {
-            Found::At(_, state) => Shown::State(state),
-            Found::Nowhere => Shown::None,
-            Found::Unsure => Shown::Unavailable { retry_after_s: RETRY_AFTER_S },
+    async fn state(&self, access: &Access, job: JobId, within: Duration) -> Lookup {
+        let started_at = clock::now();
+        let lookup = match self.locate(access, job, self.lookup_deadline(within)).await {
+            Location::InShard(_, state) => Lookup::State(state),
+            Location::NotFound => Lookup::None,
+            Location::Unknown => Lookup::Unavailable { retry_after_s: RETRY_AFTER_S },
         };
-        let took = clock::now().saturating_sub(began);
-        log::info!("event=state job={job} shown={shown:?} took_ms={}", took.as_millis());
-        self.node.metrics.called(Call::State, &access.queue.name, took);
-        shown
+        let took = clock::now().saturating_sub(started_at);
+        log::info!("event=state job={job} shown={lookup:?} took_ms={}", took.as_millis());
+        self.node.metrics.observe_call(Call::State, &access.queue.name, took);
+        lookup
     }
 
     async fn cancel(&self, access: &Access, job: JobId, within: Duration) -> Cancelled {
-        let began = clock::now();
-        let until = self.until(within);
-        let Some(shards) = self.shards_to_cancel(access, job, until).await else {
+        let started_at = clock::now();
+        let deadline = self.lookup_deadline(within);
+        let Some(shards) = self.shards_to_cancel(access, job, deadline).await else {
             return Cancelled::Unavailable { retry_after_s: RETRY_AFTER_S };
         };
-        let record = Record::Cancelled(job, asker(access));
-        // A cancel is worth as many tries as the caller waits for.
-        let patience = Patience { waits_until: until, refused_at: until, doubted_until: until };
+        let record = Record::Cancelled(job, requester(access));
+        // Appending a cancellation is attempted as long as the caller waits.
+        let deadlines = Deadlines { send_by: deadline, refuse_at: deadline, unknown_at: deadline };
         let appends =
-            shards.iter().map(|shard| appender::append(&self.node, *shard, &record, patience));
+            shards.iter().map(|shard| appender::append(&self.node, *shard, &record, deadlines));
         let outcomes = join_all(appends).await;
         let outcome = outcomes.into_iter().find(|outcome| *outcome != Outcome::Kept);
         let outcome = outcome.unwrap_or(Outcome::Kept);
-        let took = clock::now().saturating_sub(began);
+        let took = clock::now().saturating_sub(started_at);
         log::info!("event=cancel job={job} outcome={outcome:?} took_ms={}", took.as_millis());
-        self.node.metrics.called(Call::Cancel, &access.queue.name, took);
+        self.node.metrics.observe_call(Call::Cancel, &access.queue.name, took);
         match outcome {
             Outcome::Kept => Cancelled::Done,
             Outcome::NotKept | Outcome::Unsent => {
@@ -274,20 +281,21 @@
         }
     }
 
-    async fn waiting(&self, queue: &Queue) -> Option<u64> {
+    async fn queued_jobs(&self, queue: &Queue) -> Option<u64> {
         let table = self.node.table()?;
         let map = self.node.map();
         let pools = table.pools_of(queue);
-        let units = pools.iter().flat_map(|pool| map.units(pool));
-        let shards = units.map(|unit| map.shard(&unit)).collect::<Option<Vec<_>>>()?;
-        let asks = shards.into_iter().map(|shard| {
-            let question = Question::Waiting { shard, queue: Arc::clone(&queue.name) };
-            rpc::ask_holder(&self.node, shard, question)
+        let pool_slices = pools.iter().flat_map(|pool| map.pool_slices(pool));
+        let shards =
+            pool_slices.map(|pool_slice| map.shard(&pool_slice)).collect::<Option<Vec<_>>>()?;
+        let calls = shards.into_iter().map(|shard| {
+            let request = Request::QueuedJobs { shard, queue: Arc::clone(&queue.name) };
+            rpc::call_holder(&self.node, shard, request)
         });
         let mut total = 0;
-        for answer in join_all(asks).await {
-            let Some(Answer::Waiting(waiting)) = answer else { return None };
-            total += waiting;
+        for reply in join_all(calls).await {
+            let Some(Reply::QueuedJobs(queued)) = reply else { return None };
+            total += queued;
         }
         Some(total)
     }
--- a/crates/crosspath_node/src/lib.rs
+++ b/crates/crosspath_node/src/lib.rs
@@ -1,27 +1,26 @@
-//! The daemon on a platform that keeps the log.
+//! Daemon for platforms with an append-only log store.
 //!
-//! Every daemon takes jobs from callers and appends them to their shard of the log. The daemons form
-//! a group among which the platform deals the shards; the owner of a shard runs its scheduler. What
-//! stands here is wiring: tasks, calls and time. Decisions are in `crosspath_schedule` and
-//! `crosspath_plan`; the platform's protocols are behind the traits of `crosspath_border`.
+//! Every daemon accepts jobs from callers and appends them to their shards of the log. The daemons
+//! form a group to whose members the platform assigns the shards; the owner of a shard runs its
+//! scheduler. This crate connects the parts: it runs the tasks, makes the calls and reads the
+//! clocks. Scheduling decisions are made in `crosspath_schedule`, decisions about VMs in
+//! `crosspath_fleet`. The platform's protocols are behind the traits of `crosspath_border`.
 
 mod appender;
-pub mod away;
 pub mod backoff;
 pub mod candidacy;
-pub mod census;
 mod change_log;
 pub mod claim;
 pub mod clock;
-pub mod contact;
+pub mod config_sync;
 mod daemon;
 pub mod directory;
 pub mod evacuation;
 mod feed;
 mod fleet;
-pub mod fresh;
 mod gateway;
 pub mod handover;
+mod inputs;
 pub mod listing;
 pub mod map;
 pub mod member;
@@ -29,14 +28,16 @@
 mod metrics;
 mod node;
 mod order;
+pub mod outage;
 pub mod pages;
 pub mod pending;
+pub mod reachability;
+mod routing;
 mod rpc;
-mod seen;
 pub mod settings;
 mod shard;
 mod shard_log;
-mod table;
+pub mod vm_count;
 mod watch;
 pub mod workers;
 
--- a/crates/crosspath_node/src/membership.rs
+++ b/crates/crosspath_node/src/membership.rs
@@ -1,6 +1,7 @@
-//! Staying a member of the group of owners, and owning the shards that it deals.
+//! Keeps this daemon a member of the group of owners, and owns the shards that the group assigns to
+//! it.
 //!
-//! A daemon that does not stand for ownership only follows who owns what.
+//! A daemon that is no candidate for ownership only follows which daemon holds which shard.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -9,75 +10,80 @@
 use crosspath_border::store::{Join, Membership};
 use futures::future::join_all;
 
-use crate::away::Survey;
 use crate::backoff::{self, Backoff};
 use crate::candidacy::Candidacy;
 use crate::clock;
 use crate::handover;
 use crate::member::Member;
 use crate::node::Node;
-use crate::rpc::{Answer, Question};
+use crate::outage::Survey;
+use crate::rpc::{Reply, Request};
 use crate::shard::Handle;
 
-/// Silence after which the group deals this daemon's shards to others. Short, since nothing new
-/// starts in an owner's shards meanwhile; long enough for some joins to be lost.
+/// Time without a join after which the group assigns this daemon's shards to others. Short, since
+/// nothing new starts in these shards meanwhile; long enough that some joins may be lost.
 pub(crate) const TTL: Duration = Duration::from_millis(1_200);
-/// Between joins. Some fit into the silence that is allowed; and since the group deals a shard in
-/// two steps, each seen at a join, this bounds how long a shard has no owner when members change.
-const INTERVAL: Duration = Duration::from_millis(150);
-/// A join without an answer is sent again after this.
-const TIMEOUT: Duration = Duration::from_millis(500);
-/// The same while the store is away for all: the others must be asked again soon.
-const AWAY_TIMEOUT: Duration = Duration::from_millis(250);
-/// This daemon counts itself out so much earlier than the group does.
-const MARGIN: Duration = Duration::from_millis(50);
-/// For which the others' word holds that the store is away. The store deals no shard sooner after
-/// its return than a member's silence may last.
-const AWAY_LEASE: Duration = Duration::from_millis(900);
-/// Between readings of who holds what, besides those after changes.
+/// Interval between joins. Several fit into [`TTL`]. The group reassigns a shard in two steps, and
+/// members see each of them at a join, so the interval also bounds how long a shard has no owner
+/// when members change.
+const JOIN_INTERVAL: Duration = Duration::from_millis(150);
+/// Timeout of calls to the store; a join without an answer is then sent again.
+const CALL_TIMEOUT: Duration = Duration::from_millis(500);
+/// Timeout of a join during an outage of the store. Short, since the other daemons must be asked
+/// again soon.
+const OUTAGE_JOIN_TIMEOUT: Duration = Duration::from_millis(250);
+/// Time by which this daemon considers its membership expired earlier than the group does.
+const EXPIRY_MARGIN: Duration = Duration::from_millis(50);
+/// Time for which this daemon goes on acting as owner after the others confirmed an outage. After
+/// it returns, the store assigns no shard to another daemon before a member's TTL has passed.
+const OUTAGE_LEASE: Duration = Duration::from_millis(900);
+/// Interval between reads of the holders of shards, besides the reads after each change of the
+/// group.
 const HOLDERS_INTERVAL: Duration = Duration::from_millis(1_500);
 
-/// Between readings of who holds what while this daemon does not stand for ownership. Long, since there are many
-/// such daemons: a holder that is none any more says so, or is silent, and is doubted then.
+/// Interval between reads of the holders of shards by a daemon that is no candidate. Long, since
+/// there are many such daemons. A former holder says that it is not the owner, or does not answer,
+/// and either triggers a read.
 const STANDBY_INTERVAL: Duration = Duration::from_millis(3_000);
 
-/// Stays in the group while this daemon stands for ownership; follows who owns what in any case.
+/// Stays in the group while this daemon is a candidate for ownership. Follows the holders of shards
+/// in either case.
 pub(crate) async fn run(node: Arc<Node>) {
     let mut candidacy = Candidacy::new(node.settings.millicores);
-    node.set_standing(|standing| standing.candidate = candidacy.stands());
-    drop(tokio::spawn(end_earlier_lives(Arc::clone(&node))));
-    let mut rounds = Rounds {
-        ttl: TTL.max(node.settings.membership_least),
+    node.update_member_status(|status| status.candidate = candidacy.is_candidate());
+    drop(tokio::spawn(end_earlier_incarnations(Arc::clone(&node))));
+    let mut session = Session {
+        ttl: TTL.max(node.settings.min_member_ttl),
         generation: 0,
-        refreshed: Duration::ZERO,
-        backoff: Backoff::new(backoff::LISTS),
-        doubts: Backoff::new(backoff::OWNERS),
+        holders_read_at: Duration::ZERO,
+        backoff: Backoff::new(backoff::LIST_READS),
+        suspect_backoff: Backoff::new(backoff::OWNER_CALLS),
         node: Arc::clone(&node),
     };
     while !node.is_stopping() {
-        if candidacy.stands() {
-            rounds.member().await;
+        if candidacy.is_candidate() {
+            session.join().await;
         } else {
-            rounds.standby().await;
+            session.follow_holders().await;
         }
         let Some(owners) = node.owners() else { continue };
         if !candidacy.observe(clock::now(), &owners) {
             continue;
         }
-        node.set_standing(|standing| standing.candidate = candidacy.stands());
-        if !candidacy.stands() {
-            rounds.step_back().await;
+        node.update_member_status(|status| status.candidate = candidacy.is_candidate());
+        if !candidacy.is_candidate() {
+            session.resign().await;
         }
     }
 }
 
-/// Takes earlier lives of this daemon out of the group: they are over, since this one has their
-/// addresses, and their shards need not wait until the group has missed them for [`TTL`].
-async fn end_earlier_lives(node: Arc<Node>) {
+/// Removes earlier incarnations of this daemon from the group. They have ended, since this one uses
+/// their addresses, and their shards need not wait until the group expires them after [`TTL`].
+async fn end_earlier_incarnations(node: Arc<Node>) {
     refresh_holders(Arc::clone(&node)).await;
     let Ok(own) = node.member.parse::<Member>() else { return };
     let owners = node.owners().unwrap_or_default();
-    for earlier in handover::earlier_lives(&owners, &own) {
+    for earlier in handover::earlier_incarnations(&owners, &own) {
         match node.store.leave(&earlier.to_string()).await {
             Ok(()) => log::info!("event=earlier_life_ended member={earlier}"),
             Err(error) => {
@@ -87,104 +93,108 @@
     }
 }
 
-/// What is kept from one round to the next.
+/// State that is kept between joins or reads of the holders.
 #[derive(Debug)]
-struct Rounds {
+struct Session {
     node: Arc<Node>,
     ttl: Duration,
     generation: u64,
-    /// When who holds what was last read.
-    refreshed: Duration,
-    /// Of readings of who holds what that failed, while this daemon does not stand for ownership.
+    /// Time at which the last read of the holders was started by a join.
+    holders_read_at: Duration,
+    /// Backoff after failed reads of the holders, while this daemon is no candidate.
     backoff: Backoff,
-    /// The same of holders that were doubted one after the other.
-    doubts: Backoff,
+    /// Backoff between reads triggered by holders that did not answer as owners, one after the
+    /// other.
+    suspect_backoff: Backoff,
 }
 
-impl Rounds {
-    /// Joins, and starts and ends ownership as the group deals.
-    async fn member(&mut self) {
+impl Session {
+    /// Joins the group, and starts and ends ownership of shards as assigned.
+    async fn join(&mut self) {
         let node = Arc::clone(&self.node);
-        let mut pause = INTERVAL;
+        let mut pause = JOIN_INTERVAL;
         let sent = clock::now();
         let (ttl, generation) = (self.ttl, self.generation);
-        node.store_asked(sent);
+        node.record_store_call(sent);
         let join = Join { member: Arc::clone(&node.member), ttl, generation };
-        let timeout = if node.is_store_away(sent) { AWAY_TIMEOUT } else { TIMEOUT };
+        let timeout = if node.is_store_outage(sent) { OUTAGE_JOIN_TIMEOUT } else { CALL_TIMEOUT };
         match tokio::time::timeout(timeout, node.store.join(&join)).await {
             Ok(Ok(membership)) => {
-                node.store_answers(clock::now());
-                node.set_standing(|standing| standing.until = sent + ttl - MARGIN);
+                node.record_store_answer(clock::now());
+                node.update_member_status(|status| {
+                    status.member_until = sent + ttl - EXPIRY_MARGIN;
+                });
                 let changed = membership.generation != generation;
                 self.generation = membership.generation;
-                // The next join tells the group that dealt-away shards are free.
-                if own(&node, &membership) {
+                // The next join tells the group that shards assigned to others are free.
+                if apply_membership(&node, &membership) {
                     pause = Duration::ZERO;
                 }
-                if changed || clock::now() > self.refreshed + HOLDERS_INTERVAL {
-                    self.refreshed = clock::now();
+                if changed || clock::now() > self.holders_read_at + HOLDERS_INTERVAL {
+                    self.holders_read_at = clock::now();
                     drop(tokio::spawn(refresh_holders(Arc::clone(&node))));
                 }
             }
             Ok(Err(error)) => log::info!("event=join_failed error=\"{error}\""),
-            Err(_) => log::info!("event=join_failed error=\"timed out\""),
+            Err(_) => log::info!("event=join_failed error=\"no answer within {timeout:?}\""),
         }
-        if clock::now() >= node.standing().until {
-            look_around(&node).await;
+        if clock::now() >= node.member_status().member_until {
+            survey_peers(&node).await;
         }
         if !pause.is_zero() {
             let mut stopping = node.stopping.subscribe();
             let stop = stopping.wait_for(|stopping| *stopping);
-            // Either way the loop looks at what it is to do next.
+            // The caller's loop checks whether the daemon is stopping.
             drop(tokio::time::timeout(pause, stop).await);
         }
     }
 
-    /// Reads who owns what, and waits a while.
-    async fn standby(&mut self) {
+    /// Reads the holders of shards, then waits until the next read is due or a holder is in doubt.
+    async fn follow_holders(&mut self) {
         let reading = refresh_holders(Arc::clone(&self.node));
-        let read = tokio::time::timeout(TIMEOUT, reading).await;
+        let read = tokio::time::timeout(CALL_TIMEOUT, reading).await;
         if read.is_err() {
-            log::info!("event=holders_unread error=\"timed out\"");
+            log::info!("event=holders_unread error=\"no answer within {CALL_TIMEOUT:?}\"");
         }
         if read != Ok(true) {
             return tokio::time::sleep(self.backoff.pause(rand::random())).await;
         }
         self.backoff.reset();
-        let doubted = self.node.holders_doubted.notified();
-        if tokio::time::timeout(STANDBY_INTERVAL, doubted).await.is_ok() {
-            // Many daemons find out at once that a holder is gone, and for as long as a takeover takes.
-            tokio::time::sleep(self.doubts.pause(rand::random())).await;
+        let suspected = self.node.holders_stale.notified();
+        if tokio::time::timeout(STANDBY_INTERVAL, suspected).await.is_ok() {
+            // Many daemons notice a lost holder at once, and go on doing so until the takeover is
+            // done.
+            tokio::time::sleep(self.suspect_backoff.pause(rand::random())).await;
         } else {
-            self.doubts.reset();
+            self.suspect_backoff.reset();
         }
     }
 
-    /// Leaves what this daemon owned to the others.
-    async fn step_back(&mut self) {
-        self.node.set_standing(|standing| standing.until = Duration::ZERO);
+    /// Leaves the group, so that others take over the shards that this daemon owned.
+    async fn resign(&mut self) {
+        self.node.update_member_status(|status| status.member_until = Duration::ZERO);
         self.generation = 0;
         leave(&self.node).await;
     }
 }
 
-/// Ends ownership of shards that were dealt away, before the next join tells the group so; begins
-/// that of new ones. Whether any was dealt away.
-fn own(node: &Arc<Node>, membership: &Membership) -> bool {
-    let dealt: BTreeSet<u32> = membership.shards.iter().copied().collect();
+/// Ends ownership of shards that are no longer assigned to this daemon, before the next join tells
+/// the group so, and begins ownership of new ones. Returns whether any shard was released.
+fn apply_membership(node: &Arc<Node>, membership: &Membership) -> bool {
+    let assigned: BTreeSet<u32> = membership.shards.iter().copied().collect();
     let units = node.map().by_shard();
     let mut owned = node.owned();
     let before = owned.len();
     owned.retain(|number, handle| {
-        let stays = dealt.contains(number) && !handle.is_over();
+        let stays = assigned.contains(number) && !handle.has_ended();
         if !stays {
             log::info!("event=shard_released shard={number}");
-            node.leave_shard(*number, handle);
+            node.release_shard(*number, handle);
         }
         stays
     });
     let released = owned.len() < before;
-    for number in dealt {
+    for number in assigned {
         let unit = units.get(&number);
         if (number == node.fleet_shard() || unit.is_some()) && !owned.contains_key(&number) {
             let of = unit.map_or_else(|| "fleet".to_owned(), ToString::to_string);
@@ -196,23 +206,24 @@
     released
 }
 
-/// Asks the other daemons whether the store answers them.
-async fn look_around(node: &Arc<Node>) {
-    let others = node.other_daemons();
-    let asked = clock::now();
-    let asks = others.iter().map(|address| node.peers.ask(*address, &Question::Store));
+/// Asks the other daemons when the store last answered them, and extends ownership if there is an
+/// outage.
+async fn survey_peers(node: &Arc<Node>) {
+    let others = node.other_owners();
+    let asked_at = clock::now();
+    let asks = others.iter().map(|address| node.peers.call(*address, &Request::StoreStatus));
     let answered_ago = join_all(asks).await.into_iter().filter_map(|answer| match answer {
-        Ok(Answer::Store { answered_ms_ago }) => Some(Duration::from_millis(answered_ms_ago)),
+        Ok(Reply::StoreStatus { answered_ms_ago }) => Some(Duration::from_millis(answered_ms_ago)),
         _ => None,
     });
     let survey = Survey {
-        asked,
-        counted_until: node.standing().until,
+        asked_at,
+        member_until: node.member_status().member_until,
         others: others.len(),
         answered_ago: answered_ago.collect(),
     };
-    if survey.is_away_for_all() {
-        node.set_standing(|standing| standing.away_until = asked + AWAY_LEASE);
+    if survey.shows_outage() {
+        node.update_member_status(|status| status.outage_until = asked_at + OUTAGE_LEASE);
     } else {
         log::info!(
             "event=store_away_not_for_all others={} replies={}",
@@ -222,12 +233,12 @@
     }
 }
 
-/// Reads who holds what; whether that was read.
+/// Reads the holders of shards; returns whether the read succeeded.
 async fn refresh_holders(node: Arc<Node>) -> bool {
-    node.store_asked(clock::now());
+    node.record_store_call(clock::now());
     match node.store.holders().await {
         Ok(holders) => {
-            node.store_answers(clock::now());
+            node.record_store_answer(clock::now());
             let known = holders.into_iter().filter_map(|holder| {
                 let member: Result<Member, _> = holder.member.parse();
                 let member = member.inspect_err(|error| {
@@ -246,14 +257,14 @@
     }
 }
 
-/// Leaves the group on a planned stop, so that others own at once what this daemon owned.
+/// Ends ownership of all shards and leaves the group, so that others can own them at once.
 pub(crate) async fn leave(node: &Node) {
     for (number, handle) in std::mem::take(&mut *node.owned()) {
-        node.leave_shard(number, &handle);
+        node.release_shard(number, &handle);
     }
-    match tokio::time::timeout(TIMEOUT, node.store.leave(&node.member)).await {
+    match tokio::time::timeout(CALL_TIMEOUT, node.store.leave(&node.member)).await {
         Ok(Ok(())) => log::info!("event=left_group"),
         Ok(Err(error)) => log::info!("event=leave_failed error=\"{error}\""),
-        Err(_) => log::info!("event=leave_failed error=\"timed out\""),
+        Err(_) => log::info!("event=leave_failed error=\"no answer within {CALL_TIMEOUT:?}\""),
     }
 }
--- a/crates/crosspath_node/src/order.rs
+++ b/crates/crosspath_node/src/order.rs
@@ -1,9 +1,9 @@
-//! One order to a worker on its way, and what became of it.
+//! Sends one order to a worker and reports the result to the shard's scheduler.
 
 use std::sync::Arc;
 use std::time::Duration;
 
-use crosspath_border::worker::{Error, Hold, Start, Started};
+use crosspath_border::worker::{Error, Poll, Start, Started};
 use crosspath_job::TaskId;
 use crosspath_schedule::Event;
 use crosspath_schedule::lease::Terms;
@@ -13,10 +13,11 @@
 use crate::node::Node;
 use crate::watch::Watch;
 
-/// A start that could not be sent within this since it was decided is given up.
-const ORDER_PATIENCE: Duration = Duration::from_millis(250);
+/// Time after the scheduler's decision within which a start must be sent; after that it is
+/// abandoned.
+const START_EXPIRY: Duration = Duration::from_millis(250);
 
-/// An order to a worker on its way.
+/// An order that is about to be sent to a worker.
 #[derive(Debug)]
 pub(crate) struct Order {
     node: Arc<Node>,
@@ -24,7 +25,7 @@
     events: mpsc::UnboundedSender<Event>,
     terms: Terms,
     token: u64,
-    decided: Duration,
+    decided_at: Duration,
 }
 
 impl Order {
@@ -41,7 +42,7 @@
             events: events.clone(),
             terms,
             token,
-            decided: clock::now(),
+            decided_at: clock::now(),
         }
     }
 
@@ -56,15 +57,16 @@
         let permit = self.watch.orders.acquire().await;
         let Ok(_permit) = permit else { return Err(Error::NotReached) };
         let now = clock::now();
-        // Too late, or by now another daemon may be the owner, or the data centre evacuated: it is not sent.
-        let is_late = now > self.decided + ORDER_PATIENCE;
+        // The start is not sent if it is too late, or if another daemon may by now be the owner or
+        // the data centre be evacuated.
+        let is_late = now > self.decided_at + START_EXPIRY;
         if is_late || !self.node.may_act(now) || !self.node.may_start(now) {
             return Err(Error::NotReached);
         }
-        start.deadline_ms = self.watch.deadline_ms(now, self.terms.start);
+        start.deadline_ms = self.watch.deadline_ms(now, self.terms.initial);
         let answer = self.node.runner.start(&self.watch.target, start).await?;
         if let Some(clock_ms) = answer.clock_ms {
-            self.watch.heard(clock_ms);
+            self.watch.update_clock(clock_ms);
         }
         Ok(answer.value)
     }
@@ -72,29 +74,29 @@
     pub(crate) async fn stop(self, task: TaskId, run: u64) {
         let answer = self.node.runner.stop(&self.watch.target, task, run, self.token).await;
         let worker = Arc::clone(&self.watch.target.id);
-        let answer = answer.map(|clocked| clocked.value);
+        let answer = answer.map(|timestamped| timestamped.value);
         self.events.send(Event::StopAnswered { worker, task, run, answer }).ok();
     }
 
-    pub(crate) async fn look(self) {
+    pub(crate) async fn poll(self) {
         let sent = clock::now();
         let acknowledged = self.watch.acknowledged();
         let wait = Duration::ZERO;
-        let hold = Hold { token: self.token, acknowledged, deadline_ms: None, wait };
+        let poll = Poll { token: self.token, acknowledged, deadline_ms: None, wait };
         let worker = Arc::clone(&self.watch.target.id);
-        match self.node.runner.hold(&self.watch.target, &hold).await {
-            Ok(held) => {
-                self.watch.heard(held.clock_ms);
-                self.events.send(Event::Held { worker, sent, extended: false, held }).ok();
+        match self.node.runner.poll(&self.watch.target, &poll).await {
+            Ok(reply) => {
+                self.watch.update_clock(reply.clock_ms);
+                self.events.send(Event::Polled { worker, sent, extended: false, reply }).ok();
             }
-            // The worker's own looks tell whether it is silent.
+            // The worker's regular polls detect whether it is silent.
             Err(error) => log::info!("event=look_failed worker={worker} error=\"{error}\""),
         }
     }
 
-    pub(crate) async fn pace(self, task: TaskId, run: u64, percent: u32) {
+    pub(crate) async fn throttle(self, task: TaskId, run: u64, percent: u32) {
         let target = &self.watch.target;
-        let answer = self.node.runner.pace(target, task, run, percent, self.token).await;
+        let answer = self.node.runner.throttle(target, task, run, percent, self.token).await;
         if let Err(error) = answer {
             let worker = &target.id;
             log::info!("event=pace_failed task={task} run={run} worker={worker} error=\"{error}\"");
--- a/crates/crosspath_node/src/rpc.rs
+++ b/crates/crosspath_node/src/rpc.rs
@@ -1,4 +1,4 @@
-//! What daemons ask each other: JSON over HTTP on the peers' address.
+//! Calls between daemons: JSON over HTTP at the address for peers.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -6,16 +6,16 @@
 use std::time::Duration;
 
 use crosspath_border::operator::Config;
-use crosspath_border::store::{Error, Keyed};
+use crosspath_border::store::{Error, NewRecord};
 use crosspath_http::body::{self, Body};
 use crosspath_http::client::{Client, Error as CallError, Method};
 use crosspath_http::server::{self, Limits, Stage};
 use crosspath_job::JobId;
 use crosspath_job::progress::State;
-use crosspath_job::record::{Asker, Record};
-use crosspath_quota::{Ask, Deal};
+use crosspath_job::record::{Record, Requester};
+use crosspath_quota::{Grant as QuotaGrant, Request as QuotaRequest};
 use crosspath_schedule::report;
-use http::{Request, Response, StatusCode};
+use http::{Request as HttpRequest, Response, StatusCode};
 use hyper::body::Incoming;
 use serde::{Deserialize, Serialize};
 use tokio::net::TcpListener;
@@ -23,86 +23,120 @@
 
 use crate::appender;
 use crate::clock;
+use crate::config_sync;
 use crate::directory::{Cursor, Update};
 use crate::evacuation::Evacuated;
-use crate::fresh;
-use crate::map::Unit;
+use crate::map::PoolSlice;
 use crate::node::Node;
 use crate::pending::Outcome;
 use crate::workers;
 
-/// A peer is at most some ms away; one that does not answer within this is asked no longer.
+/// Timeout of a call to a peer. The network takes at most some ms.
 pub(crate) const TIMEOUT: Duration = Duration::from_millis(500);
-/// For a new connection to a peer.
+/// Timeout for establishing a connection to a peer.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Bytes of a question at most: some appended jobs.
+/// Maximum size of a request in bytes; the largest contain several jobs to append.
 const MAX_BODY: u64 = 2 * 1024 * 1024;
 const PATH: &str = "/peer";
 
-/// A question.
+/// Request to a daemon. Requests about a shard go to its owner, unless stated otherwise.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub(crate) enum Question {
-    /// State of a job.
-    State { shard: u32, job: JobId, asker: Asker },
-    /// Number of a queue's jobs that wait.
-    Waiting { shard: u32, queue: Arc<str> },
-    /// VMs that are to become vacant, and how the pool is.
+pub(crate) enum Request {
+    /// Queries the state of a job.
+    State {
+        shard: u32,
+        job: JobId,
+        #[serde(rename = "asker")]
+        requester: Requester,
+    },
+    /// Queries the number of a queue's jobs that are queued.
+    #[serde(rename = "waiting")]
+    QueuedJobs { shard: u32, queue: Arc<str> },
+    /// Sets the VMs that are to become vacant, and queries the state of the pool.
     Pool { shard: u32, vacate: BTreeSet<Arc<str>> },
-    /// Append records for a daemon that the store turns away, or answers slowly.
+    /// Appends records for another daemon. Goes to the shard's owner, which batches the records of
+    /// all daemons since the store may be slow, or to any daemon if the store refuses the sender.
     Append { shard: u32, records: Vec<(String, String)> },
-    /// A record that a caller's request has just added to a shard, for its owner.
-    Kept { shard: u32, key: String, value: String },
-    /// Parts of customers' maxima, of the fleet's owner.
-    Parts(Ask),
-    /// What operators have written, for a daemon that knows a version of the configuration and that the store does
-    /// not tell of anything newer.
+    /// Notifies the owner of a record that a caller's request has just added to its shard.
+    #[serde(rename = "kept")]
+    RecordStored { shard: u32, key: String, value: String },
+    /// Requests allotments of the customers' maxima from the owner of the fleet's shard.
+    #[serde(rename = "parts")]
+    Quota(QuotaRequest),
+    /// Queries the content of the operators' log, for a daemon that cannot read it from the store.
+    /// `known` is the version of its configuration. May go to any daemon.
     Config { known: Option<u64> },
-    /// What has changed of the workers of slices since a cursor, of the daemon that reads the list.
-    Workers { units: BTreeSet<Unit>, cursor: Option<Cursor> },
-    /// How long ago the store answered.
-    Store,
-    /// Which life of the daemon this is.
-    Life,
-    /// What the owner in an epoch knew of leases when it left the shard.
-    Left { shard: u32, epoch: u64 },
+    /// Queries the changes among the workers of some pool slices since a cursor. Goes to a daemon
+    /// that reads the worker list.
+    Workers {
+        #[serde(rename = "units")]
+        pool_slices: BTreeSet<PoolSlice>,
+        cursor: Option<Cursor>,
+    },
+    /// Queries when the store last answered the daemon. May go to any daemon.
+    #[serde(rename = "store")]
+    StoreStatus,
+    /// Queries the daemon's current incarnation. May go to any daemon.
+    #[serde(rename = "life")]
+    Incarnation,
+    /// Queries the leases that the shard's owner in this epoch knew when it released the shard.
+    /// Goes to that previous owner.
+    #[serde(rename = "left")]
+    Handover { shard: u32, epoch: u64 },
 }
 
-/// An answer.
+/// Reply to a [`Request`].
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub(crate) enum Answer {
-    /// State of a job; none when the owner does not know it.
+pub(crate) enum Reply {
+    /// State of the job; `None` if the owner does not know it.
     State(Option<State>),
-    /// Number of jobs.
-    Waiting(u64),
-    /// A pool.
+    /// Number of the queue's jobs that are queued in the shard.
+    #[serde(rename = "waiting")]
+    QueuedJobs(u64),
+    /// State of the pool slice that the shard manages.
     Pool(report::Pool),
-    /// Records were appended, but those with these keys: other customers' jobs have the identifiers.
+    /// The records were appended, except those with the keys `taken`: their identifiers belong to
+    /// jobs of other customers.
     Appended { taken: Vec<String> },
-    /// Parts of customers' maxima.
-    Parts(Deal),
-    /// A newer configuration, none when there is none; what is evacuated; and how long ago the store told so.
-    Config { newer: Option<Box<Config>>, evacuated: Evacuated, heard_ms_ago: u64 },
-    /// Workers.
+    /// Allotments of the customers' maxima.
+    #[serde(rename = "parts")]
+    Quota(QuotaGrant),
+    /// Configuration, if there is a newer one than the requester's; evacuated data centres; and
+    /// time in ms since these were last read from the store.
+    Config {
+        newer: Option<Box<Config>>,
+        evacuated: Evacuated,
+        #[serde(rename = "heard_ms_ago")]
+        confirmed_ms_ago: u64,
+    },
+    /// Changes among the workers since the cursor.
     Workers(Update),
-    /// The owner has heard.
-    Heard,
-    /// Records were not appended; whether that is sure.
-    NotAppended { surely: bool },
-    /// Records were taken back before they were sent: the store is slow.
+    /// The owner has received the notification.
+    #[serde(rename = "heard")]
+    Acknowledged,
+    /// No answer confirms the append. `certain` if the records are not stored for certain.
+    NotAppended {
+        #[serde(rename = "surely")]
+        certain: bool,
+    },
+    /// The records were withdrawn before they were sent, since the store is slow.
     Unsent,
-    /// Ms since the store last answered.
-    Store { answered_ms_ago: u64 },
-    /// The member text of this life.
-    Life { member: Arc<str> },
-    /// Ms until what may run on each worker has surely lapsed.
-    Left(Vec<(Arc<str>, u64)>),
-    /// The daemon does not own the shard now.
+    /// Time since the store last answered the daemon.
+    #[serde(rename = "store")]
+    StoreStatus { answered_ms_ago: u64 },
+    /// Member text of the daemon, which identifies its current incarnation.
+    #[serde(rename = "life")]
+    Incarnation { member: Arc<str> },
+    /// By worker incarnation, the time in ms after which everything that may run on it has expired.
+    #[serde(rename = "left")]
+    Handover(Vec<(Arc<str>, u64)>),
+    /// The daemon cannot answer: it does not own the shard, or does not have the requested data.
     NotOwner,
 }
 
-/// Connections to peers.
+/// HTTP clients for the peers, by their addresses.
 #[derive(Debug, Default)]
 pub(crate) struct Peers(Mutex<HashMap<SocketAddr, Client>>);
 
@@ -114,34 +148,36 @@
         client.or_insert_with(make).clone()
     }
 
-    /// Asks a peer.
-    pub(crate) async fn ask(
+    /// Calls a peer. The call is hedged, so the peer may receive it several times.
+    pub(crate) async fn call(
         &self,
         address: SocketAddr,
-        question: &Question,
-    ) -> Result<Answer, CallError> {
-        self.client(address).call_repeatable(Method::POST, PATH, Some(question)).await
+        request: &Request,
+    ) -> Result<Reply, CallError> {
+        self.client(address).call_idempotent(Method::POST, PATH, Some(request)).await
     }
 
-    /// Asks a peer to append: sent once, since the fate of one try is told.
-    async fn ask_to_append(
+    /// Calls a peer without hedging, for an append: the reply must describe the only attempt.
+    async fn call_once(
         &self,
         address: SocketAddr,
-        question: &Question,
+        request: &Request,
         timeout: Duration,
-    ) -> Result<Answer, CallError> {
-        self.client(address).call_within(Method::POST, PATH, Some(question), timeout).await
+    ) -> Result<Reply, CallError> {
+        self.client(address).call_within(Method::POST, PATH, Some(request), timeout).await
     }
 }
 
-/// Why a peer has not appended.
+/// Reason why a relayed append is not confirmed.
 #[derive(Debug)]
 pub(crate) enum Failure {
-    /// It has taken the records back before they were sent: the store is slow, for others too.
+    /// The peer withdrew the records before they were sent, since the store is slow. It is slow for
+    /// other daemons too.
     Unsent,
-    /// It has sent them, and has no answer yet.
+    /// The peer sent the records, and the outcome is unknown.
     Unanswered,
-    /// It could not, or it is not known whether it has.
+    /// The peer could not append the records or be reached, or did not reply.
+    /// [`Error::had_no_effect`] tells whether the records may be stored.
     Failed(Error),
 }
 
@@ -155,47 +191,49 @@
     }
 }
 
-/// Appends through a peer, who may take until `timeout` for it.
+/// Appends records through a peer, which has to reply within `timeout`. Returns the keys of the
+/// records that were not appended since their identifiers belong to jobs of other customers.
 pub(crate) async fn relay_append(
     node: &Node,
     peer: SocketAddr,
     shard: u32,
-    records: &[Keyed],
+    records: &[NewRecord],
     timeout: Duration,
 ) -> Result<Vec<String>, Failure> {
-    let text =
-        |record: &Keyed| (record.key.clone(), String::from_utf8_lossy(&record.value).into_owned());
-    let records = records.iter().map(text).collect();
-    match node.peers.ask_to_append(peer, &Question::Append { shard, records }, timeout).await {
-        Ok(Answer::Appended { taken }) => Ok(taken),
-        Ok(Answer::NotAppended { surely: true }) | Err(CallError::NotSent { .. }) => {
+    let encode = |record: &NewRecord| {
+        (record.key.clone(), String::from_utf8_lossy(&record.value).into_owned())
+    };
+    let records = records.iter().map(encode).collect();
+    match node.peers.call_once(peer, &Request::Append { shard, records }, timeout).await {
+        Ok(Reply::Appended { taken }) => Ok(taken),
+        Ok(Reply::NotAppended { certain: true }) | Err(CallError::NotSent { .. }) => {
             Err(Failure::Failed(Error::NotReached))
         }
-        Ok(Answer::Unsent) => Err(Failure::Unsent),
-        Ok(Answer::NotAppended { surely: false }) => Err(Failure::Unanswered),
+        Ok(Reply::Unsent) => Err(Failure::Unsent),
+        Ok(Reply::NotAppended { certain: false }) => Err(Failure::Unanswered),
         _ => Err(Failure::Failed(Error::NoAnswer)),
     }
 }
 
-/// Serves peers until the stop says so.
+/// Serves the calls of peers until `stop` says to end.
 pub(crate) async fn serve(listener: TcpListener, stop: watch::Receiver<Stage>, node: Arc<Node>) {
     server::serve(listener, Limits::default(), stop, move |request, _| {
         let node = Arc::clone(&node);
-        async move { call(&node, request).await }
+        async move { handle_request(&node, request).await }
     })
     .await;
 }
 
-async fn call(node: &Arc<Node>, request: Request<Incoming>) -> Response<Body> {
-    let whole = match body::read(request.into_body(), MAX_BODY, TIMEOUT).await {
-        Ok(whole) => whole,
+async fn handle_request(node: &Arc<Node>, request: HttpRequest<Incoming>) -> Response<Body> {
+    let payload = match body::read(request.into_body(), MAX_BODY, TIMEOUT).await {
+        Ok(payload) => payload,
         Err(error) => {
             log::warn!("event=peer_question_unread error=\"{error}\"");
             return body::json(StatusCode::BAD_REQUEST, &error.to_string());
         }
     };
-    match serde_json::from_slice::<Question>(&whole) {
-        Ok(question) => body::json(StatusCode::OK, &answer(node, question).await),
+    match serde_json::from_slice::<Request>(&payload) {
+        Ok(request) => body::json(StatusCode::OK, &handle(node, request).await),
         Err(error) => {
             log::warn!("event=peer_question_unreadable error=\"{error}\"");
             body::json(StatusCode::BAD_REQUEST, &error.to_string())
@@ -203,63 +241,72 @@
     }
 }
 
-/// Answers a question, of a peer or of this daemon itself.
-pub(crate) async fn answer(node: &Arc<Node>, question: Question) -> Answer {
-    match question {
-        Question::State { shard, job, asker } => {
+/// Handles a request of a peer, or of this daemon to itself.
+pub(crate) async fn handle(node: &Arc<Node>, request: Request) -> Reply {
+    match request {
+        Request::State { shard, job, requester } => {
             let owned = node.owned();
-            let state = owned.get(&shard).and_then(|handle| handle.state(job, &asker));
-            state.map_or(Answer::NotOwner, Answer::State)
+            let state = owned.get(&shard).and_then(|handle| handle.state(job, &requester));
+            state.map_or(Reply::NotOwner, Reply::State)
         }
-        Question::Waiting { shard, queue } => {
+        Request::QueuedJobs { shard, queue } => {
             let owned = node.owned();
-            let waiting = owned.get(&shard).and_then(|handle| handle.waiting(&queue));
-            waiting.map_or(Answer::NotOwner, Answer::Waiting)
+            let queued = owned.get(&shard).and_then(|handle| handle.queued_jobs(&queue));
+            queued.map_or(Reply::NotOwner, Reply::QueuedJobs)
         }
-        Question::Pool { shard, vacate } => {
+        Request::Pool { shard, vacate } => {
             let owned = node.owned();
             let pool = owned.get(&shard).and_then(|handle| handle.report(vacate));
-            pool.map_or(Answer::NotOwner, Answer::Pool)
+            pool.map_or(Reply::NotOwner, Reply::Pool)
         }
-        Question::Append { shard, records } => append(node, shard, records).await,
-        Question::Kept { shard, key, value } => {
-            if tell_owner_here(node, shard, &key, value.as_bytes()) {
-                Answer::Heard
+        Request::Append { shard, records } => handle_append(node, shard, records).await,
+        Request::RecordStored { shard, key, value } => {
+            if notify_local_owner(node, shard, &key, value.as_bytes()) {
+                Reply::Acknowledged
             } else {
-                Answer::NotOwner
+                Reply::NotOwner
             }
         }
-        Question::Left { shard, epoch } => left(node, shard, epoch),
-        Question::Parts(ask) => {
-            node.deal(clock::now(), &ask).map_or(Answer::NotOwner, Answer::Parts)
+        Request::Handover { shard, epoch } => handover_reply(node, shard, epoch),
+        Request::Quota(request) => {
+            node.grant_quota(clock::now(), &request).map_or(Reply::NotOwner, Reply::Quota)
+        }
+        Request::Workers { pool_slices, cursor } => {
+            workers::answer(node, &pool_slices, cursor.as_ref())
         }
-        Question::Workers { units, cursor } => workers::tell(node, &units, cursor.as_ref()),
-        Question::Config { known } => fresh::tell(node, known),
-        Question::Life => Answer::Life { member: Arc::clone(&node.member) },
-        Question::Store => {
-            let since = clock::now().saturating_sub(node.standing().contact.last_answer());
-            Answer::Store { answered_ms_ago: u64::try_from(since.as_millis()).unwrap_or(u64::MAX) }
+        Request::Config { known } => config_sync::reply(node, known),
+        Request::Incarnation => Reply::Incarnation { member: Arc::clone(&node.member) },
+        Request::StoreStatus => {
+            let answered_ago =
+                clock::now().saturating_sub(node.member_status().reachability.last_answer());
+            Reply::StoreStatus {
+                answered_ms_ago: u64::try_from(answered_ago.as_millis()).unwrap_or(u64::MAX),
+            }
         }
     }
 }
 
-/// What this daemon knew of leases when it left a shard.
-fn left(node: &Node, shard: u32, epoch: u64) -> Answer {
+/// Leases that this daemon knew when it released a shard.
+fn handover_reply(node: &Node, shard: u32, epoch: u64) -> Reply {
     let now = clock::now();
-    let Some(legacy) = node.left(shard, epoch) else { return Answer::NotOwner };
-    let remaining_ms =
-        |over: Duration| u64::try_from(over.saturating_sub(now).as_millis()).unwrap_or(u64::MAX);
-    let remaining = legacy.over.into_iter().map(|(worker, over)| (worker, remaining_ms(over)));
-    Answer::Left(remaining.collect())
+    let Some(handover) = node.handover(shard, epoch) else { return Reply::NotOwner };
+    let remaining_ms = |expiry: Duration| {
+        u64::try_from(expiry.saturating_sub(now).as_millis()).unwrap_or(u64::MAX)
+    };
+    let remaining =
+        handover.expiries.into_iter().map(|(worker, expiry)| (worker, remaining_ms(expiry)));
+    Reply::Handover(remaining.collect())
 }
 
-async fn append(node: &Arc<Node>, shard: u32, records: Vec<(String, String)>) -> Answer {
-    let keyed = |(key, value): (String, String)| Keyed { key, value: value.into() };
-    let (taken, records): (Vec<_>, Vec<_>) =
-        records.into_iter().map(keyed).partition(|record| is_taken_here(node, shard, record));
+async fn handle_append(node: &Arc<Node>, shard: u32, records: Vec<(String, String)>) -> Reply {
+    let to_record = |(key, value): (String, String)| NewRecord { key, value: value.into() };
+    let (taken, records): (Vec<_>, Vec<_>) = records
+        .into_iter()
+        .map(to_record)
+        .partition(|record| is_taken_locally(node, shard, record));
     let taken: Vec<_> = taken.into_iter().map(|record| record.key).collect();
     if records.is_empty() {
-        return Answer::Appended { taken };
+        return Reply::Appended { taken };
     }
     let outcome = if node.owned().contains_key(&shard) {
         appender::append_as_owner(node, shard, records).await
@@ -268,59 +315,62 @@
         appended.map_or_else(appender::outcome_of, |()| Outcome::Kept)
     };
     match outcome {
-        Outcome::Kept | Outcome::Taken => Answer::Appended { taken },
-        Outcome::NotKept => Answer::NotAppended { surely: true },
-        Outcome::Unsent => Answer::Unsent,
-        Outcome::Unknown => Answer::NotAppended { surely: false },
+        Outcome::Kept | Outcome::Taken => Reply::Appended { taken },
+        Outcome::NotKept => Reply::NotAppended { certain: true },
+        Outcome::Unsent => Reply::Unsent,
+        Outcome::Unknown => Reply::NotAppended { certain: false },
     }
 }
 
-/// Whether this daemon owns the shard and knows that another customer's job has the record's identifier.
-pub(crate) fn is_taken_here(node: &Node, shard: u32, record: &Keyed) -> bool {
+/// Whether this daemon owns the shard and knows that the record's identifier belongs to a job of
+/// another customer.
+pub(crate) fn is_taken_locally(node: &Node, shard: u32, record: &NewRecord) -> bool {
     let owned = node.owned();
     let Some(handle) = owned.get(&shard) else { return false };
     let record = Record::decode(&record.key, &record.value);
     record.is_ok_and(|record| handle.is_taken(&record))
 }
 
-/// Passes a record that is kept on to the shard's owner; whether this daemon is that.
-fn tell_owner_here(node: &Node, shard: u32, key: &str, value: &[u8]) -> bool {
+/// Passes a stored record to the shard's scheduler if this daemon owns the shard. Returns whether
+/// it does.
+fn notify_local_owner(node: &Node, shard: u32, key: &str, value: &[u8]) -> bool {
     let owned = node.owned();
     let Some(handle) = owned.get(&shard) else { return false };
     match Record::decode(key, value) {
-        Ok(record) => handle.tell(record),
+        Ok(record) => handle.notify(record),
         Err(error) => log::warn!("event=record_unreadable error=\"{error}\""),
     }
     true
 }
 
-/// Tells a shard's owner of a record that is kept. The owner reads it in the log anyway, a little
-/// later, so nothing depends on this.
-pub(crate) async fn tell_kept(node: &Arc<Node>, shard: u32, record: &Keyed) {
-    if tell_owner_here(node, shard, &record.key, &record.value) {
+/// Notifies a shard's owner of a stored record. Best effort: the owner reads the record in the log
+/// anyway, a little later.
+pub(crate) async fn notify_stored(node: &Arc<Node>, shard: u32, record: &NewRecord) {
+    if notify_local_owner(node, shard, &record.key, &record.value) {
         return;
     }
     let value = String::from_utf8_lossy(&record.value).into_owned();
-    let question = Question::Kept { shard, key: record.key.clone(), value };
-    if ask_holder(node, shard, question).await.is_none() {
+    let request = Request::RecordStored { shard, key: record.key.clone(), value };
+    if call_holder(node, shard, request).await.is_none() {
         log::info!("event=owner_not_told shard={shard} key={}", record.key);
     }
 }
 
-/// Asks the holder of a shard, which may be this daemon.
-pub(crate) async fn ask_holder(node: &Arc<Node>, shard: u32, question: Question) -> Option<Answer> {
+/// Sends a request to the holder of a shard, which may be this daemon. `None` if the holder is
+/// unknown or did not reply. If the holder may have changed, triggers a read of the holders.
+pub(crate) async fn call_holder(node: &Arc<Node>, shard: u32, request: Request) -> Option<Reply> {
     if node.owned().contains_key(&shard) {
-        return Some(answer(node, question).await);
+        return Some(handle(node, request).await);
     }
     let Some(address) = node.holder(shard) else {
-        node.holders_doubted.notify_one();
+        node.holders_stale.notify_one();
         return None;
     };
-    let answer = node.peers.ask(address, &question).await.inspect_err(|error| {
+    let reply = node.peers.call(address, &request).await.inspect_err(|error| {
         log::info!("event=holder_silent shard={shard} peer={address} error=\"{error}\"");
     });
-    if matches!(answer, Err(_) | Ok(Answer::NotOwner)) {
-        node.holders_doubted.notify_one();
+    if matches!(reply, Err(_) | Ok(Reply::NotOwner)) {
+        node.holders_stale.notify_one();
     }
-    answer.ok()
+    reply.ok()
 }
--- a/crates/crosspath_node/src/shard.rs
+++ b/crates/crosspath_node/src/shard.rs
@@ -1,4 +1,4 @@
-//! Owning a shard: claiming it, following its records, carrying out what its scheduler decides.
+//! Owns a shard: claims it, follows its records, and executes the actions of its scheduler.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -6,11 +6,11 @@
 use std::time::Duration;
 
 use crosspath_border::advice::Error as AdviceError;
-use crosspath_border::store::{Guard, Keyed, Stored};
+use crosspath_border::store::{NewRecord, Precondition, Stored};
 use crosspath_border::worker::{Entry, Start};
 use crosspath_job::JobId;
 use crosspath_job::progress::State;
-use crosspath_job::record::{Asker, Record};
+use crosspath_job::record::{Record, Requester};
 use crosspath_schedule::lease::Terms;
 use crosspath_schedule::{Action, Event, Scheduler, Settings, report};
 use tokio::sync::mpsc;
@@ -20,103 +20,108 @@
 use crate::claim::{Claim, claim};
 use crate::clock;
 use crate::feed;
-use crate::map::Unit;
+use crate::inputs::Inputs;
+use crate::map::PoolSlice;
 use crate::membership::TTL;
 use crate::node::{Node, shard_partition};
 use crate::order::Order;
 use crate::pages::Pages;
-use crate::rpc::{self, Answer, Question};
-use crate::seen::Seen;
-use crate::shard_log::{append_owned, ask_owner_before, asked_for, decode, follow};
+use crate::rpc::{self, Reply, Request};
+use crate::shard_log::{append_owned, ask_previous_owner, decode, follow, request_event};
 use crate::watch::{self, Watch};
 
-/// What a look extends leases to; see [`Terms::hold`].
-const HOLD: Duration = Duration::from_millis(5_000);
-/// What a start asks for; see [`Terms::start`].
-const START: Duration = Duration::from_millis(2_000);
-/// A worker's clock may run 2 % slow; as much again for ours.
+/// Lease length that a poll extends to; see [`Terms::extension`].
+const LEASE_EXTENSION: Duration = Duration::from_millis(5_000);
+/// Lease length that a start asks for; see [`Terms::initial`].
+const INITIAL_LEASE: Duration = Duration::from_millis(2_000);
+/// Allowance for clock drift: 2 % for a worker's clock that runs slow, and 2 % for this daemon's
+/// clock.
 const CLOCK_SLACK: f64 = 0.04;
-/// Between decisions when nothing happens.
+/// Interval between decisions when there are no events.
 const TICK: Duration = Duration::from_millis(50);
-/// Between decisions while changes gather for a commit.
-const GATHER_TICK: Duration = Duration::from_millis(12);
-/// Events taken in before the next decision.
+/// Interval between decisions while changes are collected for a commit.
+const COMMIT_TICK: Duration = Duration::from_millis(12);
+/// Maximum number of received events that are handled before the next decision.
 const MAX_EVENTS: usize = 64;
 
-type Shared = Arc<Mutex<Option<Scheduler>>>;
+type SharedScheduler = Arc<Mutex<Option<Scheduler>>>;
 
-/// A shard that this daemon holds.
+/// A shard assigned to this daemon. Dropping the handle ends its ownership.
 #[derive(Debug)]
 pub(crate) struct Handle {
-    unit: Option<Unit>,
+    pool_slice: Option<PoolSlice>,
     events: mpsc::UnboundedSender<Event>,
-    scheduler: Shared,
+    scheduler: SharedScheduler,
     task: JoinHandle<()>,
 }
 
-fn scheduler(shared: &Shared) -> std::sync::MutexGuard<'_, Option<Scheduler>> {
+fn scheduler(shared: &SharedScheduler) -> std::sync::MutexGuard<'_, Option<Scheduler>> {
     shared.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl Handle {
-    /// Begins to own a shard: that of a slice of a pool, or the fleet's.
-    pub(crate) fn start(node: &Arc<Node>, number: u32, unit: Option<Unit>) -> Self {
+    /// Starts ownership of a shard: that of a pool slice, or the fleet's shard if `pool_slice` is
+    /// `None`.
+    pub(crate) fn start(node: &Arc<Node>, number: u32, pool_slice: Option<PoolSlice>) -> Self {
         let (events, receiver) = mpsc::unbounded_channel();
-        let shared = Shared::default();
-        let task = if let Some(unit) = unit.clone() {
+        let shared = SharedScheduler::default();
+        let task = if let Some(pool_slice) = pool_slice.clone() {
             let owner = Owner {
                 node: Arc::clone(node),
                 number,
-                unit,
+                pool_slice,
                 shared: Arc::clone(&shared),
-                before: node.holder(number).filter(|before| *before != node.settings.peers),
+                previous_owner: node
+                    .holder(number)
+                    .filter(|previous| *previous != node.settings.peers),
                 events: events.clone(),
             };
             tokio::spawn(owner.run(receiver))
         } else {
             tokio::spawn(crate::fleet::run(Arc::clone(node)))
         };
-        Self { unit, events, scheduler: shared, task }
+        Self { pool_slice, events, scheduler: shared, task }
     }
 
-    /// The slice of a pool; none for the fleet.
-    pub(crate) fn unit(&self) -> Option<&Unit> {
-        self.unit.as_ref()
+    /// Pool slice of the shard; `None` for the fleet's shard.
+    pub(crate) fn pool_slice(&self) -> Option<&PoolSlice> {
+        self.pool_slice.as_ref()
     }
 
     pub(crate) fn send(&self, event: Event) {
-        // An owner that has ended needs no events.
+        // The owner's task may have ended; it needs no events then.
         self.events.send(event).ok();
     }
 
-    /// Passes on a record that a caller's request has added to the shard.
-    pub(crate) fn tell(&self, record: Record) {
-        if let Some(event) = asked_for(record) {
+    /// Passes on a record that was appended to the shard for a caller's request.
+    pub(crate) fn notify(&self, record: Record) {
+        if let Some(event) = request_event(record) {
             self.send(event);
         }
     }
 
-    /// State of a job that belongs to the asker, none within when there is none; none while taking over.
-    pub(crate) fn state(&self, job: JobId, asker: &Asker) -> Option<Option<State>> {
+    /// State of a job of the requester. The inner value is `None` if the requester has no such job,
+    /// the outer one while the shard is being taken over.
+    pub(crate) fn state(&self, job: JobId, requester: &Requester) -> Option<Option<State>> {
         let shared = scheduler(&self.scheduler);
         let scheduler = shared.as_ref()?;
-        let own = scheduler.accepted(job).is_some_and(|accepted| accepted.belongs_to(asker));
+        let own = scheduler.accepted(job).is_some_and(|accepted| accepted.belongs_to(requester));
         Some(scheduler.state(job).filter(|_| own))
     }
 
-    /// Whether a record is of a job whose identifier another customer's job has.
+    /// Whether the record submits a job under an identifier that belongs to another customer's job.
     pub(crate) fn is_taken(&self, record: &Record) -> bool {
         let Record::Accepted(job, accepted) = record else { return false };
         let shared = scheduler(&self.scheduler);
         let known = shared.as_ref().and_then(|scheduler| scheduler.accepted(*job));
-        known.is_some_and(|known| !known.belongs_to(&accepted.asker()))
+        known.is_some_and(|known| !known.belongs_to(&accepted.requester()))
     }
 
-    pub(crate) fn waiting(&self, queue: &str) -> Option<u64> {
-        scheduler(&self.scheduler).as_ref().map(|scheduler| scheduler.waiting(queue))
+    pub(crate) fn queued_jobs(&self, queue: &str) -> Option<u64> {
+        scheduler(&self.scheduler).as_ref().map(|scheduler| scheduler.queued_jobs(queue))
     }
 
-    /// Whether some task waits for a worker with room.
+    /// Whether some task waits for a worker with enough free resources.
     pub(crate) fn lacks_workers(&self) -> bool {
         scheduler(&self.scheduler).as_ref().is_some_and(Scheduler::lacks_workers)
     }
@@ -125,16 +130,17 @@
         let mut shared = scheduler(&self.scheduler);
         let scheduler = shared.as_mut()?;
         let now = clock::now();
-        // In force before the report, so that a VM reported as vacant stays so.
+        // Takes effect before the report, so that no task is placed on a VM reported as vacant.
         scheduler.handle(now, clock::wall_ms(), Event::Vacate(vacate));
         Some(scheduler.report(now))
     }
 
-    pub(crate) fn is_over(&self) -> bool {
+    pub(crate) fn has_ended(&self) -> bool {
         self.task.is_finished()
     }
 
-    /// Ends at once: nothing is ordered or kept after this. The scheduler, if there was one.
+    /// Ends ownership at once: no order is sent and nothing is committed after this. Returns the
+    /// scheduler, if it has been created.
     pub(crate) fn stop(&self) -> Option<Scheduler> {
         self.task.abort();
         scheduler(&self.scheduler).take()
@@ -147,30 +153,30 @@
     }
 }
 
-/// The owner of a pool's shard.
+/// Owner of a pool slice's shard.
 #[derive(Debug)]
 struct Owner {
     node: Arc<Node>,
     number: u32,
-    unit: Unit,
-    shared: Shared,
-    /// Address of the daemon that held the shard before, as far as is known.
-    before: Option<SocketAddr>,
+    pool_slice: PoolSlice,
+    shared: SharedScheduler,
+    /// Address of the daemon that last held the shard; `None` if unknown or this daemon.
+    previous_owner: Option<SocketAddr>,
     events: mpsc::UnboundedSender<Event>,
 }
 
-/// What the owner keeps beside its scheduler.
+/// State of the owner besides its scheduler.
 #[derive(Debug)]
-struct Duties {
+struct Ownership {
     claimed: Claim,
     sequence: u64,
     terms: Terms,
     watches: HashMap<Arc<str>, Arc<Watch>>,
-    /// The append under way.
+    /// Append in flight.
     commit: Option<AbortOnDrop>,
 }
 
-impl Drop for Duties {
+impl Drop for Ownership {
     fn drop(&mut self) {
         for watch in self.watches.values() {
             watch.end();
@@ -182,28 +188,28 @@
     async fn run(self, mut receiver: mpsc::UnboundedReceiver<Event>) {
         let store = &*self.node.store;
         let claimed = claim(store, shard_partition(self.number), &self.node.member).await;
-        self.node.workers_known(&self.unit).await;
-        let (records, end) = self.newest().await;
+        self.node.wait_for_workers(&self.pool_slice).await;
+        let (records, end) = self.read_latest().await;
         let terms = Terms {
-            hold: HOLD.min(self.node.settings.longest_hold),
-            start: START,
+            extension: LEASE_EXTENSION.min(self.node.settings.max_lease),
+            initial: INITIAL_LEASE,
             clock_slack: CLOCK_SLACK,
         };
         let settings = Settings {
             shard: self.number,
             terms,
-            keep_ended: self.node.settings.keep_ended,
+            ended_job_retention: self.node.settings.ended_job_retention,
             membership_ttl: TTL,
         };
         let now = clock::now();
-        let mut taken = Scheduler::new(settings, claimed.epoch, now);
-        taken.take_over(now, clock::wall_ms(), decode(&records), self.workers());
-        *scheduler(&self.shared) = Some(taken);
-        let _asking = AbortOnDrop(tokio::spawn(ask_owner_before(
+        let mut new_scheduler = Scheduler::new(settings, claimed.epoch, now);
+        new_scheduler.take_over(now, clock::wall_ms(), decode(&records), self.workers());
+        *scheduler(&self.shared) = Some(new_scheduler);
+        let _handover_request = AbortOnDrop(tokio::spawn(ask_previous_owner(
             Arc::clone(&self.node),
             self.number,
             claimed.epoch - 1,
-            self.before,
+            self.previous_owner,
             self.events.clone(),
         )));
         let follower = tokio::spawn(follow(
@@ -214,18 +220,19 @@
             self.events.clone(),
         ));
         let sequence = claimed.sequence;
-        let duties = Duties { claimed, sequence, terms, watches: HashMap::new(), commit: None };
+        let ownership =
+            Ownership { claimed, sequence, terms, watches: HashMap::new(), commit: None };
         let _follower = AbortOnDrop(follower);
-        self.serve(duties, &mut receiver).await;
+        self.serve(ownership, &mut receiver).await;
         if let Some(ended) = scheduler(&self.shared).take() {
-            self.node.note_left(self.number, ended.leave(clock::now()));
+            self.node.save_handover(self.number, ended.handover(clock::now()));
         }
-        log::info!("event=shard_left shard={} unit={}", self.number, self.unit);
+        log::info!("event=shard_left shard={} unit={}", self.number, self.pool_slice);
     }
 
-    async fn newest(&self) -> (Vec<Stored>, u64) {
+    async fn read_latest(&self) -> (Vec<Stored>, u64) {
         let mut pages = Pages::default();
-        let mut backoff = Backoff::new(backoff::OWNERS);
+        let mut backoff = Backoff::new(backoff::OWNER_CALLS);
         loop {
             match feed::newest(&self.node, shard_partition(self.number), &mut pages).await {
                 Ok(found) => return found,
@@ -233,7 +240,7 @@
                     log::info!(
                         "event=shard_unread shard={} unit={} error=\"{error}\"",
                         self.number,
-                        self.unit
+                        self.pool_slice
                     );
                     tokio::time::sleep(backoff.pause(rand::random())).await;
                 }
@@ -241,46 +248,48 @@
         }
     }
 
-    /// The slice's workers.
+    /// Workers of the pool slice that are listed now.
     fn workers(&self) -> Vec<Entry> {
         let map = self.node.map();
         let directory = self.node.directory();
         let own = directory.entries.values().filter(|entry| {
-            entry.pool == self.unit.pool && map.slice_of_vm(&entry.vm) == self.unit.slice
+            entry.pool == self.pool_slice.pool
+                && map.slice_of_vm(&entry.vm) == self.pool_slice.slice
         });
         own.cloned().collect()
     }
 
-    async fn serve(&self, mut duties: Duties, receiver: &mut mpsc::UnboundedReceiver<Event>) {
+    async fn serve(&self, mut ownership: Ownership, receiver: &mut mpsc::UnboundedReceiver<Event>) {
         let mut events = Vec::new();
-        let mut seen = Seen::default();
-        let mut gathers = false;
-        let mut ticked = Duration::ZERO;
+        let mut inputs = Inputs::default();
+        let mut decides_soon = false;
+        let mut last_tick = Duration::ZERO;
         loop {
-            let pause = if gathers { GATHER_TICK } else { TICK };
-            let heard = tokio::time::timeout(pause, receiver.recv_many(&mut events, MAX_EVENTS));
-            if matches!(heard.await, Ok(0)) {
+            let pause = if decides_soon { COMMIT_TICK } else { TICK };
+            let received = tokio::time::timeout(pause, receiver.recv_many(&mut events, MAX_EVENTS));
+            if matches!(received.await, Ok(0)) {
                 return;
             }
             let now = clock::now();
-            if now >= ticked + TICK {
-                ticked = now;
+            if now >= last_tick + TICK {
+                last_tick = now;
                 events.push(Event::Tick);
             }
-            events.extend(seen.changes(&self.node, now, self.number, &self.unit));
-            let Some(actions) = self.decide(now, &mut events, &mut gathers) else { return };
+            events.extend(inputs.changes(&self.node, now, self.number, &self.pool_slice));
+            let Some(actions) = self.decide(now, &mut events, &mut decides_soon) else { return };
             for action in actions {
-                self.carry_out(&mut duties, action);
+                self.execute(&mut ownership, action);
             }
         }
     }
 
-    /// Feeds the scheduler; none when the shard has another owner.
+    /// Passes events to the scheduler and returns its actions; `None` if the shard has another
+    /// owner.
     fn decide(
         &self,
         now: Duration,
         events: &mut Vec<Event>,
-        gathers: &mut bool,
+        decides_soon: &mut bool,
     ) -> Option<Vec<Action>> {
         let mut shared = scheduler(&self.shared);
         let scheduler = shared.as_mut()?;
@@ -289,41 +298,41 @@
             scheduler.handle(now, wall_ms, event);
         }
         if scheduler.is_superseded() {
-            log::info!("event=shard_superseded shard={} unit={}", self.number, self.unit);
+            log::info!("event=shard_superseded shard={} unit={}", self.number, self.pool_slice);
             return None;
         }
         let actions = scheduler.decide(now, wall_ms);
-        *gathers = scheduler.gathers();
+        *decides_soon = scheduler.decides_soon();
         Some(actions)
     }
 
-    /// An order to a worker under the shard's token.
-    fn order(&self, watch: &Arc<Watch>, duties: &Duties) -> Order {
-        Order::new(&self.node, watch, &self.events, duties.terms, duties.claimed.token)
+    /// Creates an order to a worker under the fencing token of the shard's claim.
+    fn order(&self, watch: &Arc<Watch>, ownership: &Ownership) -> Order {
+        Order::new(&self.node, watch, &self.events, ownership.terms, ownership.claimed.token)
     }
 
-    fn carry_out(&self, duties: &mut Duties, action: Action) {
+    fn execute(&self, ownership: &mut Ownership, action: Action) {
         match action {
             Action::Start { worker, task, run, text, checkpoint, ticket } => {
-                let Some(watch) = duties.watches.get(&worker.id) else { return };
-                let token = duties.claimed.token;
+                let Some(watch) = ownership.watches.get(&worker.id) else { return };
+                let token = ownership.claimed.token;
                 let start = Start { task, run, text, deadline_ms: 0, token, checkpoint, ticket };
-                let order = self.order(watch, duties);
+                let order = self.order(watch, ownership);
                 drop(tokio::spawn(order.start(start)));
             }
             Action::Stop { worker, task, run } => {
-                let Some(watch) = duties.watches.get(&worker.id) else { return };
-                drop(tokio::spawn(self.order(watch, duties).stop(task, run)));
+                let Some(watch) = ownership.watches.get(&worker.id) else { return };
+                drop(tokio::spawn(self.order(watch, ownership).stop(task, run)));
             }
-            Action::Look { worker } => {
-                let Some(watch) = duties.watches.get(&worker.id) else { return };
-                drop(tokio::spawn(self.order(watch, duties).look()));
+            Action::Poll { worker } => {
+                let Some(watch) = ownership.watches.get(&worker.id) else { return };
+                drop(tokio::spawn(self.order(watch, ownership).poll()));
             }
-            Action::Pace { worker, task, run, percent } => {
-                let Some(watch) = duties.watches.get(&worker.id) else { return };
-                drop(tokio::spawn(self.order(watch, duties).pace(task, run, percent)));
+            Action::Throttle { worker, task, run, percent } => {
+                let Some(watch) = ownership.watches.get(&worker.id) else { return };
+                drop(tokio::spawn(self.order(watch, ownership).throttle(task, run, percent)));
             }
-            Action::Advise { step, workers } => {
+            Action::RequestAdvice { step, workers } => {
                 let (node, events) = (Arc::clone(&self.node), self.events.clone());
                 drop(tokio::spawn(async move {
                     let answer = match &node.advisor {
@@ -334,50 +343,53 @@
                 }));
             }
             Action::Commit { records } => {
-                duties.sequence += 1;
-                let guard = Guard::Owner { epoch: duties.claimed.epoch, sequence: duties.sequence };
-                let keyed =
-                    |record: &Record| Keyed { key: record.key(), value: record.value().into() };
-                let records: Vec<_> = records.iter().map(keyed).collect();
+                ownership.sequence += 1;
+                let precondition = Precondition::Owner {
+                    epoch: ownership.claimed.epoch,
+                    sequence: ownership.sequence,
+                };
+                let new_record =
+                    |record: &Record| NewRecord { key: record.key(), value: record.value().into() };
+                let records: Vec<_> = records.iter().map(new_record).collect();
                 let (node, events) = (Arc::clone(&self.node), self.events.clone());
                 let partition = shard_partition(self.number);
-                duties.commit = Some(AbortOnDrop(tokio::spawn(async move {
-                    let kept = append_owned(&node, partition, &records, guard).await;
+                ownership.commit = Some(AbortOnDrop(tokio::spawn(async move {
+                    let kept = append_owned(&node, partition, &records, precondition).await;
                     events.send(if kept { Event::Committed } else { Event::Superseded }).ok();
                 })));
             }
-            Action::AskParts { ask } => {
+            Action::RequestQuota { request } => {
                 let (node, events) = (Arc::clone(&self.node), self.events.clone());
                 drop(tokio::spawn(async move {
-                    let number = ask.number;
-                    let question = Question::Parts(ask);
-                    let deal = match rpc::ask_holder(&node, node.fleet_shard(), question).await {
-                        Some(Answer::Parts(deal)) => Some(deal),
+                    let number = request.number;
+                    let request = Request::Quota(request);
+                    let grant = match rpc::call_holder(&node, node.fleet_shard(), request).await {
+                        Some(Reply::Quota(grant)) => Some(grant),
                         _ => None,
                     };
-                    events.send(Event::Dealt { number, deal }).ok();
+                    events.send(Event::QuotaAnswered { number, grant }).ok();
                 }));
             }
             Action::Acknowledge { worker, number } => {
-                if let Some(watch) = duties.watches.get(&worker) {
+                if let Some(watch) = ownership.watches.get(&worker) {
                     watch.acknowledge(number);
                 }
             }
-            Action::Watch { worker, clock_ms } => {
+            Action::StartPolling { worker, clock_ms } => {
                 let watch = Arc::new(Watch::new(worker.clone(), clock_ms));
-                let token = duties.claimed.token;
+                let token = ownership.claimed.token;
                 let run = watch::run(
                     Arc::clone(&self.node),
                     Arc::clone(&watch),
-                    duties.terms,
+                    ownership.terms,
                     token,
                     self.events.clone(),
                 );
                 drop(tokio::spawn(run));
-                duties.watches.insert(worker.id, watch);
+                ownership.watches.insert(worker.id, watch);
             }
-            Action::Unwatch { worker } => {
-                if let Some(watch) = duties.watches.remove(&worker.id) {
+            Action::StopPolling { worker } => {
+                if let Some(watch) = ownership.watches.remove(&worker.id) {
                     watch.end();
                 }
                 self.node.runner.forget(&worker);
--- a/crates/crosspath_node/src/shard_log.rs
+++ b/crates/crosspath_node/src/shard_log.rs
@@ -1,10 +1,11 @@
-//! An owner's side of the log: its records, those of others, and what the owner before knows.
+//! Access of a shard's owner to the log: its own commits, the records of callers' requests, and
+//! what the previous owner knows of leases.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
-use crosspath_border::store::{Error, Guard, Keyed, Partition, Stored};
+use crosspath_border::store::{Error, NewRecord, Partition, Precondition, Stored};
 use crosspath_job::record::Record;
 use crosspath_schedule::Event;
 use tokio::sync::mpsc;
@@ -13,20 +14,22 @@
 use crate::clock;
 use crate::feed::Feed;
 use crate::node::{Node, shard_partition};
-use crate::rpc::{Answer, Question};
+use crate::rpc::{Reply, Request};
 
-/// For which a read of the shard waits for a record.
-const LONG_WAIT: Duration = Duration::from_millis(1_500);
-/// After records were read: what comes meanwhile, the own commits too, is read by one call. Daemons
-/// that append for callers tell the owner so, and this is only for when they cannot.
-const FOLLOW_PAUSE: Duration = Duration::from_millis(200);
+/// Time for which a read of the shard waits for a new record.
+const POLL_WAIT: Duration = Duration::from_millis(1_500);
+/// Pause after records were read, so that those of the meantime, own commits included, are read by
+/// one call. Daemons that append for callers notify the owner directly; this read only covers the
+/// cases in which they cannot.
+const FOLLOW_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What a record means that anyone may write; none for those of owners.
-pub(crate) fn asked_for(record: Record) -> Option<Event> {
+/// Event for a record of a caller's request, which any daemon may append; `None` for records of
+/// owners.
+pub(crate) fn request_event(record: Record) -> Option<Event> {
     match record {
         Record::Accepted(job, accepted) => Some(Event::Accepted(job, accepted)),
         Record::Cancelled(job, by) => Some(Event::Cancelled(job, by)),
-        Record::Claim(_) | Record::Progress(..) | Record::Dropped(_) => None,
+        Record::Claim(_) | Record::Progress(..) | Record::Tombstone(_) => None,
     }
 }
 
@@ -38,18 +41,19 @@
     decoded.collect()
 }
 
-/// Appends as owner until the store has answered; whether the shard is still owned.
+/// Appends as owner and retries until the store accepts or refuses; returns whether the shard is
+/// still owned.
 pub(crate) async fn append_owned(
     node: &Node,
     partition: Partition,
-    records: &[Keyed],
-    guard: Guard,
+    records: &[NewRecord],
+    precondition: Precondition,
 ) -> bool {
-    let mut backoff = Backoff::new(backoff::OWNERS);
+    let mut backoff = Backoff::new(backoff::OWNER_CALLS);
     loop {
-        match node.store.append(partition, records, guard).await {
+        match node.store.append(partition, records, precondition).await {
             Ok(_) => {
-                node.store_answers(clock::now());
+                node.record_store_answer(clock::now());
                 return true;
             }
             Err(error @ (Error::Fenced { .. } | Error::Sequence { .. })) => {
@@ -64,7 +68,8 @@
     }
 }
 
-/// Passes on what others append to the shard; ends when a later owner claims it.
+/// Passes on the requests that other daemons append to the shard. Ends when a later owner claims
+/// it.
 pub(crate) async fn follow(
     node: Arc<Node>,
     number: u32,
@@ -72,10 +77,10 @@
     epoch: u64,
     events: mpsc::UnboundedSender<Event>,
 ) {
-    let mut feed = Feed::from(shard_partition(number), from);
-    let mut backoff = Backoff::new(backoff::OWNERS);
+    let mut feed = Feed::starting_at(shard_partition(number), from);
+    let mut backoff = Backoff::new(backoff::OWNER_CALLS);
     loop {
-        let records = match feed.read(&node, LONG_WAIT).await {
+        let records = match feed.read(&node, POLL_WAIT).await {
             Ok(records) => {
                 backoff.reset();
                 records
@@ -86,7 +91,7 @@
                 continue;
             }
         };
-        let heard = !records.is_empty();
+        let received_any = !records.is_empty();
         for record in decode(&records) {
             if let Record::Claim(claim) = &record
                 && claim.epoch > epoch
@@ -95,36 +100,39 @@
                 events.send(Event::Superseded).ok();
                 return;
             }
-            let Some(event) = asked_for(record) else { continue };
+            let Some(event) = request_event(record) else { continue };
             if events.send(event).is_err() {
                 return;
             }
         }
-        if heard {
-            tokio::time::sleep(FOLLOW_PAUSE).await;
+        if received_any {
+            tokio::time::sleep(FOLLOW_INTERVAL).await;
         }
     }
 }
 
-/// Asks the owner before, who may live on, what it knew of leases as owner in `epoch`.
-pub(crate) async fn ask_owner_before(
+/// Asks the previous owner, whose process may still run, which leases it knew of as owner in
+/// `epoch`.
+pub(crate) async fn ask_previous_owner(
     node: Arc<Node>,
     shard: u32,
     epoch: u64,
-    before: Option<SocketAddr>,
+    previous_owner: Option<SocketAddr>,
     events: mpsc::UnboundedSender<Event>,
 ) {
-    let Some(before) = before else { return };
-    match node.peers.ask(before, &Question::Left { shard, epoch }).await {
-        Ok(Answer::Left(leases)) => {
+    let Some(previous_owner) = previous_owner else { return };
+    match node.peers.call(previous_owner, &Request::Handover { shard, epoch }).await {
+        Ok(Reply::Handover(leases)) => {
             let now = clock::now();
-            let over = |(worker, left_ms)| (worker, now + Duration::from_millis(left_ms));
-            // An owner that has ended needs no events.
-            events.send(Event::HandedOver(leases.into_iter().map(over).collect())).ok();
+            let expiry = |(worker, left_ms)| (worker, now + Duration::from_millis(left_ms));
+            // The owner's task may have ended; it needs no events then.
+            events.send(Event::LeasesHandedOver(leases.into_iter().map(expiry).collect())).ok();
         }
-        Ok(_) => log::info!("event=owner_before_left_nothing shard={shard} peer={before}"),
+        Ok(_) => log::info!("event=owner_before_left_nothing shard={shard} peer={previous_owner}"),
         Err(error) => {
-            log::info!("event=owner_before_silent shard={shard} peer={before} error=\"{error}\"");
+            log::info!(
+                "event=owner_before_silent shard={shard} peer={previous_owner} error=\"{error}\""
+            );
         }
     }
 }
--- a/crates/crosspath_node/tests/node/appends.rs
+++ b/crates/crosspath_node/tests/node/appends.rs
@@ -1,15 +1,15 @@
-//! Who appends what callers ask for: two daemons on one log in memory.
+//! Routes by which callers' records are appended, with two daemons on one log in memory.
 
-use crosspath_border::entry::Submitted;
+use crosspath_border::ingress::Submitted;
 
-use crate::common::{Daemon, SETTLED, log_of_one_pool};
+use crate::common::{Daemon, SETTLE_TIME, log_with_one_pool};
 
-/// Two daemons, the one that owns the pool's shard first.
+/// Starts two daemons; the first one returned owns the pool's shard.
 async fn owner_and_other() -> (Daemon, Daemon) {
-    let log = log_of_one_pool().await;
+    let log = log_with_one_pool().await;
     let one = Daemon::start("entry-1", &log).await;
     let other = Daemon::start("entry-2", &log).await;
-    tokio::time::sleep(SETTLED).await;
+    tokio::time::sleep(SETTLE_TIME).await;
     assert_eq!(one.submit(1).await, Submitted::Accepted);
     if one.appends() > 0 { (one, other) } else { (other, one) }
 }
@@ -26,18 +26,18 @@
 }
 
 #[tokio::test]
-async fn an_owner_that_the_log_turns_away_is_passed_by() {
+async fn an_owner_refused_by_the_log_is_bypassed() {
     let (owner, other) = owner_and_other().await;
-    owner.refuse();
+    owner.refuse_appends();
     assert_eq!(other.submit(20).await, Submitted::Accepted);
     assert!(other.appends() > 0);
 }
 
 #[tokio::test]
-async fn where_the_log_refuses_all_callers_hear_that_nothing_was_taken() {
+async fn submissions_are_refused_when_the_log_refuses_every_daemon() {
     let (owner, other) = owner_and_other().await;
-    owner.refuse();
-    other.refuse();
+    owner.refuse_appends();
+    other.refuse_appends();
     for daemon in [&owner, &other] {
         let answer = daemon.submit(30).await;
         assert!(matches!(answer, Submitted::NotTaken { .. }), "{answer:?}");
@@ -45,22 +45,22 @@
 }
 
 #[tokio::test]
-async fn a_log_known_to_be_down_is_asked_once_for_each_caller() {
+async fn each_submission_makes_one_attempt_while_the_log_is_known_to_be_down() {
     let (owner, other) = owner_and_other().await;
     for daemon in [&owner, &other] {
-        daemon.take_log_down(true);
+        daemon.set_log_down(true);
     }
     for job in 40..42 {
         let answer = other.submit(job).await;
         assert!(matches!(answer, Submitted::NotTaken { .. }), "{answer:?}");
     }
-    let before = owner.refused() + other.refused();
+    let before = owner.refused_appends() + other.refused_appends();
     let answer = other.submit(50).await;
     assert!(matches!(answer, Submitted::NotTaken { .. }), "{answer:?}");
-    let tries = owner.refused() + other.refused() - before;
-    assert!(tries <= 4, "{tries} tries for a caller who was to be refused at once");
+    let tries = owner.refused_appends() + other.refused_appends() - before;
+    assert!(tries <= 4, "{tries} refused appends for a submission that should be refused at once");
     for daemon in [&owner, &other] {
-        daemon.take_log_down(false);
+        daemon.set_log_down(false);
     }
-    assert_eq!(other.submit(50).await, Submitted::Accepted, "the log is back");
+    assert_eq!(other.submit(50).await, Submitted::Accepted, "the log is up again");
 }
--- a/crates/crosspath_node/tests/node/common.rs
+++ b/crates/crosspath_node/tests/node/common.rs
@@ -1,4 +1,4 @@
-//! Daemons on one log in memory, without workers.
+//! Starts daemons that share an in-memory log and have no workers.
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::net::{SocketAddr, TcpListener as StdListener};
@@ -9,18 +9,20 @@
 
 use async_trait::async_trait;
 use crosspath_border::customer::{Customer, Keys, Registration};
-use crosspath_border::entry::{Access, Handler, Resolved, Shown, Submitted};
+use crosspath_border::ingress::{Access, Handler, Lookup, Resolved, Submitted};
 use crosspath_border::operator::{Change, Config, DEFAULT_BODY_BYTES, Pool, Queue, WaveState};
 use crosspath_border::store::{
-    Appended, DecodeError, Error, Guard, Holder, Join, Keyed, Membership, NewestPage, Page,
-    Partition, Store, Stored, Topic,
+    Appended, DecodeError, Error, Holder, Join, Membership, NewRecord, NewestPage, Page, Partition,
+    Precondition, Store, Stored, Topic,
 };
 use crosspath_border::vm::{self, Authority, Fleet, Order, State, Verdict, Vm};
-use crosspath_border::worker::{self, Clocked, Held, Hold, Runner, Start, Started, Target};
+use crosspath_border::worker::{
+    self, Poll, PollReply, Runner, Start, Started, Target, Timestamped,
+};
 use crosspath_fakes::memory_store::MemoryStore;
 use crosspath_http::server::{Limits, Stage};
 use crosspath_job::record::Policy;
-use crosspath_job::spec::{Room, Spec, Step};
+use crosspath_job::spec::{Resources, Spec, Step};
 use crosspath_job::{JobId, TaskId};
 use crosspath_node::settings::Costs;
 use crosspath_node::{Ports, Settings};
@@ -28,36 +30,38 @@
 use tokio::sync::watch;
 
 pub(crate) const SHARDS: u32 = 4;
-/// Processor time of a VM whose daemon owns shards, and of one whose daemon does not.
+/// Processor capacity of a VM whose daemon is a candidate for ownership, and of one whose daemon is
+/// not while there are larger ones.
 const LARGE_MILLICORES: u32 = 250;
 const SMALL_MILLICORES: u32 = 120;
-/// For which callers wait.
-const PATIENCE: Duration = Duration::from_secs(3);
-/// Between looks whether the daemons are there.
-const PAUSE: Duration = Duration::from_millis(50);
-/// By which each daemon has read who owns what.
-pub(crate) const SETTLED: Duration = Duration::from_millis(2_000);
-
-/// The log as one daemon reaches it.
+/// Timeout of the callers' requests.
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
+/// Interval between checks whether a daemon is ready, and pause of reads that return no records.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Time after which each daemon has read the holders of all shards.
+pub(crate) const SETTLE_TIME: Duration = Duration::from_millis(2_000);
+
+/// Connection of one daemon to the shared log, with faults and counters.
 #[derive(Debug)]
-pub(crate) struct Path {
+pub(crate) struct FaultyStore {
     log: Arc<MemoryStore>,
-    /// Appends for callers that this daemon has made.
+    /// Number of unconditional appends, which carry callers' records, that were passed on to the
+    /// log.
     appends: AtomicUsize,
-    /// Whether the log refuses those.
-    refuses: AtomicBool,
-    /// Whether the log refuses everything.
+    /// Whether the log refuses unconditional appends.
+    refuse_appends: AtomicBool,
+    /// Whether the log refuses every call except conditional appends.
     down: AtomicBool,
-    /// Appends for callers that it has refused.
-    refused: AtomicUsize,
-    /// Readings of the list of workers.
+    /// Number of unconditional appends that were refused.
+    refused_appends: AtomicUsize,
+    /// Number of reads of the worker list.
     worker_reads: AtomicUsize,
-    /// Readings of who owns what.
+    /// Number of reads of the holders of shards.
     holder_reads: AtomicUsize,
 }
 
-impl Path {
-    fn up(&self) -> Result<(), Error> {
+impl FaultyStore {
+    fn check_up(&self) -> Result<(), Error> {
         let down = self.down.load(Ordering::SeqCst);
         if down { Err(Error::Refused { status: 503 }) } else { Ok(()) }
     }
@@ -70,99 +74,103 @@
 }
 
 #[async_trait]
-impl Store for Path {
+impl Store for FaultyStore {
     async fn append(
         &self,
         partition: Partition,
-        records: &[Keyed],
-        guard: Guard,
+        records: &[NewRecord],
+        precondition: Precondition,
     ) -> Result<Appended, Error> {
-        if matches!(guard, Guard::Free) {
-            if self.refuses.load(Ordering::SeqCst) || self.down.load(Ordering::SeqCst) {
-                self.refused.fetch_add(1, Ordering::SeqCst);
+        if matches!(precondition, Precondition::Unconditional) {
+            if self.refuse_appends.load(Ordering::SeqCst) || self.down.load(Ordering::SeqCst) {
+                self.refused_appends.fetch_add(1, Ordering::SeqCst);
                 return Err(Error::Refused { status: 503 });
             }
             self.appends.fetch_add(1, Ordering::SeqCst);
         }
-        self.log.append(partition, records, guard).await
+        self.log.append(partition, records, precondition).await
     }
 
     async fn read(&self, partition: Partition, from: u64, wait: Duration) -> Result<Page, Error> {
-        self.up()?;
+        self.check_up()?;
         self.count(partition);
         let page = self.log.read(partition, from, wait).await?;
         if page.records.is_empty() {
-            tokio::time::sleep(wait.min(PAUSE)).await;
+            tokio::time::sleep(wait.min(POLL_INTERVAL)).await;
         }
         Ok(page)
     }
 
     async fn newest(&self, partition: Partition, after: Option<&str>) -> Result<NewestPage, Error> {
-        self.up()?;
+        self.check_up()?;
         self.count(partition);
         self.log.newest(partition, after).await
     }
 
     async fn join(&self, join: &Join) -> Result<Membership, Error> {
-        self.up()?;
+        self.check_up()?;
         self.log.join(join).await
     }
 
     async fn leave(&self, member: &str) -> Result<(), Error> {
-        self.up()?;
+        self.check_up()?;
         self.log.leave(member).await
     }
 
     async fn holders(&self) -> Result<Vec<Holder>, Error> {
-        self.up()?;
+        self.check_up()?;
         self.holder_reads.fetch_add(1, Ordering::SeqCst);
         self.log.holders().await
     }
 
-    fn change(&self, record: &Stored) -> Result<Change, DecodeError> {
+    fn decode_change(&self, record: &Stored) -> Result<Change, DecodeError> {
         let pools = vec![Pool { name: "counter".into(), spare: false }];
         let queues = vec![queue()];
         let text = String::from_utf8_lossy(&record.value);
         let (version, registrations) = registrations(&text);
-        let keys = Keys::new(&registrations).expect("keys of one customer each");
+        let keys = Keys::new(&registrations).expect("no key belongs to two customers");
         let customers = registrations.into_iter().map(|row| row.customer).collect();
         let body_bytes = DEFAULT_BODY_BYTES;
         Ok(Change::Config(Config { version, queues, pools, customers, keys, body_bytes }))
     }
 
-    fn worker(&self, record: &Stored) -> Result<worker::Entry, DecodeError> {
-        self.log.worker(record)
+    fn decode_worker(&self, record: &Stored) -> Result<worker::Entry, DecodeError> {
+        self.log.decode_worker(record)
     }
 
-    fn wave_status(&self, wave: u64, state: WaveState) -> Keyed {
-        self.log.wave_status(wave, state)
+    fn encode_wave_status(&self, wave: u64, state: WaveState) -> NewRecord {
+        self.log.encode_wave_status(wave, state)
     }
 
-    fn wave_state(&self, record: &Stored) -> Result<(u64, WaveState), DecodeError> {
-        self.log.wave_state(record)
+    fn decode_wave_status(&self, record: &Stored) -> Result<(u64, WaveState), DecodeError> {
+        self.log.decode_wave_status(record)
     }
 }
 
-/// Version and customers of a configuration that is written as "VERSION CUSTOMER=KEY,KEY ...".
+/// Parses a configuration of the form "VERSION CUSTOMER=KEY,KEY ..." into its version and
+/// customers.
 fn registrations(text: &str) -> (u64, Vec<Registration>) {
     let mut words = text.split(' ');
-    let version = words.next().and_then(|word| word.parse().ok()).expect("a version");
+    let version = words
+        .next()
+        .and_then(|word| word.parse().ok())
+        .expect("configuration starts with a version");
     let row = |word: &str| {
-        let (name, keys) = word.split_once('=').expect("a customer with keys");
-        let customer = Customer { name: name.into(), weight: 1.0, maximum: Room::UNLIMITED };
+        let (name, keys) = word.split_once('=').expect("customer has the form NAME=KEYS");
+        let customer = Customer { name: name.into(), weight: 1.0, maximum: Resources::UNLIMITED };
         let keys = keys.split(',').filter(|key| !key.is_empty()).map(str::to_owned).collect();
         Registration { customer, keys }
     };
     (version, words.map(row).collect())
 }
 
-/// Workers of which there are none.
+/// Client that reaches no workers.
 #[derive(Debug)]
 struct NoWorkers;
 
 #[async_trait]
 impl Runner for NoWorkers {
-    async fn start(&self, _: &Target, _: &Start) -> Result<Clocked<Started>, worker::Error> {
+    async fn start(&self, _: &Target, _: &Start) -> Result<Timestamped<Started>, worker::Error> {
         Err(worker::Error::NotReached)
     }
 
@@ -172,22 +180,22 @@
         _: TaskId,
         _: u64,
         _: u64,
-    ) -> Result<Clocked<()>, worker::Error> {
+    ) -> Result<Timestamped<()>, worker::Error> {
         Err(worker::Error::NotReached)
     }
 
-    async fn hold(&self, _: &Target, _: &Hold) -> Result<Held, worker::Error> {
+    async fn poll(&self, _: &Target, _: &Poll) -> Result<PollReply, worker::Error> {
         Err(worker::Error::NotReached)
     }
 
-    async fn pace(
+    async fn throttle(
         &self,
         _: &Target,
         _: TaskId,
         _: u64,
         _: u32,
         _: u64,
-    ) -> Result<Clocked<()>, worker::Error> {
+    ) -> Result<Timestamped<()>, worker::Error> {
         Err(worker::Error::NotReached)
     }
 
@@ -208,33 +216,33 @@
 }
 
 fn access(customer: Option<&str>) -> Access {
-    Access { queue: Arc::new(queue()), customer: customer.map(Arc::from), rest: String::new() }
+    Access { queue: Arc::new(queue()), customer: customer.map(Arc::from), subpath: String::new() }
 }
 
 fn spec() -> Spec {
-    let room = Room { cpu_millis: 1_000, mem_mb: 100, gpus: 0 };
-    let step = Step { tasks: 1, room, estimate_ms: 800, ..Step::default() };
+    let resources = Resources { cpu_millis: 1_000, mem_mb: 100, gpus: 0 };
+    let step = Step { tasks: 1, resources, estimate_ms: 800, ..Step::default() };
     Spec { text: "text".into(), steps: vec![step], repeat: None }
 }
 
 type Serving = Pin<Box<dyn Future<Output = ()> + Send>>;
 
-/// What daemons answer callers with, by the address that callers would use.
+/// Handlers of callers' requests, by the callers' address of their daemon.
 static HANDLERS: LazyLock<Mutex<HashMap<SocketAddr, Arc<dyn Handler>>>> =
     LazyLock::new(Mutex::default);
 
-fn keep_handler(
+fn register_handler(
     listener: TcpListener,
     _: Limits,
     _: watch::Receiver<Stage>,
     handler: Arc<dyn Handler>,
 ) -> Serving {
-    let address = listener.local_addr().expect("an address");
-    HANDLERS.lock().expect("no test has failed").insert(address, handler);
+    let address = listener.local_addr().expect("a bound listener has an address");
+    HANDLERS.lock().expect("no test panicked with the lock held").insert(address, handler);
     Box::pin(std::future::pending())
 }
 
-fn serve_nobody(
+fn serve_nothing(
     _: TcpListener,
     _: Limits,
     _: watch::Receiver<Stage>,
@@ -243,37 +251,38 @@
     Box::pin(std::future::pending())
 }
 
-/// Addresses that were given to some daemon of this process.
-static GIVEN: LazyLock<Mutex<HashSet<SocketAddr>>> = LazyLock::new(Mutex::default);
+/// Addresses that have been assigned to daemons of this process.
+static ASSIGNED_ADDRESSES: LazyLock<Mutex<HashSet<SocketAddr>>> = LazyLock::new(Mutex::default);
 
-/// An address that no other daemon of this process has. The system may give a port twice before the first daemon
-/// listens on it; the second one then could not start, and its test called the handler of the first.
+/// Address that no other daemon of this process has. The system may return the same free port twice
+/// before the first daemon listens on it. The second daemon would then fail to start, and its test
+/// would call the handler of the first.
 fn free_address() -> SocketAddr {
     loop {
-        let listener = StdListener::bind("127.0.0.1:0").expect("a free port");
-        let address = listener.local_addr().expect("an address");
-        if GIVEN.lock().expect("no test has failed").insert(address) {
+        let listener = StdListener::bind("127.0.0.1:0").expect("a port is free");
+        let address = listener.local_addr().expect("a bound listener has an address");
+        if ASSIGNED_ADDRESSES.lock().expect("no test panicked with the lock held").insert(address) {
             return address;
         }
     }
 }
 
 pub(crate) struct Daemon {
-    path: Arc<Path>,
+    store: Arc<FaultyStore>,
     handler: Arc<dyn Handler>,
 }
 
 impl Daemon {
     pub(crate) async fn start(name: &str, log: &Arc<MemoryStore>) -> Self {
-        Self::start_with(name, log, Some(Arc::new(Crowded::calm(30)))).await
+        Self::start_with(name, log, Some(Arc::new(FakeFleet::healthy(30)))).await
     }
 
-    /// On a VM that is too small to own shards while there are large ones.
+    /// Starts a daemon on a VM that is too small to own shards while there are large ones.
     pub(crate) async fn start_small(name: &str, log: &Arc<MemoryStore>) -> Self {
-        Self::start_on(name, log, Some(Arc::new(Crowded::calm(30))), SMALL_MILLICORES).await
+        Self::start_on(name, log, Some(Arc::new(FakeFleet::healthy(30))), SMALL_MILLICORES).await
     }
 
-    /// With a list of VMs.
+    /// Starts a daemon with the given VM list; `None` if VMs are not managed.
     pub(crate) async fn start_with(
         name: &str,
         log: &Arc<MemoryStore>,
@@ -303,37 +312,41 @@
             vm_orders_per_s: 64.0,
             advice: None,
             shards: SHARDS,
-            longest_hold: Duration::from_secs(6),
-            membership_least: Duration::from_secs(1),
-            vm_order: Duration::from_secs(3),
-            evacuation: None,
-            keep_ended: Duration::from_secs(120),
+            max_lease: Duration::from_secs(6),
+            min_member_ttl: Duration::from_secs(1),
+            vm_order_exclusion: Duration::from_secs(3),
+            evacuation_limit: None,
+            ended_job_retention: Duration::from_secs(120),
             stop_grace: Duration::from_secs(6),
             costs: Costs::default(),
         };
-        let path = Arc::new(Path {
+        let store = Arc::new(FaultyStore {
             log: Arc::clone(log),
             appends: AtomicUsize::new(0),
-            refuses: AtomicBool::new(false),
+            refuse_appends: AtomicBool::new(false),
             down: AtomicBool::new(false),
-            refused: AtomicUsize::new(0),
+            refused_appends: AtomicUsize::new(0),
             worker_reads: AtomicUsize::new(0),
             holder_reads: AtomicUsize::new(0),
         });
         let ports = Ports {
-            store: Arc::clone(&path) as Arc<dyn Store>,
+            store: Arc::clone(&store) as Arc<dyn Store>,
             runner: Arc::new(NoWorkers),
             fleet,
             advisor: None,
-            serve_callers: keep_handler,
-            serve_readiness: serve_nobody,
+            serve_callers: register_handler,
+            serve_readiness: serve_nothing,
         };
         drop(tokio::spawn(crosspath_node::run(settings, ports)));
         loop {
-            tokio::time::sleep(PAUSE).await;
-            let handler = HANDLERS.lock().expect("no test has failed").get(&addresses[0]).cloned();
+            tokio::time::sleep(POLL_INTERVAL).await;
+            let handler = HANDLERS
+                .lock()
+                .expect("no test panicked with the lock held")
+                .get(&addresses[0])
+                .cloned();
             if let Some(handler) = handler.filter(|handler| handler.is_ready()) {
-                return Self { path, handler };
+                return Self { store, handler };
             }
         }
     }
@@ -342,77 +355,79 @@
         self.submit_for(None, job).await
     }
 
-    /// Submits a job of a customer.
+    /// Submits a job on behalf of a customer.
     pub(crate) async fn submit_for(&self, customer: Option<&str>, job: u64) -> Submitted {
-        self.handler.submit(&access(customer), JobId(job), spec(), PATIENCE).await
+        self.handler.submit(&access(customer), JobId(job), spec(), CALL_TIMEOUT).await
     }
 
-    /// Asks for a job of a customer.
-    pub(crate) async fn state_for(&self, customer: Option<&str>, job: u64) -> Shown {
-        self.handler.state(&access(customer), JobId(job), PATIENCE).await
+    /// Queries the state of a job on behalf of a customer.
+    pub(crate) async fn state_for(&self, customer: Option<&str>, job: u64) -> Lookup {
+        self.handler.state(&access(customer), JobId(job), CALL_TIMEOUT).await
     }
 
-    /// Where a call with a key leads.
+    /// Routes and authorises a request that carries this key.
     pub(crate) fn resolve(&self, key: Option<&str>) -> Resolved {
         self.handler.resolve("pay.example", "/jobs/0000000000000001", key)
     }
 
     pub(crate) fn appends(&self) -> usize {
-        self.path.appends.load(Ordering::SeqCst)
+        self.store.appends.load(Ordering::SeqCst)
     }
 
-    /// The log refuses everything, or is back.
-    pub(crate) fn take_log_down(&self, down: bool) {
-        self.path.down.store(down, Ordering::SeqCst);
+    /// Makes the log refuse this daemon's calls, or accept them again.
+    pub(crate) fn set_log_down(&self, down: bool) {
+        self.store.down.store(down, Ordering::SeqCst);
     }
 
     pub(crate) fn worker_reads(&self) -> usize {
-        self.path.worker_reads.load(Ordering::SeqCst)
+        self.store.worker_reads.load(Ordering::SeqCst)
     }
 
     pub(crate) fn holder_reads(&self) -> usize {
-        self.path.holder_reads.load(Ordering::SeqCst)
+        self.store.holder_reads.load(Ordering::SeqCst)
     }
 
-    pub(crate) fn refused(&self) -> usize {
-        self.path.refused.load(Ordering::SeqCst)
+    pub(crate) fn refused_appends(&self) -> usize {
+        self.store.refused_appends.load(Ordering::SeqCst)
     }
 
-    pub(crate) fn refuse(&self) {
-        self.path.refuses.store(true, Ordering::SeqCst);
+    pub(crate) fn refuse_appends(&self) {
+        self.store.refuse_appends.store(true, Ordering::SeqCst);
     }
 }
 
-/// A log that holds a configuration of one pool.
-pub(crate) async fn log_of_one_pool() -> Arc<MemoryStore> {
+/// Creates a log that contains a configuration with one pool.
+pub(crate) async fn log_with_one_pool() -> Arc<MemoryStore> {
     let log = Arc::new(MemoryStore::new(SHARDS));
-    configure(&log, "1").await;
+    write_config(&log, "1").await;
     log
 }
 
-/// Writes a configuration, as "VERSION CUSTOMER=KEY,KEY ...".
-pub(crate) async fn configure(log: &MemoryStore, text: &str) {
-    let config = Keyed { key: "config".into(), value: text.to_owned().into() };
+/// Appends a configuration of the form "VERSION CUSTOMER=KEY,KEY ...".
+pub(crate) async fn write_config(log: &MemoryStore, text: &str) {
+    let config = NewRecord { key: "config".into(), value: text.to_owned().into() };
     let operators = Partition { topic: Topic::Operators, number: 0 };
-    log.append(operators, &[config], Guard::Free).await.expect("a log");
+    log.append(operators, &[config], Precondition::Unconditional)
+        .await
+        .expect("log accepts the configuration");
 }
 
-/// A list of VMs that refuses the first calls.
+/// VM list that refuses the first calls.
 #[derive(Debug)]
-pub(crate) struct Crowded {
-    refuses: usize,
+pub(crate) struct FakeFleet {
+    refusals: usize,
     vms: usize,
     calls: AtomicUsize,
 }
 
-impl Crowded {
-    /// A list of `vms` VMs that refuses the first `refuses` calls.
-    pub(crate) fn new(refuses: usize, vms: usize) -> Self {
-        Self { refuses, vms, calls: AtomicUsize::new(0) }
+impl FakeFleet {
+    /// Creates a list of `vms` VMs that refuses the first `refusals` calls.
+    pub(crate) fn new(refusals: usize, vms: usize) -> Self {
+        Self { refusals, vms, calls: AtomicUsize::new(0) }
     }
 
-    /// A list of `vms` VMs that answers.
-    pub(crate) fn calm(vms: usize) -> Self {
+    /// Creates a list of `vms` VMs that refuses no calls.
+    pub(crate) fn healthy(vms: usize) -> Self {
         Self::new(0, vms)
     }
 
@@ -422,7 +437,7 @@
 }
 
 #[async_trait]
-impl Fleet for Crowded {
+impl Fleet for FakeFleet {
     async fn list(&self) -> Result<Vec<Vm>, vm::Error> {
         let vm = |number: usize| Vm {
             name: format!("vm-{number}").into(),
@@ -430,10 +445,10 @@
             data_centre: "a".into(),
             state: State::Up,
             labels: Vec::new(),
-            capacity: Room { cpu_millis: 32_000, mem_mb: 1, gpus: 0 },
+            capacity: Resources { cpu_millis: 32_000, mem_mb: 1, gpus: 0 },
             worker: None,
         };
-        if self.calls.fetch_add(1, Ordering::SeqCst) < self.refuses {
+        if self.calls.fetch_add(1, Ordering::SeqCst) < self.refusals {
             return Err(vm::Error::Refused);
         }
         Ok((0..self.vms).map(vm).collect())
