--- a/crates/crosspath_node/tests/node/directory.rs
+++ b/crates/crosspath_node/tests/node/directory.rs
@@ -1,10 +1,11 @@
-//! Entries of the worker list that another wrote, and what the others are worth then.
+//! Guards against an entry of the worker list that another program wrote: it must not name a worker
+//! to use, and must not affect the other entries.
 
 use std::sync::Arc;
 
 use crosspath_border::store::{DecodeError, Stored};
 use crosspath_border::worker::Entry;
-use crosspath_job::spec::Room;
+use crosspath_job::spec::Resources;
 use crosspath_node::directory::{Change, Directory};
 use crosspath_schedule::Event;
 
@@ -18,7 +19,7 @@
 fn read(record: &Stored) -> Result<Entry, DecodeError> {
     let Stored { key, offset, value } = record;
     if value != SOUND {
-        let detail = "another wrote it".to_owned();
+        let detail = "written by another program".to_owned();
         return Err(DecodeError { key: key.clone(), offset: *offset, detail });
     }
     Ok(Entry {
@@ -26,43 +27,43 @@
         pool: "counter".into(),
         vm: Arc::from(format!("vm-{key}")),
         data_centre: "a".into(),
-        address: "127.0.0.1:9".parse().expect("an address"),
+        address: "127.0.0.1:9".parse().expect("valid address"),
         draining: false,
         remaining_ms: 0,
-        capacity: Room { cpu_millis: 32_000, mem_mb: 128_000, gpus: 0 },
+        capacity: Resources { cpu_millis: 32_000, mem_mb: 128_000, gpus: 0 },
         labels: Vec::new(),
         clock_ms: 1_000,
-        born_ms: 0,
+        started_ms: 0,
     })
 }
 
-fn take(directory: &mut Directory, records: &[Stored], whole: bool) -> Vec<Change> {
-    directory.take(records, whole, read)
+fn apply(directory: &mut Directory, records: &[Stored], whole: bool) -> Vec<Change> {
+    directory.apply_records(records, whole, read)
 }
 
 #[test]
-fn an_entry_that_cannot_be_read_names_no_worker_and_the_others_hold() {
+fn an_unreadable_entry_is_skipped_and_the_others_apply() {
     let mut directory = Directory::default();
     let records = [stored("x", FOREIGN), stored("i-1", SOUND), stored("y", FOREIGN)];
-    let changes = take(&mut directory, &records, true);
+    let changes = apply(&mut directory, &records, true);
     assert_eq!(changes.len(), 1);
-    assert!(matches!(&changes[0].event, Event::WorkerSeen(entry) if &*entry.id == "i-1"));
+    assert!(matches!(&changes[0].event, Event::WorkerListed(entry) if &*entry.id == "i-1"));
 }
 
 #[test]
-fn a_worker_whose_entry_another_wrote_over_is_not_used_until_it_writes_again() {
+fn a_worker_whose_entry_was_overwritten_is_gone_until_it_writes_again() {
     let mut directory = Directory::default();
-    take(&mut directory, &[stored("i-1", SOUND)], true);
-    let changes = take(&mut directory, &[stored("i-1", FOREIGN)], false);
+    apply(&mut directory, &[stored("i-1", SOUND)], true);
+    let changes = apply(&mut directory, &[stored("i-1", FOREIGN)], false);
     assert_eq!(changes.len(), 1);
-    assert!(matches!(&changes[0].event, Event::WorkerGone(id) if &**id == "i-1"));
-    let changes = take(&mut directory, &[stored("i-1", SOUND)], false);
-    assert!(matches!(&changes[0].event, Event::WorkerSeen(_)));
+    assert!(matches!(&changes[0].event, Event::WorkerUnlisted(id) if &**id == "i-1"));
+    let changes = apply(&mut directory, &[stored("i-1", SOUND)], false);
+    assert!(matches!(&changes[0].event, Event::WorkerListed(_)));
 }
 
 #[test]
-fn an_entry_that_says_the_same_changes_nothing() {
+fn an_unchanged_entry_produces_no_change() {
     let mut directory = Directory::default();
-    take(&mut directory, &[stored("i-1", SOUND)], true);
-    assert!(take(&mut directory, &[stored("i-1", SOUND)], false).is_empty());
+    apply(&mut directory, &[stored("i-1", SOUND)], true);
+    assert!(apply(&mut directory, &[stored("i-1", SOUND)], false).is_empty());
 }
--- a/crates/crosspath_node/tests/node/main.rs
+++ b/crates/crosspath_node/tests/node/main.rs
@@ -1,20 +1,20 @@
-//! Tests of the daemon's parts.
+//! Tests of the daemon and its modules.
 
 mod appends;
-mod away;
 mod candidacy;
-mod census;
 mod claim;
 mod clock;
 mod common;
-mod contact;
 mod directory;
 mod evacuation;
 mod handover;
 mod keys;
 mod listing;
 mod map;
+mod outage;
 mod pending;
+mod reachability;
 mod standby;
 mod storm;
+mod vm_count;
 mod workers;
--- a/crates/crosspath_operator/src/watch.rs
+++ b/crates/crosspath_operator/src/watch.rs
@@ -1,4 +1,4 @@
-//! Watches: one JSON line for each change of a kind, from a revision on.
+//! Watches: streams of the changes to all resources of a kind, one JSON line each.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -18,48 +18,48 @@
 use tokio::sync::watch as channel;
 
 use crate::Handler;
-use crate::answer::{Error, TooOldSnafu};
 use crate::model::{Event, Resource};
+use crate::response::{Error, TooOldSnafu};
 
 struct Watch {
     states: channel::Receiver<Arc<State>>,
     stop: channel::Receiver<Stage>,
     kind: Kind,
-    seen: Arc<State>,
-    first: bool,
+    last_sent: Arc<State>,
+    is_initial: bool,
 }
 
-/// Streams changes after `from`, until the watcher goes or the daemon stops. A change may come
-/// twice when `from` lies between two states that the daemon kept.
+/// Streams the changes after the revision `from` until the client disconnects or the daemon stops.
+/// A change may be sent twice if `from` is between the revisions of two retained states.
 pub(crate) fn stream<H: Handler>(
     handler: &H,
     kind: Kind,
     from: Revision,
     stop: channel::Receiver<Stage>,
 ) -> Result<Response<Body>, Error> {
-    let seen = handler.state_at(from).context(TooOldSnafu { from })?;
-    let watch = Watch { states: handler.state(), stop, kind, seen, first: true };
+    let last_sent = handler.state_at(from).context(TooOldSnafu { from })?;
+    let watch = Watch { states: handler.state(), stop, kind, last_sent, is_initial: true };
     let lines = futures::stream::unfold(watch, Watch::next);
     let frames = lines.map(|lines| Ok::<_, BoxError>(Frame::data(Bytes::from(lines))));
-    let mut answer = Response::new(StreamBody::new(frames).boxed_unsync());
-    let kind = HeaderValue::from_static("application/jsonl");
-    answer.headers_mut().insert(header::CONTENT_TYPE, kind);
-    Ok(answer)
+    let mut response = Response::new(StreamBody::new(frames).boxed_unsync());
+    let content_type = HeaderValue::from_static("application/jsonl");
+    response.headers_mut().insert(header::CONTENT_TYPE, content_type);
+    Ok(response)
 }
 
 impl Watch {
     async fn next(mut self) -> Option<(String, Self)> {
         loop {
-            if !self.first {
+            if !self.is_initial {
                 tokio::select! {
                     changed = self.states.changed() => changed.ok()?,
                     _ = self.stop.wait_for(|stage| *stage >= Stage::Finishing) => return None,
                 }
             }
-            self.first = false;
+            self.is_initial = false;
             let state = self.states.borrow_and_update().clone();
-            let lines = lines(self.kind, &self.seen, &state);
-            self.seen = state;
+            let lines = lines(self.kind, &self.last_sent, &state);
+            self.last_sent = state;
             if !lines.is_empty() {
                 return Some((lines, self));
             }
@@ -67,7 +67,7 @@
     }
 }
 
-/// One line for each resource of the kind that differs between two states.
+/// Returns one line for each resource of the `kind` that differs between two states.
 fn lines(kind: Kind, before: &State, after: &State) -> String {
     let names = before.names(kind).into_iter().chain(after.names(kind));
     let names: BTreeSet<_> = names.collect();
--- a/crates/crosspath_schedule/src/answers.rs
+++ b/crates/crosspath_schedule/src/answers.rs
@@ -1,4 +1,4 @@
-//! Answers to starts and stops.
+//! Processing of workers' answers to starts and stops.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,14 +10,15 @@
 use crate::job::Phase;
 use crate::scheduler::Scheduler;
 
-/// No new work after an order without an answer, or a refusal; the next look tells more.
-const REST_AFTER_SILENCE: Duration = Duration::from_millis(300);
-/// No new work after a refusal for want of room: some looks' time.
-const REST_AFTER_NO_ROOM: Duration = Duration::from_millis(60);
-/// A malformed start is not repeated at once.
-const PAUSE_AFTER_MALFORMED: Duration = Duration::from_secs(1);
-/// Blame for refusing a start.
-const BLAME_REFUSED: f64 = 0.5;
+/// Pause in new work for a worker that did not answer an order or refused it as unhealthy; the next
+/// poll shows its state.
+const COOLDOWN_AFTER_NO_ANSWER: Duration = Duration::from_millis(300);
+/// Pause in new work for a worker that refused a start; a few polls take place in this time.
+const COOLDOWN_AFTER_NO_ROOM: Duration = Duration::from_millis(60);
+/// Delay before a task is placed again after a worker could not interpret its start.
+const MALFORMED_RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Increase of a worker's suspicion score when it refuses a start as unhealthy.
+const SUSPICION_REFUSED: f64 = 0.5;
 
 impl Scheduler {
     pub(crate) fn start_answered(
@@ -33,9 +34,9 @@
                 "event=start_refused task={task} run={number} worker={id} answer={answer:?}"
             );
         }
-        // Nothing began, so nothing was lost there.
+        // The run did not start, so it cannot be the reason why the worker was lost.
         if !matches!(answer, Ok(Started::Yes) | Err(Error::NoAnswer)) {
-            self.acquit(now, task, number);
+            self.clear_loss(now, task, number);
         }
         match answer {
             Ok(Started::Yes) => {
@@ -46,46 +47,47 @@
                         run.progressed = now;
                     }
                 }
-                self.begun(now, task.job);
+                self.mark_running(now, task.job);
             }
             Ok(Started::Fenced) | Err(Error::Fenced) => self.superseded = true,
             Ok(Started::NoRoom) => {
-                self.rest(id, now + REST_AFTER_NO_ROOM);
-                self.drop_and_queue(now, id, task, number, "no_room");
+                self.cool_down(id, now + COOLDOWN_AFTER_NO_ROOM);
+                self.drop_and_requeue(now, id, task, number, "no_room");
             }
             Ok(Started::Old | Started::Late) => {
-                self.rest(id, now + REST_AFTER_NO_ROOM);
-                self.drop_and_queue(now, id, task, number, "refused");
+                self.cool_down(id, now + COOLDOWN_AFTER_NO_ROOM);
+                self.drop_and_requeue(now, id, task, number, "refused");
             }
             Ok(Started::Ticket) => {
-                self.tickets.forget(task);
-                self.drop_and_queue(now, id, task, number, "ticket");
+                self.tickets.invalidate(task);
+                self.drop_and_requeue(now, id, task, number, "ticket");
             }
             Ok(Started::Unhealthy) | Err(Error::Refused { .. }) => {
-                self.blame(now, id, BLAME_REFUSED);
-                self.rest(id, now + REST_AFTER_SILENCE);
-                self.drop_and_queue(now, id, task, number, "unhealthy");
+                self.adjust_suspicion(now, id, SUSPICION_REFUSED);
+                self.cool_down(id, now + COOLDOWN_AFTER_NO_ANSWER);
+                self.drop_and_requeue(now, id, task, number, "unhealthy");
             }
             Ok(Started::Malformed) => {
                 log::warn!("event=start_malformed task={task} worker={id}");
                 if let Some(task) = self.task_mut(task) {
-                    task.not_before = now + PAUSE_AFTER_MALFORMED;
+                    task.not_before = now + MALFORMED_RETRY_DELAY;
                 }
-                self.drop_and_queue(now, id, task, number, "malformed");
+                self.drop_and_requeue(now, id, task, number, "malformed");
             }
             Err(Error::NotReached) => {
-                self.rest(id, now + REST_AFTER_SILENCE);
-                self.drop_and_queue(now, id, task, number, "not_reached");
+                self.cool_down(id, now + COOLDOWN_AFTER_NO_ANSWER);
+                self.drop_and_requeue(now, id, task, number, "not_reached");
             }
             Err(Error::OtherLife) => {
-                let sent = self.run(task, number).map(|run| run.sent);
-                self.drop_and_queue(now, id, task, number, "other_life");
-                self.met_other_life(now, id, sent);
+                let sent = self.run(task, number).map(|run| run.start_sent);
+                self.drop_and_requeue(now, id, task, number, "other_life");
+                self.other_incarnation_answered(now, id, sent);
             }
             Err(Error::NoAnswer) => self.start_unanswered(now, id, task, number),
         }
     }
 
+    /// A start got no answer: the run may exist, so a stop is sent to make sure that it does not.
     pub(crate) fn start_unanswered(
         &mut self,
         now: Duration,
@@ -93,7 +95,7 @@
         task: TaskId,
         number: u64,
     ) {
-        self.rest(id, now + REST_AFTER_SILENCE);
+        self.cool_down(id, now + COOLDOWN_AFTER_NO_ANSWER);
         let Some(run) = self.run_mut(task, number) else { return };
         if run.phase == Phase::Starting {
             run.phase = Phase::Doubtful;
@@ -104,9 +106,9 @@
         self.stop_run(now, task, number);
     }
 
-    pub(crate) fn rest(&mut self, id: &str, until: Duration) {
+    pub(crate) fn cool_down(&mut self, id: &str, until: Duration) {
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.rest_until = worker.rest_until.max(until);
+            worker.cooldown_until = worker.cooldown_until.max(until);
         }
     }
 
@@ -124,19 +126,19 @@
                     worker.unanswered.remove(&(task, number));
                 }
                 let Some(run) = self.run_mut(task, number) else { return };
-                let doubtful = run.phase == Phase::Doubtful;
+                let unconfirmed = run.phase == Phase::Doubtful;
                 run.phase = Phase::Stopped;
                 run.answered = now;
-                // A run that was there is listed as ended soon; one that never was shows in no end,
-                // and the look under way may wait for another's for long.
-                if doubtful && let Some(worker) = self.workers.get(id) {
-                    self.actions.push(Action::Look { worker: worker.target() });
+                // A run that existed is soon reported as ended. One that never started produces no
+                // such report, and the pending periodic poll may wait long for another run to end.
+                if unconfirmed && let Some(worker) = self.workers.get(id) {
+                    self.actions.push(Action::Poll { worker: worker.target() });
                 }
             }
             Err(Error::Fenced) => self.superseded = true,
             Err(Error::OtherLife) => {
                 let sent = self.run(task, number).map(|run| run.stop_sent);
-                self.met_other_life(now, id, sent);
+                self.other_incarnation_answered(now, id, sent);
             }
             Err(error) => {
                 log::info!(
--- a/crates/crosspath_schedule/src/commit.rs
+++ b/crates/crosspath_schedule/src/commit.rs
@@ -1,83 +1,93 @@
-//! What is kept in the log, and when workers may forget ends.
+//! Commits to the log, and acknowledgement of ended runs to workers.
 //!
-//! An end is acknowledged to its worker only after the progress that it made is kept. One commit is
-//! under way at a time; what changes meanwhile goes into the next.
+//! An ended run is acknowledged to its worker only after the progress that it caused is durable. At
+//! most one commit is in flight; later changes go into the next one.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
 
 use crosspath_job::progress::State;
-use crosspath_job::record::{Record, keys_of};
+use crosspath_job::record::{Record, job_keys};
 use crosspath_job::{JobId, TaskId};
 
 use crate::action::Action;
 use crate::scheduler::Scheduler;
 
-/// Changes wait this long for others, to save calls of the store. An end that awaits its
-/// acknowledgement holds up the next look at its worker, so this is short.
-const GATHER: Duration = Duration::from_millis(20);
-/// Starts wait for the record of their place, so a change with one does not wait for others, unless
-/// the last commit is as young as this.
-const INTERVAL: Duration = Duration::from_millis(20);
-/// Records in one commit at most, to stay far below the store's bound on a call.
+/// Time for which a change waits for others to be committed with it, to save calls of the store.
+/// Short, because the next poll of a worker is delayed while an ended run is unacknowledged.
+const BATCH_DELAY: Duration = Duration::from_millis(20);
+/// Minimum time between commits that skip [`BATCH_DELAY`] because of a planned run: its start waits
+/// until its placement is durable.
+const MIN_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum number of progress records in one commit, to stay far below the store's limit on a call.
 const MAX_RECORDS: usize = 400;
 
-/// Commits under way and to come.
+/// Pending changes, and the commit in flight.
 #[derive(Debug, Default)]
 pub(crate) struct Commits {
+    /// Jobs whose progress has changed since their last commit.
     dirty: BTreeSet<JobId>,
-    since: Duration,
+    /// When the first of the pending changes was made.
+    dirty_since: Duration,
     /// When the last commit was sent.
-    sent: Duration,
-    /// Runs whose places are to be kept before they are started.
+    last_sent: Duration,
+    /// Runs that are to be started once their placement is durable.
     planned: Vec<(TaskId, u64)>,
     in_flight: Option<InFlight>,
-    forgotten: Vec<JobId>,
-    /// Jobs whose acceptance is to be written again.
-    restored: Vec<JobId>,
+    /// Jobs whose records are to be deleted.
+    tombstones: Vec<JobId>,
+    /// Jobs whose acceptance record is to be written again.
+    acceptances_to_rewrite: Vec<JobId>,
 }
 
+/// Content of the commit in flight, for use when it is durable.
 #[derive(Debug)]
 struct InFlight {
+    /// Job states that the commit makes durable.
     states: Vec<(JobId, State)>,
+    /// Runs that the commit records, to be started afterwards.
     planned: Vec<(TaskId, u64)>,
+    /// By worker, the sequence number up to which ended runs are then acknowledged.
     ends: BTreeMap<Arc<str>, u64>,
 }
 
 impl Commits {
-    /// Whether nothing is to be kept.
+    /// Whether there is nothing to commit.
     fn is_empty(&self) -> bool {
-        self.dirty.is_empty() && self.forgotten.is_empty() && self.restored.is_empty()
+        self.dirty.is_empty()
+            && self.tombstones.is_empty()
+            && self.acceptances_to_rewrite.is_empty()
     }
 
-    /// Whether changes wait for a commit that is not under way yet.
-    pub(crate) fn gathers(&self) -> bool {
+    /// Whether progress waits to be committed and no commit is in flight.
+    pub(crate) fn is_batching(&self) -> bool {
         self.in_flight.is_none() && !self.dirty.is_empty()
     }
 
-    /// The run's place is to be kept, and the run then started.
-    pub(crate) fn plan(&mut self, now: Duration, task: TaskId, run: u64) {
-        self.touch(now, task.job);
+    /// Commits the placement of a run, and has the run started afterwards.
+    pub(crate) fn plan_run(&mut self, now: Duration, task: TaskId, run: u64) {
+        self.mark_dirty(now, task.job);
         self.planned.push((task, run));
     }
 
-    /// What was accepted as the job is to be written again, over what another has written.
-    pub(crate) fn restore(&mut self, job: JobId) {
-        self.restored.push(job);
+    /// Writes the acceptance record of a job again, because another writer has overwritten it.
+    pub(crate) fn rewrite_acceptance(&mut self, job: JobId) {
+        self.acceptances_to_rewrite.push(job);
     }
 
-    /// Ends of a worker's life that is over are acknowledged to no later one.
-    pub(crate) fn forget_ends(&mut self, worker: &str) {
+    /// Discards the acknowledgements planned for a worker whose incarnation has ended: they must
+    /// not reach a later incarnation, which numbers its reports from 1 again.
+    pub(crate) fn discard_ends(&mut self, worker: &str) {
         if let Some(in_flight) = &mut self.in_flight {
             in_flight.ends.remove(worker);
         }
     }
 
-    /// The job's progress is to be kept.
-    pub(crate) fn touch(&mut self, now: Duration, job: JobId) {
+    /// Notes that the progress of a job has changed and must be committed.
+    pub(crate) fn mark_dirty(&mut self, now: Duration, job: JobId) {
         if self.dirty.is_empty() {
-            self.since = now;
+            self.dirty_since = now;
         }
         self.dirty.insert(job);
     }
@@ -91,14 +101,16 @@
         if self.commits.is_empty() {
             return self.acknowledge_all();
         }
-        let gathers = !self.commits.dirty.is_empty() && now < self.commits.since + GATHER;
-        let hurries = !self.commits.planned.is_empty() && now >= self.commits.sent + INTERVAL;
-        if gathers && !hurries {
+        let batching =
+            !self.commits.dirty.is_empty() && now < self.commits.dirty_since + BATCH_DELAY;
+        let urgent =
+            !self.commits.planned.is_empty() && now >= self.commits.last_sent + MIN_INTERVAL;
+        if batching && !urgent {
             return;
         }
         let mut records = Vec::new();
         let mut states = Vec::new();
-        let whole = self.commits.dirty.len() <= MAX_RECORDS;
+        let complete = self.commits.dirty.len() <= MAX_RECORDS;
         while let Some(id) = self.commits.dirty.pop_first() {
             if let Some(job) = self.jobs.get(&id) {
                 records.push(Record::Progress(id, job.progress(wall_ms)));
@@ -108,35 +120,36 @@
                 break;
             }
         }
-        for id in std::mem::take(&mut self.commits.restored) {
+        for id in std::mem::take(&mut self.commits.acceptances_to_rewrite) {
             let accepted = self.jobs.get(&id).map(|job| Arc::clone(&job.accepted));
             records.extend(accepted.map(|accepted| Record::Accepted(id, accepted)));
         }
-        for id in std::mem::take(&mut self.commits.forgotten) {
-            records.extend(keys_of(id).map(Record::Dropped));
+        for id in std::mem::take(&mut self.commits.tombstones) {
+            records.extend(job_keys(id).map(Record::Tombstone));
         }
         let in_batch = |task: &TaskId| !self.commits.dirty.contains(&task.job);
         let (planned, later) = std::mem::take(&mut self.commits.planned)
             .into_iter()
             .partition(|(task, _)| in_batch(task));
         self.commits.planned = later;
-        let ends = if whole { self.ends_seen() } else { BTreeMap::new() };
-        self.commits.since = now;
-        self.commits.sent = now;
+        let ends = if complete { self.unacknowledged_ends() } else { BTreeMap::new() };
+        self.commits.dirty_since = now;
+        self.commits.last_sent = now;
         self.commits.in_flight = Some(InFlight { states, planned, ends });
         self.actions.push(Action::Commit { records });
     }
 
-    fn ends_seen(&self) -> BTreeMap<Arc<str>, u64> {
+    fn unacknowledged_ends(&self) -> BTreeMap<Arc<str>, u64> {
         let unacknowledged = self.workers.iter();
         let unacknowledged =
             unacknowledged.filter(|(_, worker)| worker.ends_seen > worker.ends_acknowledged);
         unacknowledged.map(|(id, worker)| (Arc::clone(id), worker.ends_seen)).collect()
     }
 
-    /// Nothing is to be kept: ends that changed nothing are acknowledged at once.
+    /// Acknowledges all ended runs at once. Used when there is nothing to commit, so that none of
+    /// them has changed any progress that is not durable.
     fn acknowledge_all(&mut self) {
-        for (id, number) in self.ends_seen() {
+        for (id, number) in self.unacknowledged_ends() {
             self.acknowledge(&id, number);
         }
     }
@@ -152,7 +165,7 @@
             return;
         };
         for (task, run) in planned {
-            if self.may_send(task, run) {
+            if self.may_send_start(task, run) {
                 self.send_start(now, task, run);
             } else {
                 self.drop_planned(now, task, run);
@@ -160,7 +173,7 @@
         }
         for (id, state) in states {
             if let Some(job) = self.jobs.get_mut(&id) {
-                job.kept = state;
+                job.durable_state = state;
             }
         }
         for (id, number) in ends {
@@ -168,24 +181,26 @@
         }
     }
 
-    /// Whether a planned run may still be started: its data centre may have been evacuated while its
-    /// place was being kept.
-    fn may_send(&self, task: TaskId, run: u64) -> bool {
+    /// Whether a planned run may still be started: its data centre may have been evacuated while
+    /// its placement was being committed.
+    fn may_send_start(&self, task: TaskId, run: u64) -> bool {
         let worker = self.run(task, run).and_then(|run| self.workers.get(&run.worker));
         let evacuated = worker.is_some_and(|worker| self.is_evacuated(worker));
         self.may_act && self.may_start && !evacuated
     }
 
-    /// Drops jobs that ended long ago.
-    pub(crate) fn forget_ended(&mut self, now: Duration) {
-        let keep = self.settings.keep_ended;
-        let over = |job: &&crate::job::Job| {
-            job.kept.is_final() && now > job.ended + keep && job.running().is_empty()
+    /// Removes jobs that ended longer ago than the retention time, and deletes their records.
+    pub(crate) fn remove_ended_jobs(&mut self, now: Duration) {
+        let keep = self.settings.ended_job_retention;
+        let expired = |job: &&crate::job::Job| {
+            job.durable_state.is_terminal()
+                && now > job.ended + keep
+                && job.active_runs().is_empty()
         };
-        let over: Vec<_> = self.jobs.values().filter(over).map(|job| job.id).collect();
-        for id in over {
+        let expired: Vec<_> = self.jobs.values().filter(expired).map(|job| job.id).collect();
+        for id in expired {
             self.jobs.remove(&id);
-            self.commits.forgotten.push(id);
+            self.commits.tombstones.push(id);
         }
     }
 }
--- a/crates/crosspath_schedule/src/job.rs
+++ b/crates/crosspath_schedule/src/job.rs
@@ -1,4 +1,4 @@
-//! A job and its tasks as the shard's owner knows them.
+//! The state of jobs, tasks and runs, as the owner of the shard knows it.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,264 +8,285 @@
 use crosspath_job::record::Accepted;
 use crosspath_job::{JobId, TaskId};
 
-/// Percent at which a lasting task is at work.
-const AT_WORK: u32 = 100;
+/// Progress from which a long-running task counts as available, in percent.
+const AVAILABLE_PERCENT: u32 = 100;
 
-/// How far a run is.
+/// Phase of a run. The names of the variants appear in log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// It is being written to the log; nothing was sent.
+    /// The placement record is being written to the log; nothing was sent to the worker.
     Planned,
-    /// The start was sent.
+    /// The start was sent and not answered yet.
     Starting,
-    /// The worker runs it.
+    /// The worker has confirmed that it runs.
     Running,
-    /// The start got no answer; a stop is to make it void.
+    /// The start got no answer, so the run may or may not exist. It is being stopped in case the
+    /// start took effect.
     Doubtful,
-    /// A stop was sent.
+    /// A stop was sent and not answered yet.
     Stopping,
-    /// The stop was answered; the next look shows its end, or that it never was.
+    /// The stop was answered. The next poll lists the end of the run or shows that it never
+    /// started.
     Stopped,
 }
 
-/// One run of a task, that is or may be on a worker.
+/// A run of a task that exists, or may exist, on a worker.
 #[derive(Debug, Clone)]
 pub struct Run {
-    /// Number of the run.
+    /// Number of the run, unique within its task. Later runs have higher numbers.
     pub number: u64,
-    /// The worker.
+    /// Identifier of the worker.
     pub worker: Arc<str>,
-    /// Name of that worker's life.
-    pub life: Arc<str>,
-    /// How far it is.
+    /// Incarnation of the worker that the run was planned or found on, as named by
+    /// `incarnations::name`.
+    pub incarnation: Arc<str>,
+    /// Phase, as last confirmed or ordered.
     pub phase: Phase,
-    /// When the start was sent, or the run was found.
-    pub sent: Duration,
-    /// When the last order for it was answered.
+    /// When the start was sent, or when this owner adopted a run that it found.
+    pub start_sent: Duration,
+    /// When a reply last confirmed an order for the run. Initially the time at which the run was
+    /// planned or adopted.
     pub answered: Duration,
-    /// When a stop was last sent.
+    /// When a stop was last sent; zero if none was.
     pub stop_sent: Duration,
-    /// Percent as last heard.
+    /// Progress in percent, as the worker last reported it.
     pub percent: u32,
-    /// When a look that was answered last showed it.
-    pub looked: Duration,
-    /// When the percent last changed.
+    /// When a poll reply last listed the run. Initially the time at which the run was planned or
+    /// adopted.
+    pub last_seen: Duration,
+    /// When the reported progress last changed, or when the start was confirmed if that is later.
     pub progressed: Duration,
-    /// Newest checkpoint.
+    /// Newest reported checkpoint; until one is reported, the checkpoint that the run resumes from.
     pub checkpoint: Option<Arc<str>>,
-    /// Gauge as last heard.
+    /// Measurement that the worker last reported: tail latency in ms for a task with a tail latency
+    /// target, processor use in thousandths of a core for all others.
     pub gauge: u64,
-    /// Share of its speed that it was told to work at.
-    pub pace: u32,
+    /// Percentage of its full speed that the run was last ordered to work at; 100 if not throttled.
+    pub speed_percent: u32,
 }
 
 impl Run {
-    /// Whether it was last shown at work, if it is a lasting one.
-    pub(crate) fn is_at_work(&self) -> bool {
-        self.percent >= AT_WORK
+    /// Whether the run, if it is a long-running one, was last reported as fully available.
+    pub(crate) fn is_available(&self) -> bool {
+        self.percent >= AVAILABLE_PERCENT
     }
 
-    /// For how long it is known to have run: from its start to the last look that showed it.
-    pub(crate) fn known(&self) -> Duration {
-        self.looked.saturating_sub(self.sent)
+    /// How long the run is known to have lasted: from its start to the last poll that listed it.
+    pub(crate) fn observed(&self) -> Duration {
+        self.last_seen.saturating_sub(self.start_sent)
     }
 }
 
-/// One task.
+/// A task of a job.
 #[derive(Debug, Clone, Default)]
 pub struct Task {
-    /// It ended successfully.
+    /// Whether the task has ended successfully.
     pub done: bool,
-    /// Numbers of the runs that failed.
+    /// Numbers of the runs that failed, each listed once however often its end is reported.
     pub failed_runs: Vec<u64>,
-    /// Highest number of a run that was ever seen.
+    /// Highest run number known so far; the next run gets a higher one.
     pub last_run: u64,
-    /// Newest checkpoint.
+    /// Newest checkpoint that an ended run left; the next run resumes from it.
     pub checkpoint: Option<Arc<str>>,
-    /// Runs that are or may be; more than one only where the step allows copies.
+    /// Runs that exist or may exist; more than one only if the step allows speculative copies.
     pub runs: Vec<Run>,
-    /// Number and worker's life of runs that an owner before may have started and no answer has ruled out.
-    pub unseen: Vec<(u64, Arc<str>)>,
-    /// Runs that were lost with their workers; cleared by a run that proves itself.
+    /// Number and worker incarnation of each run that a previous owner may have started and that is
+    /// not ruled out yet.
+    pub unreported_runs: Vec<(u64, Arc<str>)>,
+    /// Runs that were lost with their workers. Cleared once a long-running run passes its
+    /// probation, see the module `losses`.
     pub lost: Vec<Loss>,
-    /// Workers where it failed.
+    /// Identifiers of workers on which it failed; placement prefers others.
     pub failed_on: Vec<Arc<str>>,
-    /// Not placed before.
+    /// Earliest time of the next placement; zero for no delay.
     pub not_before: Duration,
-    /// When it last had no run any more.
-    pub freed: Duration,
+    /// When it last began to wait for a worker: when its step was unblocked or its last run ended.
+    /// Zero if the step was never unblocked.
+    pub waiting_since: Duration,
 }
 
 impl Task {
-    /// Number and worker's life of each run that is or may be.
+    /// Number and worker incarnation of each run that exists or may exist.
     fn placements(&self) -> Vec<(u64, Arc<str>)> {
-        let runs = self.runs.iter().map(|run| (run.number, Arc::clone(&run.life)));
-        let known: Vec<_> = runs.collect();
-        let unseen = self.unseen.iter().filter(|unseen| !known.contains(unseen)).cloned();
-        unseen.chain(known.iter().cloned()).collect()
+        let runs = self.runs.iter().map(|run| (run.number, Arc::clone(&run.incarnation)));
+        let active: Vec<_> = runs.collect();
+        let unreported = self.unreported_runs.iter().filter(|run| !active.contains(run)).cloned();
+        unreported.chain(active.iter().cloned()).collect()
     }
 }
 
-/// The tasks of a step at one of the job's times.
+/// The state of a step in one occurrence of its job.
 #[derive(Debug, Clone)]
-pub struct StepRun {
-    /// The tasks.
+pub struct StepState {
+    /// Tasks of the step, by index.
     pub tasks: Vec<Task>,
-    /// Tasks that have not ended successfully.
-    pub left: u32,
-    /// Whether its turn has come.
-    pub open: bool,
+    /// Number of tasks that have not ended successfully yet.
+    pub remaining: u32,
+    /// Whether its tasks may start: the occurrence is due and the steps it depends on are complete.
+    pub unblocked: bool,
 }
 
-/// One of the job's times.
+/// One occurrence of a job.
 #[derive(Debug, Clone)]
-pub struct Instance {
-    /// Its steps.
-    pub steps: Vec<StepRun>,
-    /// Whether its time has come.
+pub struct Occurrence {
+    /// State of the job's steps, in the order of the spec.
+    pub steps: Vec<StepState>,
+    /// Whether its scheduled time has come.
     pub due: bool,
 }
 
-/// A job.
+/// A job of the shard.
 #[derive(Debug)]
 pub struct Job {
-    /// Its identifier.
+    /// Identifier of the job.
     pub id: JobId,
-    /// What was accepted.
+    /// The acceptance record: spec, policy, queue and customer.
     pub accepted: Arc<Accepted>,
-    /// When this owner first heard of it, less the age that its record shows.
-    pub since: Duration,
-    /// Its times.
-    pub instances: Vec<Instance>,
-    /// Its state.
+    /// When it was accepted, on the clock of this process: the time at which this owner learned of
+    /// it minus the age that its record shows.
+    pub accepted_at: Duration,
+    /// Its occurrences, in order.
+    pub occurrences: Vec<Occurrence>,
+    /// Current state, which may not be in the log yet.
     pub state: State,
-    /// The state that is kept in the log.
-    pub kept: State,
-    /// When it ended; while final.
+    /// State in the newest progress record that is in the log.
+    pub durable_state: State,
+    /// When it ended, or was restored at takeover; only meaningful while `state` is terminal.
     pub ended: Duration,
-    /// Whether its customer is owed it, or sent it beyond its share.
-    pub owed: bool,
-    /// Whether it was there when the shard was taken over.
+    /// Whether the job is within its customer's share. Jobs over the share are placed after all
+    /// others, see the module `shares`.
+    pub within_share: bool,
+    /// Whether the job was in the log when this owner took over the shard.
     pub inherited: bool,
-    /// Longest chain of estimates from each step to the end, in ms.
-    pub chains_ms: Vec<u64>,
+    /// For each step, the length in ms of the critical path from its start to the end of the job,
+    /// by the estimates of the spec.
+    pub critical_paths_ms: Vec<u64>,
 }
 
 impl Job {
-    /// A job of which no task has begun.
+    /// Creates a queued job of which no task has started.
     #[must_use]
-    pub fn new(id: JobId, accepted: Arc<Accepted>, since: Duration) -> Self {
+    pub fn new(id: JobId, accepted: Arc<Accepted>, accepted_at: Duration) -> Self {
         let spec = &accepted.spec;
-        let steps: Vec<StepRun> = spec
+        let steps: Vec<StepState> = spec
             .steps
             .iter()
             .map(|step| {
                 let tasks = vec![Task::default(); step.tasks as usize];
-                StepRun { tasks, left: step.tasks, open: false }
+                StepState { tasks, remaining: step.tasks, unblocked: false }
             })
             .collect();
-        let instances = vec![Instance { steps, due: false }; spec.times() as usize];
-        let chains_ms = spec.chains_ms();
+        let occurrences = vec![Occurrence { steps, due: false }; spec.occurrences() as usize];
+        let critical_paths_ms = spec.critical_paths_ms();
         Self {
             id,
             accepted,
-            since,
-            instances,
+            accepted_at,
+            occurrences,
             state: State::Queued,
-            kept: State::Queued,
+            durable_state: State::Queued,
             ended: Duration::ZERO,
-            owed: true,
+            within_share: true,
             inherited: false,
-            chains_ms,
+            critical_paths_ms,
         }
     }
 
-    /// Takes over what the log kept.
+    /// Restores the state that the newest progress record holds. Runs in the record may still exist
+    /// and become unreported runs.
     pub fn restore(&mut self, progress: &Progress, now: Duration) {
         self.state = progress.state;
-        self.kept = progress.state;
+        self.durable_state = progress.state;
         self.ended = now;
-        for (key, kept) in &progress.tasks {
-            let Some(task) = parse_key(key).and_then(|(time, step, index)| {
-                let (time, step, index) = (time as usize, step as usize, index as usize);
-                let step = self.instances.get_mut(time)?.steps.get_mut(step)?;
+        for (key, stored) in &progress.tasks {
+            let Some(task) = parse_key(key).and_then(|(occurrence, step, index)| {
+                let (occurrence, step, index) =
+                    (occurrence as usize, step as usize, index as usize);
+                let step = self.occurrences.get_mut(occurrence)?.steps.get_mut(step)?;
                 let task = step.tasks.get_mut(index)?;
-                if kept.done && !task.done {
-                    step.left -= 1;
+                if stored.done && !task.done {
+                    step.remaining -= 1;
                 }
                 Some(task)
             }) else {
                 log::warn!("event=progress_key_unknown job={} key={key}", self.id);
                 continue;
             };
-            task.done = kept.done;
-            task.failed_runs.clone_from(&kept.failed_runs);
-            task.lost.clone_from(&kept.lost);
-            let runs = kept.runs.iter().map(|(run, _)| *run);
-            let runs = runs.chain(kept.lost.iter().map(|loss| loss.run));
-            task.last_run = runs.chain(kept.failed_runs.iter().copied()).max().unwrap_or_default();
-            task.checkpoint.clone_from(&kept.checkpoint);
-            task.unseen.clone_from(&kept.runs);
+            task.done = stored.done;
+            task.failed_runs.clone_from(&stored.failed_runs);
+            task.lost.clone_from(&stored.lost);
+            let runs = stored.runs.iter().map(|(run, _)| *run);
+            let runs = runs.chain(stored.lost.iter().map(|loss| loss.run));
+            task.last_run =
+                runs.chain(stored.failed_runs.iter().copied()).max().unwrap_or_default();
+            task.checkpoint.clone_from(&stored.checkpoint);
+            task.unreported_runs.clone_from(&stored.runs);
         }
     }
 
-    /// When it should have ended, by its estimates.
-    pub(crate) fn due(&self) -> Duration {
+    /// When the job should have ended: its acceptance, plus the critical path stretched by the
+    /// policy's factor, plus the policy's fixed target time.
+    pub(crate) fn deadline(&self) -> Duration {
         let policy = &self.accepted.policy;
-        let chain = self.chains_ms.iter().max().copied().unwrap_or_default();
-        #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "some minutes")]
-        let allowed = (policy.stretch * chain as f64) as u64 + policy.target_ms;
-        self.since + Duration::from_millis(allowed)
+        let critical_path = self.critical_paths_ms.iter().max().copied().unwrap_or_default();
+        #[expect(
+            clippy::cast_possible_truncation,
+            clippy::cast_sign_loss,
+            reason = "the time allowed for a job is some minutes"
+        )]
+        let allowed_ms = (policy.stretch * critical_path as f64) as u64 + policy.target_ms;
+        self.accepted_at + Duration::from_millis(allowed_ms)
     }
 
-    /// Forgets unseen runs on lives that `is_over` rules out.
-    pub(crate) fn rule_out(&mut self, is_over: impl Fn(&Arc<str>) -> bool) {
-        let steps = self.instances.iter_mut().flat_map(|instance| &mut instance.steps);
+    /// Drops unreported runs on worker incarnations for which `is_over` holds.
+    pub(crate) fn drop_unreported(&mut self, is_over: impl Fn(&Arc<str>) -> bool) {
+        let steps = self.occurrences.iter_mut().flat_map(|occurrence| &mut occurrence.steps);
         for task in steps.flat_map(|step| &mut step.tasks) {
-            task.unseen.retain(|(_, life)| !is_over(life));
+            task.unreported_runs.retain(|(_, incarnation)| !is_over(incarnation));
         }
     }
 
-    /// What the log is to keep. `wall_ms` is the time of day in ms since 1970.
+    /// Builds the progress record to store in the log. `wall_ms` is the Unix time in ms; a terminal
+    /// job is recorded as ended then.
     #[must_use]
     pub fn progress(&self, wall_ms: u64) -> Progress {
         let mut tasks = BTreeMap::new();
-        if !self.state.is_final() {
-            for (TaskId { time, step, index, .. }, task) in self.tasks() {
-                let kept = TaskProgress {
+        if !self.state.is_terminal() {
+            for (TaskId { occurrence: nth, step, index, .. }, task) in self.tasks() {
+                let stored = TaskProgress {
                     done: task.done,
                     failed_runs: task.failed_runs.clone(),
                     lost: task.lost.clone(),
                     runs: task.placements(),
                     checkpoint: task.checkpoint.clone().filter(|_| !task.done),
                 };
-                if kept != TaskProgress::default() {
-                    tasks.insert(format!("{time}.{step}.{index}"), kept);
+                if stored != TaskProgress::default() {
+                    tasks.insert(format!("{nth}.{step}.{index}"), stored);
                 }
             }
         }
-        let ended_ms = if self.state.is_final() { wall_ms } else { 0 };
+        let ended_ms = if self.state.is_terminal() { wall_ms } else { 0 };
         Progress { state: self.state, tasks, ended_ms }
     }
 
-    /// A task.
+    /// The task `id`; `None` if the job has no such task.
     #[must_use]
     pub fn task(&self, id: TaskId) -> Option<&Task> {
-        let instance = self.instances.get(id.time as usize)?;
-        instance.steps.get(id.step as usize)?.tasks.get(id.index as usize)
+        let occurrence = self.occurrences.get(id.occurrence as usize)?;
+        occurrence.steps.get(id.step as usize)?.tasks.get(id.index as usize)
     }
 
-    /// A task, to change.
+    /// Mutable access to the task `id`; `None` if the job has no such task.
     pub fn task_mut(&mut self, id: TaskId) -> Option<&mut Task> {
-        let instance = self.instances.get_mut(id.time as usize)?;
-        instance.steps.get_mut(id.step as usize)?.tasks.get_mut(id.index as usize)
+        let occurrence = self.occurrences.get_mut(id.occurrence as usize)?;
+        occurrence.steps.get_mut(id.step as usize)?.tasks.get_mut(id.index as usize)
     }
 
-    /// All tasks.
+    /// All tasks, ordered by occurrence, step and index.
     pub fn tasks(&self) -> impl Iterator<Item = (TaskId, &Task)> {
-        (0..).zip(&self.instances).flat_map(move |(time, instance)| {
-            (0..).zip(&instance.steps).flat_map(move |(step, tasks)| {
-                let id = move |index| TaskId { job: self.id, time, step, index };
+        (0..).zip(&self.occurrences).flat_map(move |(nth, occurrence)| {
+            (0..).zip(&occurrence.steps).flat_map(move |(step, tasks)| {
+                let id = move |index| TaskId { job: self.id, occurrence: nth, step, index };
                 (0..).zip(&tasks.tasks).map(move |(index, task)| (id(index), task))
             })
         })
@@ -274,18 +295,20 @@
     /// Whether every task has ended successfully.
     #[must_use]
     pub fn is_done(&self) -> bool {
-        self.instances.iter().all(|instance| instance.steps.iter().all(|step| step.left == 0))
+        self.occurrences
+            .iter()
+            .all(|occurrence| occurrence.steps.iter().all(|step| step.remaining == 0))
     }
 
-    /// Identifiers of all tasks that have a run.
+    /// Task, number and worker of each run that exists or may exist.
     #[must_use]
-    pub fn running(&self) -> Vec<(TaskId, u64, Arc<str>)> {
+    pub fn active_runs(&self) -> Vec<(TaskId, u64, Arc<str>)> {
         let runs = self.tasks().flat_map(|(id, task)| task.runs.iter().map(move |run| (id, run)));
         runs.map(|(id, run)| (id, run.number, Arc::clone(&run.worker))).collect()
     }
 }
 
-/// Time, step and index of a task, from its key in a job's progress.
+/// Parses the key of a task in a progress record, `OCCURRENCE.STEP.INDEX`.
 fn parse_key(key: &str) -> Option<(u32, u32, u32)> {
     let mut parts = key.split('.').map(str::parse);
     let mut next = || parts.next()?.ok();
--- a/crates/crosspath_schedule/src/jobs.rs
+++ b/crates/crosspath_schedule/src/jobs.rs
@@ -1,10 +1,10 @@
-//! The course of jobs: accepted, opened step by step, ended.
+//! The life cycle of jobs: acceptance, unblocking of steps, cancellation and end.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use crosspath_job::progress::State;
-use crosspath_job::record::{Accepted, Asker};
+use crosspath_job::record::{Accepted, Requester};
 use crosspath_job::{JobId, TaskId};
 
 use crate::job::Job;
@@ -12,6 +12,8 @@
 use crate::scheduler::Scheduler;
 
 impl Scheduler {
+    /// Adds a job whose acceptance record was read from the log. A job that is already known is
+    /// left as it is.
     pub(crate) fn accept(
         &mut self,
         now: Duration,
@@ -19,23 +21,24 @@
         id: JobId,
         accepted: Arc<Accepted>,
     ) {
-        if let Some(known) = self.jobs.get(&id) {
-            // The log would give the job to another customer at the next takeover.
-            if !known.accepted.belongs_to(&accepted.asker()) {
+        if let Some(existing) = self.jobs.get(&id) {
+            // The newest acceptance in the log now names another customer, which the next owner
+            // would take over. Appending the original record again corrects that.
+            if !existing.accepted.belongs_to(&accepted.requester()) {
                 log::warn!(
                     "event=job_of_another_customer job={id} kept_for={:?}",
-                    known.accepted.customer
+                    existing.accepted.customer
                 );
-                self.commits.restore(id);
+                self.commits.rewrite_acceptance(id);
             }
             return;
         }
         self.insert(now, wall_ms, id, accepted);
-        self.count_share(id);
-        if let Some(by) = self.cancelled_early.remove(&id) {
+        self.charge_share(id);
+        if let Some(by) = self.early_cancellations.remove(&id) {
             self.cancel(now, id, by);
         }
-        self.open_steps(now, wall_ms, id);
+        self.unblock_steps(now, wall_ms, id);
     }
 
     pub(crate) fn insert(
@@ -55,125 +58,133 @@
         self.jobs.insert(id, job);
     }
 
-    pub(crate) fn cancel(&mut self, now: Duration, id: JobId, by: Asker) {
+    /// Cancels a job if it belongs to the requester. The cancellation of a job whose acceptance was
+    /// not read yet is remembered and applied once it is.
+    pub(crate) fn cancel(&mut self, now: Duration, id: JobId, by: Requester) {
         let Some(job) = self.jobs.get(&id) else {
-            self.cancelled_early.insert(id, by);
+            self.early_cancellations.insert(id, by);
             return;
         };
         if !job.accepted.belongs_to(&by) {
             log::warn!("event=cancel_of_another_customer job={id} by={:?}", by.customer);
             return;
         }
-        if !job.state.is_final() {
+        if !job.state.is_terminal() {
             self.finish(now, id, State::Cancelled);
         }
     }
 
-    pub(crate) fn open_due(&mut self, now: Duration, wall_ms: u64) {
+    /// Unblocks the steps of all occurrences that have become due, in all jobs.
+    pub(crate) fn unblock_due_steps(&mut self, now: Duration, wall_ms: u64) {
         let pending = |job: &&Job| {
-            !job.state.is_final() && job.instances.iter().any(|instance| !instance.due)
+            !job.state.is_terminal() && job.occurrences.iter().any(|occurrence| !occurrence.due)
         };
         let pending: Vec<_> = self.jobs.values().filter(pending).map(|job| job.id).collect();
         for id in pending {
-            self.open_steps(now, wall_ms, id);
+            self.unblock_steps(now, wall_ms, id);
         }
     }
 
-    /// Opens the steps of due times whose turn has come.
-    pub(crate) fn open_steps(&mut self, now: Duration, wall_ms: u64, id: JobId) {
+    /// Unblocks the steps of due occurrences whose dependencies are complete, and queues their
+    /// tasks.
+    pub(crate) fn unblock_steps(&mut self, now: Duration, wall_ms: u64, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        if job.state.is_final() {
+        if job.state.is_terminal() {
             return;
         }
-        let spec = Arc::clone(&job.accepted);
-        let spec = &spec.spec;
-        for (time, instance) in (0..).zip(&mut job.instances) {
-            instance.due |= spec.due_ms(time) <= wall_ms;
-            if !instance.due {
+        let accepted = Arc::clone(&job.accepted);
+        let spec = &accepted.spec;
+        for (nth, occurrence) in (0..).zip(&mut job.occurrences) {
+            occurrence.due |= spec.due_ms(nth) <= wall_ms;
+            if !occurrence.due {
                 continue;
             }
-            for number in 0..instance.steps.len() {
-                let before = &spec.steps[number].after;
-                let ready = before.iter().all(|after| instance.steps[*after as usize].left == 0);
-                let step = &mut instance.steps[number];
-                step.open |= ready;
-                if !ready || step.left == 0 {
+            for number in 0..occurrence.steps.len() {
+                let dependencies = &spec.steps[number].after;
+                let ready = dependencies
+                    .iter()
+                    .all(|dependency| occurrence.steps[*dependency as usize].remaining == 0);
+                let step = &mut occurrence.steps[number];
+                step.unblocked |= ready;
+                if !ready || step.remaining == 0 {
                     continue;
                 }
-                for task in step.tasks.iter_mut().filter(|task| task.freed.is_zero()) {
-                    task.freed = now;
+                for task in step.tasks.iter_mut().filter(|task| task.waiting_since.is_zero()) {
+                    task.waiting_since = now;
                 }
             }
         }
         self.queue_job(id);
     }
 
-    /// Puts all tasks that need a run among the waiting ones.
+    /// Queues all tasks of the job that need a run.
     pub(crate) fn queue_job(&mut self, id: JobId) {
         let Some(job) = self.jobs.get(&id) else { return };
         let mut found = Vec::new();
-        for (time, instance) in (0..).zip(&job.instances) {
-            for (step, run) in (0..).zip(&instance.steps) {
-                if !run.open || run.left == 0 {
+        for (nth, occurrence) in (0..).zip(&job.occurrences) {
+            for (step, state) in (0..).zip(&occurrence.steps) {
+                if !state.unblocked || state.remaining == 0 {
                     continue;
                 }
-                for (index, task) in (0..).zip(&run.tasks) {
+                for (index, task) in (0..).zip(&state.tasks) {
                     if !task.done && task.runs.is_empty() {
-                        found.push(Key::of(job, TaskId { job: id, time, step, index }));
+                        found.push(Key::new(job, TaskId { job: id, occurrence: nth, step, index }));
                     }
                 }
             }
         }
-        self.place_again |= !found.is_empty();
+        self.placement_due |= !found.is_empty();
         self.waiting.extend(found);
     }
 
-    /// Puts a task among the waiting ones, if it needs a run.
+    /// Queues a task for placement if it needs a run.
     pub(crate) fn queue_task(&mut self, now: Duration, id: TaskId) {
         let Some(job) = self.jobs.get_mut(&id.job) else { return };
-        if job.state.is_final() {
+        if job.state.is_terminal() {
             return;
         }
-        let step = &job.instances[id.time as usize].steps[id.step as usize];
-        if !step.open {
+        let step = &job.occurrences[id.occurrence as usize].steps[id.step as usize];
+        if !step.unblocked {
             return;
         }
         let Some(task) = job.task_mut(id) else { return };
         if task.done || !task.runs.is_empty() {
             return;
         }
-        task.freed = now;
-        let key = Key::of(job, id);
+        task.waiting_since = now;
+        let key = Key::new(job, id);
         self.waiting.replace(key);
-        self.place_again = true;
+        self.placement_due = true;
     }
 
+    /// Ends a job in the terminal state `state`: removes its tasks from the queue and stops its
+    /// runs.
     pub(crate) fn finish(&mut self, now: Duration, id: JobId, state: State) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         log::info!(
             "event=job_ended job={id} state={state:?} after_ms={} objective_ms={}",
-            now.saturating_sub(job.since).as_millis(),
-            job.due().saturating_sub(job.since).as_millis()
+            now.saturating_sub(job.accepted_at).as_millis(),
+            job.deadline().saturating_sub(job.accepted_at).as_millis()
         );
         job.state = state;
         job.ended = now;
-        let running = job.running();
+        let active = job.active_runs();
         let keys: Vec<_> = self.waiting.iter().filter(|key| key.task.job == id).copied().collect();
         for key in keys {
             self.waiting.remove(&key);
         }
-        for (task, run, _) in running {
+        for (task, run, _) in active {
             self.stop_run(now, task, run);
         }
-        self.commits.touch(now, id);
+        self.commits.mark_dirty(now, id);
     }
 
-    /// Some task of the job has begun.
-    pub(crate) fn begun(&mut self, now: Duration, id: JobId) {
+    /// Marks a queued job as running, because one of its tasks has started.
+    pub(crate) fn mark_running(&mut self, now: Duration, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if job.state == State::Queued {
             job.state = State::Running;
-            let after = now.saturating_sub(job.since).as_millis();
+            let after = now.saturating_sub(job.accepted_at).as_millis();
             log::info!("event=job_begun job={id} after_ms={after}");
         }
     }
--- a/crates/crosspath_schedule/src/limits.rs
+++ b/crates/crosspath_schedule/src/limits.rs
@@ -1,191 +1,201 @@
-//! What customers may have running: the shard's parts of their maxima.
+//! Customers' maxima: keeps the shard's use of resources within its allotments.
 //!
-//! A task of a customer with a maximum starts only within what the shard holds of that. What runs, and what
-//! may run by an owner before, counts until it is surely over. Tasks held back make the shard ask the ledger of
-//! all shards for more; they are no reason to bring VMs into the pool.
+//! A task of a customer with a maximum starts only if the shard's allotment of that maximum covers
+//! it. Runs of this owner, and runs that a previous owner may have started, count as used until
+//! they are certain to be over. Tasks that are blocked on quota make the shard request more from
+//! the ledger of all shards. They are no reason to add VMs to the pool.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
 
-use crosspath_job::spec::Room;
+use crosspath_job::spec::Resources;
 use crosspath_job::{JobId, TaskId};
-use crosspath_quota::{Deal, Holding, Limits, Need};
+use crosspath_quota::{Allowance, Grant, Limits, Usage};
 
 use crate::action::Action;
 use crate::job::{Job, Phase};
 use crate::scheduler::Scheduler;
 
-/// Between two counts of all runs of the shard: a round of placing comes some hundred times a second in a turn, and
-/// counting 1,000 runs takes some 0.3 ms of an entry VM's half core.
-const COUNT_INTERVAL: Duration = Duration::from_millis(50);
-/// Between two lines on a customer whose tasks are held back.
-const TELL_INTERVAL: Duration = Duration::from_secs(1);
+/// Minimum interval between two counts of all runs of the shard. Under load a round of placement
+/// happens some hundred times a second, and counting 1,000 runs takes some 0.3 ms on the half core
+/// of an entry VM.
+const RECOUNT_INTERVAL: Duration = Duration::from_millis(50);
+/// Minimum interval between two log lines about a customer whose tasks are blocked on quota.
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The shard's parts, and what its tasks use and want of them.
+/// The shard's allotments of customers' maxima, and its usage and demand.
 #[derive(Debug)]
-pub(crate) struct Parts {
-    /// None before a configuration was read: until then no customer's job starts.
+pub(crate) struct Quotas {
+    /// Customers' maxima; `None` until a configuration was read. Until then no job of a customer
+    /// starts.
     limits: Option<Limits>,
-    holding: Holding,
-    needs: BTreeMap<Arc<str>, Need>,
-    /// Processor time that tasks want which were held back in the last round, in thousandths of a core.
-    pub(crate) held_back_millis: u64,
-    /// When what is used was last counted.
-    counted: Duration,
-    /// When a line on each customer was last written.
-    told: BTreeMap<Arc<str>, Duration>,
+    /// The shard's allotments, by customer, and the state of its requests to the ledger.
+    allowance: Allowance,
+    /// Usage and unmet demand by customer; only customers with a maximum have an entry.
+    usage: BTreeMap<Arc<str>, Usage>,
+    /// Processor time required by the tasks that were blocked on quota in the last round of
+    /// placement, in thousandths of a core.
+    pub(crate) quota_blocked_millis: u64,
+    /// When the usage was last counted from the runs.
+    recounted: Duration,
+    /// When a blocked task of each customer was last logged.
+    logged: BTreeMap<Arc<str>, Duration>,
 }
 
-impl Parts {
+impl Quotas {
     pub(crate) fn new(shard: u32, epoch: u64) -> Self {
         Self {
             limits: None,
-            holding: Holding::new(shard, epoch),
-            needs: BTreeMap::new(),
-            held_back_millis: 0,
-            counted: Duration::ZERO,
-            told: BTreeMap::new(),
+            allowance: Allowance::new(shard, epoch),
+            usage: BTreeMap::new(),
+            quota_blocked_millis: 0,
+            recounted: Duration::ZERO,
+            logged: BTreeMap::new(),
         }
     }
 
-    /// Maximum of a customer; none where it has none, nothing while that is not known.
-    fn limit(&self, customer: &str) -> Option<Room> {
-        let Some(limits) = &self.limits else { return Some(Room::default()) };
+    /// Maximum of a customer. `None` if the customer has no maximum; zero resources while no
+    /// configuration was read.
+    fn limit(&self, customer: &str) -> Option<Resources> {
+        let Some(limits) = &self.limits else { return Some(Resources::default()) };
         limits.get(customer).copied()
     }
 }
 
 impl Scheduler {
-    /// Customers have other maxima from now on.
-    pub(crate) fn limit(&mut self, limits: Limits) {
-        self.parts.limits = Some(limits);
-        // A customer that had no maximum before was not counted.
-        self.parts.counted = Duration::ZERO;
-        self.place_again = true;
+    /// Applies the maxima of a new configuration.
+    pub(crate) fn set_limits(&mut self, limits: Limits) {
+        self.quotas.limits = Some(limits);
+        // The usage of customers that had no maximum before was not counted.
+        self.quotas.recounted = Duration::ZERO;
+        self.placement_due = true;
     }
 
-    /// The customer of a job, if it has a maximum.
+    /// The customer of a job, if that customer has a maximum.
     fn limited_customer(&self, job: JobId) -> Option<&Arc<str>> {
         let customer = self.jobs.get(&job)?.accepted.customer.as_ref()?;
-        self.parts.limit(customer).map(|_| customer)
+        self.quotas.limit(customer).map(|_| customer)
     }
 
-    /// Counts what customers with a maximum use, before a round of placing.
-    pub(crate) fn count_used(&mut self, now: Duration) {
-        self.parts.held_back_millis = 0;
-        if now < self.parts.counted + COUNT_INTERVAL {
-            // What has ended since counts on, what was started since counts too.
-            for need in self.parts.needs.values_mut() {
-                *need = Need { used: need.used, ..Need::default() };
+    /// Counts the usage of customers with a maximum, before a round of placement.
+    pub(crate) fn recount_usage(&mut self, now: Duration) {
+        self.quotas.quota_blocked_millis = 0;
+        if now < self.quotas.recounted + RECOUNT_INTERVAL {
+            // Usage may be overestimated until the next count: runs that have ended since the last
+            // one still count, and runs started since then were added as they started.
+            for usage in self.quotas.usage.values_mut() {
+                *usage = Usage { used: usage.used, ..Usage::default() };
             }
             return;
         }
-        self.parts.counted = now;
-        self.parts.needs.clear();
-        if self.parts.limits.as_ref().is_none_or(Limits::is_empty) {
+        self.quotas.recounted = now;
+        self.quotas.usage.clear();
+        if self.quotas.limits.as_ref().is_none_or(Limits::is_empty) {
             return;
         }
-        let mut needs: BTreeMap<Arc<str>, Need> = BTreeMap::new();
+        let mut usage: BTreeMap<Arc<str>, Usage> = BTreeMap::new();
         let runs = self.workers.values().flat_map(|worker| worker.runs.keys());
         let runs = runs.map(|(task, _)| *task);
-        let is_open = !self.settlement.is_over();
-        let inherited = self.jobs.values().filter(|job| is_open && job.inherited);
-        let unseen = inherited.flat_map(unseen);
-        for task in runs.chain(unseen) {
+        let is_recovering = !self.recovery.is_complete();
+        let inherited = self.jobs.values().filter(|job| is_recovering && job.inherited);
+        let unreported = inherited.flat_map(unreported_tasks);
+        for task in runs.chain(unreported) {
             let Some(customer) = self.limited_customer(task.job) else { continue };
-            let room = self.step_of(task).map(|step| step.room).unwrap_or_default();
-            needs.entry(Arc::clone(customer)).or_default().used.add(&room);
+            let resources = self.step_of(task).map(|step| step.resources).unwrap_or_default();
+            usage.entry(Arc::clone(customer)).or_default().used.add(&resources);
         }
-        self.parts.needs = needs;
+        self.quotas.usage = usage;
     }
 
-    /// Whether a task of the job's customer was held back in this round. Nothing overtakes it: else small tasks
-    /// would keep a large one waiting.
-    pub(crate) fn holds_back(&self, job: JobId) -> bool {
+    /// Whether a task of the job's customer was blocked on quota in this round of placement. No
+    /// other task of that customer may overtake it, or else small tasks could starve a large one.
+    pub(crate) fn is_quota_blocked(&self, job: JobId) -> bool {
         let customer = self.limited_customer(job);
-        let need = customer.and_then(|customer| self.parts.needs.get(customer));
-        need.is_some_and(|need| need.want != Room::default())
+        let usage = customer.and_then(|customer| self.quotas.usage.get(customer));
+        usage.is_some_and(|usage| usage.pending != Resources::default())
     }
 
-    /// Whether the customer of a job may have `more` running here.
-    pub(crate) fn is_within_limit(&self, job: JobId, more: &Room) -> bool {
+    /// Whether the shard's allotment for the customer of a job covers `more` on top of its usage.
+    pub(crate) fn is_within_quota(&self, job: JobId, more: &Resources) -> bool {
         let Some(customer) = self.limited_customer(job) else { return true };
-        let parts = &self.parts;
-        let limit = parts.limit(customer).unwrap_or(Room::UNLIMITED);
-        let used = parts.needs.get(customer).map(|need| need.used).unwrap_or_default();
-        parts.holding.allows(customer, &limit, &used, more)
+        let quotas = &self.quotas;
+        let limit = quotas.limit(customer).unwrap_or(Resources::UNLIMITED);
+        let used = quotas.usage.get(customer).map(|usage| usage.used).unwrap_or_default();
+        quotas.allowance.allows(customer, &limit, &used, more)
     }
 
-    /// A task, or a gang, that wants `more` waits for a part of its customer's maximum.
-    pub(crate) fn hold_back(&mut self, now: Duration, job: JobId, more: &Room) {
+    /// Notes that a task or gang that requires `more` waits for its customer's quota.
+    pub(crate) fn block_on_quota(&mut self, now: Duration, job: JobId, more: &Resources) {
         let Some(customer) = self.limited_customer(job).cloned() else { return };
-        self.tell_held_back(now, job, &customer);
-        let need = self.parts.needs.entry(customer).or_default();
-        if need.want == Room::default() {
-            need.least = *more;
+        self.log_quota_blocked(now, job, &customer);
+        let usage = self.quotas.usage.entry(customer).or_default();
+        if usage.pending == Resources::default() {
+            usage.first_pending = *more;
         }
-        need.want.add(more);
-        self.parts.held_back_millis += more.cpu_millis;
+        usage.pending.add(more);
+        self.quotas.quota_blocked_millis += more.cpu_millis;
     }
 
-    /// One line on a customer, now and then.
-    fn tell_held_back(&mut self, now: Duration, job: JobId, customer: &Arc<str>) {
-        let parts = &mut self.parts;
-        if parts.told.get(customer).is_some_and(|told| now < *told + TELL_INTERVAL) {
+    /// Logs that a customer is blocked on quota, at most once per [`LOG_INTERVAL`].
+    fn log_quota_blocked(&mut self, now: Duration, job: JobId, customer: &Arc<str>) {
+        let quotas = &mut self.quotas;
+        if quotas.logged.get(customer).is_some_and(|logged| now < *logged + LOG_INTERVAL) {
             return;
         }
-        parts.told.insert(Arc::clone(customer), now);
-        let used = parts.needs.get(customer).map(|need| need.used).unwrap_or_default();
-        let held = parts.holding.held(customer);
-        let limit = parts.limit(customer).unwrap_or(Room::UNLIMITED);
+        quotas.logged.insert(Arc::clone(customer), now);
+        let used = quotas.usage.get(customer).map(|usage| usage.used).unwrap_or_default();
+        let allowed = quotas.allowance.held(customer);
+        let limit = quotas.limit(customer).unwrap_or(Resources::UNLIMITED);
         log::info!(
             "event=job_held_back job={job} customer={customer} used_millis={} held_millis={} limit_millis={} used_mb={} held_mb={} limit_mb={}",
             used.cpu_millis,
-            held.cpu_millis,
+            allowed.cpu_millis,
             limit.cpu_millis,
             used.mem_mb,
-            held.mem_mb,
+            allowed.mem_mb,
             limit.mem_mb
         );
     }
 
-    /// A task of a job is started, within what its customer may have running.
-    pub(crate) fn note_used(&mut self, task: TaskId) {
+    /// Adds a task that is being started to the usage of its customer.
+    pub(crate) fn charge_quota(&mut self, task: TaskId) {
         let Some(customer) = self.limited_customer(task.job).cloned() else { return };
-        let room = self.step_of(task).map(|step| step.room).unwrap_or_default();
-        self.parts.needs.entry(customer).or_default().used.add(&room);
+        let resources = self.step_of(task).map(|step| step.resources).unwrap_or_default();
+        self.quotas.usage.entry(customer).or_default().used.add(&resources);
     }
 
-    /// Asks the ledger, when that is due.
-    pub(crate) fn ask_for_parts(&mut self, now: Duration) {
-        let parts = &mut self.parts;
-        let Some(limits) = parts.limits.as_ref().filter(|limits| !limits.is_empty()) else {
+    /// Sends a request to the ledger if one is due.
+    pub(crate) fn request_quota(&mut self, now: Duration) {
+        let quotas = &mut self.quotas;
+        let Some(limits) = quotas.limits.as_ref().filter(|limits| !limits.is_empty()) else {
             return;
         };
-        if let Some(ask) = parts.holding.ask(now, limits, &parts.needs) {
-            self.actions.push(Action::AskParts { ask });
+        if let Some(request) = quotas.allowance.request(now, limits, &quotas.usage) {
+            self.actions.push(Action::RequestQuota { request });
         }
     }
 
-    /// The ledger has answered, or not.
-    pub(crate) fn dealt(&mut self, number: u64, deal: Option<Deal>) {
-        match deal {
-            Some(deal) => self.place_again |= self.parts.holding.dealt(deal),
-            None => self.parts.holding.unanswered(number),
+    /// Applies the ledger's answer to request `number`; a `grant` of `None` means that the request
+    /// failed.
+    pub(crate) fn quota_answered(&mut self, number: u64, grant: Option<Grant>) {
+        match grant {
+            Some(grant) => self.placement_due |= self.quotas.allowance.apply_grant(grant),
+            None => self.quotas.allowance.request_failed(number),
         }
     }
 }
 
-/// Tasks that an owner before may have started and that no worker has shown yet, once for each run.
-fn unseen(job: &Job) -> Vec<TaskId> {
+/// Tasks that a previous owner may have started and that no worker has reported yet, listed once
+/// for each run.
+fn unreported_tasks(job: &Job) -> Vec<TaskId> {
     let mut found = Vec::new();
     for (id, task) in job.tasks() {
-        let is_seen = |number: u64| {
+        let is_reported = |number: u64| {
             task.runs.iter().any(|run| run.number == number && run.phase != Phase::Planned)
         };
-        let unseen = task.unseen.iter().filter(|(number, _)| !is_seen(*number));
-        found.extend(unseen.map(|_| id));
+        let unreported = task.unreported_runs.iter().filter(|(number, _)| !is_reported(*number));
+        found.extend(unreported.map(|_| id));
     }
     found
 }
--- a/crates/crosspath_schedule/src/place.rs
+++ b/crates/crosspath_schedule/src/place.rs
@@ -1,49 +1,56 @@
-//! Which waiting task goes where.
+//! Placement: which waiting task runs on which worker.
 
 use std::cmp::Ordering;
 use std::sync::Arc;
 use std::time::Duration;
 
 use crosspath_job::TaskId;
-use crosspath_job::spec::{Room, Step};
+use crosspath_job::spec::{Resources, Step};
 
 use crate::action::Action;
 use crate::job::{Job, Phase, Run, Task};
 use crate::losses;
 use crate::scheduler::Scheduler;
-use crate::worker::{BLAME_LIMIT, Worker};
+use crate::worker::{QUARANTINE_THRESHOLD, Worker};
 
-/// Share of a pool's workers at most that get no new work for what they did to earlier tasks.
-const MAX_BLAMED_SHARE: f64 = 0.34;
-/// Tasks in a row that fit nowhere after which a round of placing ends.
-const MAX_REFUSED: usize = 96;
+/// Maximum share of a pool's workers that may be quarantined for what they did to earlier runs:
+/// failures, refused starts and stalls. If more workers qualify, none is quarantined.
+const MAX_QUARANTINED_SHARE: f64 = 0.34;
+/// Number of consecutive tasks without a fitting worker after which a round of placement ends.
+const MAX_CONSECUTIVE_UNPLACED: usize = 96;
 
-/// Cost of a worker for each task there that may crash it: more than being full, less than a place far from the data.
+/// Cost of a worker for each suspect on it, that is, each run of a task that may crash it. It
+/// weighs more than how full the worker is, and less than a place off the rack that is close to
+/// the data.
 const SUSPECT_WEIGHT: f64 = 5.0;
 
-/// Order of a waiting task.
+/// Queue entry of a waiting task. Entries are ordered by priority, then long-running before finite
+/// tasks, then by latest start and identifier. The other fields do not affect this order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Key {
+    /// Priority from the job's policy; lower values go first.
     priority: u32,
-    /// Lasting tasks first: each moment away costs.
-    brief: bool,
-    /// Latest start with which the job can end in time, in ms since the process started.
-    latest_ms: u64,
+    /// Whether the task ends by itself. Long-running tasks are placed first, as they are
+    /// unavailable while they wait.
+    finite: bool,
+    /// Latest start with which the job meets its deadline, in ms since the process started.
+    latest_start_ms: u64,
     pub(crate) task: TaskId,
-    /// What it reserves.
-    pub(crate) room: Room,
-    /// Whether any worker with room will do.
-    anywhere: bool,
+    /// Resources that the task reserves on its worker.
+    pub(crate) resources: Resources,
+    /// Whether the task may run on any worker with enough free resources.
+    unconstrained: bool,
     gang: bool,
-    /// Whether it waits behind all that is owed: its customer sent the job beyond its share.
-    beyond: bool,
-    /// Whether it runs alone, for what it may have done to workers before.
-    pub(crate) alone: bool,
+    /// Whether the job is over its customer's share, so that the task is placed after all tasks
+    /// within their customers' shares.
+    over_share: bool,
+    /// Whether the task is to be isolated, because workers were lost while they ran it.
+    pub(crate) isolated: bool,
 }
 
 impl Ord for Key {
     fn cmp(&self, other: &Self) -> Ordering {
-        let rank = |key: &Self| (key.priority, key.brief, key.latest_ms, key.task);
+        let rank = |key: &Self| (key.priority, key.finite, key.latest_start_ms, key.task);
         rank(self).cmp(&rank(other))
     }
 }
@@ -55,155 +62,162 @@
 }
 
 impl Key {
-    pub(crate) fn of(job: &Job, task: TaskId) -> Self {
+    pub(crate) fn new(job: &Job, task: TaskId) -> Self {
         let step = &job.accepted.spec.steps[task.step as usize];
         let losses = job.task(task).map_or(0, |task| task.lost.len());
-        let rest = job.chains_ms[task.step as usize];
-        let due_ms = u64::try_from(job.due().as_millis()).unwrap_or(u64::MAX);
+        let remaining_ms = job.critical_paths_ms[task.step as usize];
+        let deadline_ms = u64::try_from(job.deadline().as_millis()).unwrap_or(u64::MAX);
         Self {
             priority: job.accepted.policy.priority,
-            brief: !step.lasting,
-            latest_ms: due_ms.saturating_sub(rest),
+            finite: !step.long_running,
+            latest_start_ms: deadline_ms.saturating_sub(remaining_ms),
             task,
-            room: step.reserved(),
-            anywhere: step.requires.is_none() && step.per_worker == 0,
+            resources: step.reserved(),
+            unconstrained: step.requires.is_none() && step.max_per_worker == 0,
             gang: step.gang,
-            beyond: !job.owed && !step.lasting,
-            // Members of a gang run side by side or not at all.
-            alone: !step.gang && losses::runs_alone(losses),
+            over_share: !job.within_share && !step.long_running,
+            // The members of a gang have to run at the same time, so they cannot be isolated.
+            isolated: !step.gang && losses::needs_isolation(losses),
         }
     }
 
-    /// Whether it is a lasting task.
-    pub(crate) fn lasts(&self) -> bool {
-        !self.brief
+    /// Whether the task is a long-running one.
+    pub(crate) fn is_long_running(&self) -> bool {
+        !self.finite
     }
 
-    /// Whether its job cannot end in time any more; such tasks go after all that can.
-    fn is_late(&self, now: Duration) -> bool {
-        self.brief && Duration::from_millis(self.latest_ms) < now
+    /// Whether the job can no longer meet its deadline. Such tasks are placed after those of jobs
+    /// that can.
+    fn misses_deadline(&self, now: Duration) -> bool {
+        self.finite && Duration::from_millis(self.latest_start_ms) < now
     }
 }
 
-/// What became of a waiting task in a round of placing.
+/// Result of the attempt to place a waiting task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Placing {
-    /// It was placed, or waits for something else than room.
+enum Attempt {
+    /// The task was placed, needs no run, or waits for something other than a worker or quota.
     Settled,
-    /// There is room for it, and its customer has as much running as it may.
-    HeldBack,
-    /// No worker has room for it.
-    NoRoom,
-    /// It runs alone, and on all workers something else has just been started.
-    NotAlone,
+    /// The allotment of its customer's maximum does not cover the task.
+    QuotaBlocked,
+    /// No eligible worker has enough free resources.
+    NoCapacity,
+    /// The task is to be isolated, and no eligible worker with enough free resources is free of
+    /// runs on probation.
+    NoIsolation,
 }
 
-/// Requests for room that nothing could satisfy in this pass.
+/// Minimal resource requests for which no worker was found in this round of placement. Larger ones
+/// need not be tried.
 #[derive(Debug, Default)]
-struct Misfits(Vec<Room>);
+struct Unplaceable(Vec<Resources>);
 
-impl Misfits {
-    fn cover(&self, room: &Room) -> bool {
-        self.0.iter().any(|misfit| misfit.fits(room))
+impl Unplaceable {
+    fn covers(&self, resources: &Resources) -> bool {
+        self.0.iter().any(|known| known.fits(resources))
     }
 
-    fn add(&mut self, room: Room) {
-        if !self.cover(&room) {
-            self.0.retain(|misfit| !room.fits(misfit));
-            self.0.push(room);
+    fn add(&mut self, resources: Resources) {
+        if !self.covers(&resources) {
+            self.0.retain(|known| !resources.fits(known));
+            self.0.push(resources);
         }
     }
 }
 
 impl Scheduler {
+    /// Runs one round of placement. Tasks within their customers' shares that can meet their
+    /// deadline go first, then late ones, then those over the share. The round ends early after
+    /// [`MAX_CONSECUTIVE_UNPLACED`] tasks without a fitting worker.
     pub(crate) fn place(&mut self, now: Duration) {
-        self.weigh_blame(now);
-        self.count_used(now);
-        self.keep_free(now);
-        let (beyond, owed): (Vec<_>, Vec<Key>) =
-            self.waiting.iter().copied().partition(|key| key.beyond);
-        let (late, timely): (Vec<_>, Vec<Key>) = owed.into_iter().partition(|key| key.is_late(now));
-        let mut misfits = Misfits::default();
-        let mut gang_tried = None;
-        let mut refused = 0;
+        self.update_quarantine(now);
+        self.recount_usage(now);
+        self.reserve_for_isolation(now);
+        let (over_share, within_share): (Vec<_>, Vec<Key>) =
+            self.waiting.iter().copied().partition(|key| key.over_share);
+        let (late, timely): (Vec<_>, Vec<Key>) =
+            within_share.into_iter().partition(|key| key.misses_deadline(now));
+        let mut unplaceable = Unplaceable::default();
+        let mut attempted_gang = None;
+        let mut unplaced = 0;
         self.unplaced_millis = 0;
-        self.unplaced_lasting = 0;
-        for key in timely.into_iter().chain(late).chain(beyond) {
+        self.unplaced_long_running = 0;
+        for key in timely.into_iter().chain(late).chain(over_share) {
             if key.gang {
-                let gang = (key.task.job, key.task.time, key.task.step);
-                if gang_tried != Some(gang) {
-                    gang_tried = Some(gang);
+                let gang = (key.task.job, key.task.occurrence, key.task.step);
+                if attempted_gang != Some(gang) {
+                    attempted_gang = Some(gang);
                     self.place_gang(now, key.task);
                 }
                 continue;
             }
-            match self.place_one(now, key, &misfits) {
-                Placing::Settled => {
-                    refused = 0;
+            match self.place_task(now, key, &unplaceable) {
+                Attempt::Settled => {
+                    unplaced = 0;
                     continue;
                 }
-                Placing::HeldBack => continue,
-                Placing::NotAlone => {
-                    self.unplaced_millis += key.room.cpu_millis;
+                Attempt::QuotaBlocked => continue,
+                Attempt::NoIsolation => {
+                    self.unplaced_millis += key.resources.cpu_millis;
                     continue;
                 }
-                Placing::NoRoom => {}
+                Attempt::NoCapacity => {}
             }
-            if key.anywhere {
-                misfits.add(key.room);
+            if key.unconstrained {
+                unplaceable.add(key.resources);
             }
-            self.unplaced_millis += key.room.cpu_millis;
-            self.unplaced_lasting += u32::from(!key.brief);
-            refused += 1;
-            if refused >= MAX_REFUSED {
+            self.unplaced_millis += key.resources.cpu_millis;
+            self.unplaced_long_running += u32::from(!key.finite);
+            unplaced += 1;
+            if unplaced >= MAX_CONSECUTIVE_UNPLACED {
                 return;
             }
         }
     }
 
-    fn place_one(&mut self, now: Duration, key: Key, misfits: &Misfits) -> Placing {
+    fn place_task(&mut self, now: Duration, key: Key, unplaceable: &Unplaceable) -> Attempt {
         let id = key.task;
         let Some(task) = self.jobs.get(&id.job).and_then(|job| job.task(id)) else {
-            return Placing::Settled;
+            return Attempt::Settled;
         };
         if task.done || !task.runs.is_empty() {
             self.waiting.remove(&key);
-            return Placing::Settled;
+            return Attempt::Settled;
         }
         if now < task.not_before {
-            self.place_again = true;
-            return Placing::Settled;
+            self.placement_due = true;
+            return Attempt::Settled;
         }
-        if self.may_be_unseen(id) || !self.has_advice(now, id) {
-            return Placing::Settled;
+        if self.may_have_unreported_run(id) || !self.ensure_advice(now, id) {
+            return Attempt::Settled;
         }
-        if !key.alone && misfits.cover(&key.room) {
-            return Placing::NoRoom;
+        if !key.isolated && unplaceable.covers(&key.resources) {
+            return Attempt::NoCapacity;
         }
-        let room = self.step_of(id).map(|step| step.room).unwrap_or_default();
-        if self.holds_back(id.job) {
-            self.hold_back(now, id.job, &room);
-            return Placing::HeldBack;
+        let resources = self.step_of(id).map(|step| step.resources).unwrap_or_default();
+        if self.is_quota_blocked(id.job) {
+            self.block_on_quota(now, id.job, &resources);
+            return Attempt::QuotaBlocked;
         }
         let Some(worker) = self.best_worker(now, id) else {
-            return if key.alone { Placing::NotAlone } else { Placing::NoRoom };
+            return if key.isolated { Attempt::NoIsolation } else { Attempt::NoCapacity };
         };
-        if !self.is_within_limit(id.job, &room) {
-            self.hold_back(now, id.job, &room);
-            return Placing::HeldBack;
+        if !self.is_within_quota(id.job, &resources) {
+            self.block_on_quota(now, id.job, &resources);
+            return Attempt::QuotaBlocked;
         }
         let Some(task) = self.jobs.get(&id.job).and_then(|job| job.task(id)) else {
-            return Placing::Settled;
+            return Attempt::Settled;
         };
-        let run = Self::next_run(self.epoch, task);
+        let run = Self::next_run_number(self.epoch, task);
         let checkpoint = task.checkpoint.clone();
         self.waiting.remove(&key);
-        self.start(now, id, run, &worker, checkpoint);
-        Placing::Settled
+        self.plan_run(now, id, run, &worker, checkpoint);
+        Attempt::Settled
     }
 
-    /// Plans a run; it is sent once its place is kept in the log.
-    fn start(
+    /// Plans a run on a worker. Its start is sent once its placement record is durable.
+    fn plan_run(
         &mut self,
         now: Duration,
         id: TaskId,
@@ -212,39 +226,39 @@
         checkpoint: Option<Arc<str>>,
     ) {
         let Some(job) = self.jobs.get_mut(&id.job) else { return };
-        let room = job.accepted.spec.steps[id.step as usize].reserved();
+        let resources = job.accepted.spec.steps[id.step as usize].reserved();
         let Some(task) = job.task_mut(id) else { return };
-        let freed = task.freed;
+        let waiting_since = task.waiting_since;
         let losses = task.lost.len();
         let Some(known) = self.workers.get_mut(worker) else { return };
         task.last_run = run;
         task.runs.push(Run {
             number: run,
             worker: Arc::clone(worker),
-            life: known.life(),
+            incarnation: known.incarnation(),
             phase: Phase::Planned,
-            sent: now,
+            start_sent: now,
             answered: now,
             stop_sent: Duration::ZERO,
             percent: 0,
-            looked: now,
+            last_seen: now,
             progressed: now,
             checkpoint,
             gauge: 0,
-            pace: 100,
+            speed_percent: 100,
         });
         log::info!(
             "event=run_placed task={id} run={run} worker={worker} waited_ms={} free_millis={}",
-            now.saturating_sub(freed).as_millis(),
+            now.saturating_sub(waiting_since).as_millis(),
             known.free().cpu_millis
         );
-        known.reserve(id, run, room);
-        known.suspect(id, run, losses);
-        self.note_used(id);
-        self.commits.plan(now, id, run);
+        known.reserve(id, run, resources);
+        known.mark_suspect(id, run, losses);
+        self.charge_quota(id);
+        self.commits.plan_run(now, id, run);
     }
 
-    /// Sends the start of a planned run, its place being kept.
+    /// Sends the start of a planned run, whose placement record is durable.
     pub(crate) fn send_start(&mut self, now: Duration, id: TaskId, number: u64) {
         let terms = self.settings.terms;
         let Some(job) = self.jobs.get_mut(&id.job) else { return };
@@ -255,10 +269,10 @@
             return;
         }
         run.phase = Phase::Starting;
-        run.sent = now;
+        run.start_sent = now;
         let checkpoint = run.checkpoint.clone();
         let Some(worker) = self.workers.get_mut(&run.worker) else { return };
-        worker.leased_until(terms.over(now, terms.start));
+        worker.extend_lease(terms.latest_expiry(now, terms.initial));
         let worker = worker.target();
         let ticket = self.tickets.ticket(id, &worker.id);
         self.actions.push(Action::Start {
@@ -271,20 +285,24 @@
         });
     }
 
+    /// The eligible worker with enough free resources and the lowest cost; ties go to the lowest
+    /// identifier.
     fn best_worker(&self, now: Duration, id: TaskId) -> Option<Arc<str>> {
         let step = self.step_of(id)?;
-        let room = step.reserved();
+        let resources = step.reserved();
         let task = self.jobs.get(&id.job)?.task(id)?;
-        let alone = !step.gang && losses::runs_alone(task.lost.len());
+        let isolated = !step.gang && losses::needs_isolation(task.lost.len());
         let candidates = self
             .workers
             .values()
-            .filter(|worker| room.fits(&worker.free()) && self.takes(now, worker, id, step))
             .filter(|worker| {
-                if alone {
-                    self.is_free_for_one(worker)
+                resources.fits(&worker.free()) && self.is_eligible(now, worker, id, step)
+            })
+            .filter(|worker| {
+                if isolated {
+                    self.can_isolate(worker)
                 } else {
-                    !self.kept_free.contains(&worker.entry.id)
+                    !self.reserved_for_isolation.contains(&worker.entry.id)
                 }
             });
         let scored = candidates.map(|worker| (self.cost(now, worker, task, step), worker));
@@ -294,95 +312,112 @@
         best.map(|(_, worker)| Arc::clone(&worker.entry.id))
     }
 
-    /// Whether a task may go to a worker, room aside.
-    pub(crate) fn takes(&self, now: Duration, worker: &Worker, id: TaskId, step: &Step) -> bool {
-        let label = step.requires.as_ref().is_none_or(|label| worker.has_label(label));
-        let spread = step.per_worker == 0 || on_worker(worker, id) < step.per_worker;
-        label
-            && spread
+    /// Whether a task may run on a worker, regardless of free resources.
+    pub(crate) fn is_eligible(
+        &self,
+        now: Duration,
+        worker: &Worker,
+        id: TaskId,
+        step: &Step,
+    ) -> bool {
+        let has_label = step.requires.as_ref().is_none_or(|label| worker.has_label(label));
+        let below_max = step.max_per_worker == 0 || siblings_on(worker, id) < step.max_per_worker;
+        has_label
+            && below_max
             && worker.is_usable(now)
-            && !self.is_emptied(worker)
+            && !self.must_be_vacated(worker)
             && !worker.isolates()
-            && !self.is_blamed(now, worker)
+            && !self.is_quarantined(now, worker)
             && self.tickets.allows(id, &worker.entry.id)
     }
 
-    fn is_blamed(&self, now: Duration, worker: &Worker) -> bool {
-        self.blame_counts && worker.blame_at(now) >= BLAME_LIMIT
+    /// Whether a worker gets no new tasks because of its suspicion score.
+    fn is_quarantined(&self, now: Duration, worker: &Worker) -> bool {
+        self.quarantine_enabled && worker.suspicion_at(now) >= QUARANTINE_THRESHOLD
     }
 
-    /// Notes whether blame keeps work from workers: not where most are blamed. Looked over once a round of
-    /// placing: once for each worker, the looks would grow with the square of the pool.
-    pub(crate) fn weigh_blame(&mut self, now: Duration) {
-        let blamed = self.workers.values().filter(|other| other.blame_at(now) >= BLAME_LIMIT);
-        let allowed = (self.workers.len() as f64 * MAX_BLAMED_SHARE).ceil();
-        self.blame_counts = blamed.count() as f64 <= allowed;
+    /// Decides whether workers are quarantined at all: not if more than [`MAX_QUARANTINED_SHARE`]
+    /// would be. This is computed once per round of placement, because its cost would grow with the
+    /// square of the pool's size if it were computed for each worker.
+    pub(crate) fn update_quarantine(&mut self, now: Duration) {
+        let quarantined =
+            self.workers.values().filter(|other| other.suspicion_at(now) >= QUARANTINE_THRESHOLD);
+        let allowed = (self.workers.len() as f64 * MAX_QUARANTINED_SHARE).ceil();
+        self.quarantine_enabled = quarantined.count() as f64 <= allowed;
     }
 
-    /// Lower is better. Fuller workers first, so that others stay empty and can leave the pool; but tasks that were
-    /// lost with several keep apart from each other, and others from them.
+    /// Cost of placing a task on a worker; lower is better. Fuller workers are preferred, so that
+    /// others stay empty and can leave the pool. Separated tasks prefer emptier workers, and all
+    /// tasks avoid workers with suspects.
     fn cost(&self, now: Duration, worker: &Worker, task: &Task, step: &Step) -> f64 {
         let failed = task.failed_on.contains(&worker.entry.id);
-        let apart = losses::keeps_apart(task.lost.len());
-        let far = step.near.as_ref().is_some_and(|rack| !worker.has_label(rack));
-        let crowd = self.crowd(worker, step);
+        let separate = losses::needs_separation(task.lost.len());
+        let off_rack = step.preferred_rack.as_ref().is_some_and(|rack| !worker.has_label(rack));
+        let mixed = self.mixes_best_effort(worker, step);
         let total = worker.entry.capacity.cpu_millis.max(1) as f64;
         let free = worker.free().cpu_millis as f64 / total;
-        let weight = |bad: bool, weight: f64| if bad { weight } else { 0.0 };
-        weight(far, 100.0)
+        let weight = |applies: bool, weight: f64| if applies { weight } else { 0.0 };
+        weight(off_rack, 100.0)
             + weight(failed, 50.0)
-            + weight(crowd, 10.0)
-            + worker.blame_at(now) * 2.0
-            + if apart { 1.0 - free } else { free }
-            + SUSPECT_WEIGHT * worker.suspects.len() as f64
+            + weight(mixed, 10.0)
+            + worker.suspicion_at(now) * 2.0
+            + if separate { 1.0 - free } else { free }
+            + SUSPECT_WEIGHT * worker.suspect_runs.len() as f64
     }
 
-    /// Whether fill work and tasks with a tail target would come together.
-    fn crowd(&self, worker: &Worker, step: &Step) -> bool {
-        if !step.filler && step.tail_target_ms == 0 {
+    /// Whether the step would put best-effort runs and runs with a tail latency target on the same
+    /// worker.
+    fn mixes_best_effort(&self, worker: &Worker, step: &Step) -> bool {
+        if !step.best_effort && step.tail_target_ms == 0 {
             return false;
         }
         worker.runs.keys().any(|(task, _)| {
             let other = self.step_of(*task);
             other.is_some_and(|other| {
-                (step.filler && other.tail_target_ms > 0)
-                    || (step.tail_target_ms > 0 && other.filler)
+                (step.best_effort && other.tail_target_ms > 0)
+                    || (step.tail_target_ms > 0 && other.best_effort)
             })
         })
     }
 
+    /// Places all members of the gang that the task belongs to, or none of them.
     fn place_gang(&mut self, now: Duration, id: TaskId) {
         let Some(job) = self.jobs.get(&id.job) else { return };
         let accepted = Arc::clone(&job.accepted);
         let step = &accepted.spec.steps[id.step as usize];
-        let tasks = &job.instances[id.time as usize].steps[id.step as usize].tasks;
+        let tasks = &job.occurrences[id.occurrence as usize].steps[id.step as usize].tasks;
         if tasks.iter().any(|task| !task.runs.is_empty() || task.done || now < task.not_before) {
             return;
         }
-        if self.may_be_unseen(id) || !self.has_advice(now, id) {
+        if self.may_have_unreported_run(id) || !self.ensure_advice(now, id) {
             return;
         }
         let Some(job) = self.jobs.get(&id.job) else { return };
-        let tasks = &job.instances[id.time as usize].steps[id.step as usize].tasks;
-        let run = tasks.iter().map(|task| Self::next_run(self.epoch, task)).max().unwrap_or(1);
+        let tasks = &job.occurrences[id.occurrence as usize].steps[id.step as usize].tasks;
+        let run =
+            tasks.iter().map(|task| Self::next_run_number(self.epoch, task)).max().unwrap_or(1);
         let checkpoint = tasks.iter().find_map(|task| task.checkpoint.clone());
         let Some(chosen) = self.gang_workers(now, id, step) else { return };
-        let whole = (0..step.tasks).fold(Room::default(), |sum, _| sum.plus(&step.room));
-        if self.holds_back(id.job) || !self.is_within_limit(id.job, &whole) {
-            return self.hold_back(now, id.job, &whole);
+        let total = (0..step.tasks).fold(Resources::default(), |sum, _| sum.plus(&step.resources));
+        if self.is_quota_blocked(id.job) || !self.is_within_quota(id.job, &total) {
+            return self.block_on_quota(now, id.job, &total);
         }
         for (index, worker) in (0..).zip(chosen) {
             let member = TaskId { index, ..id };
-            let key = Key::of(&self.jobs[&id.job], member);
+            let key = Key::new(&self.jobs[&id.job], member);
             self.waiting.remove(&key);
-            self.start(now, member, run, &worker, checkpoint.clone());
+            self.plan_run(now, member, run, &worker, checkpoint.clone());
         }
     }
 
-    /// A worker for each member, in one rack where the step asks for it and one has room.
+    /// Chooses a worker for each member of a gang. If the step asks for a single rack, one that
+    /// can take the whole gang is preferred.
     fn gang_workers(&self, now: Duration, id: TaskId, step: &Step) -> Option<Vec<Arc<str>>> {
-        let usable: Vec<_> =
-            self.workers.values().filter(|worker| self.takes(now, worker, id, step)).collect();
+        let usable: Vec<_> = self
+            .workers
+            .values()
+            .filter(|worker| self.is_eligible(now, worker, id, step))
+            .collect();
         if step.same_rack {
             let mut racks: Vec<_> =
                 usable.iter().flat_map(|worker| worker.entry.labels.iter().cloned()).collect();
@@ -391,38 +426,39 @@
             for rack in racks {
                 let inside: Vec<_> =
                     usable.iter().copied().filter(|worker| worker.has_label(&rack)).collect();
-                // A label that all share is no rack.
+                // A label that all workers share does not name a rack.
                 if inside.len() == usable.len() && usable.len() > 1 {
                     continue;
                 }
-                if let Some(chosen) = fill(&inside, step) {
+                if let Some(chosen) = assign_gang(&inside, step) {
                     return Some(chosen);
                 }
             }
         }
-        fill(&usable, step)
+        assign_gang(&usable, step)
     }
 }
 
-/// Tasks of the same step and time on a worker.
-fn on_worker(worker: &Worker, id: TaskId) -> u32 {
+/// Number of runs of the same step and occurrence on a worker.
+fn siblings_on(worker: &Worker, id: TaskId) -> u32 {
     let first = TaskId { index: 0, ..id };
     let last = TaskId { index: u32::MAX, ..id };
     let runs = worker.runs.range((first, 0)..=(last, u64::MAX));
     u32::try_from(runs.count()).unwrap_or(u32::MAX)
 }
 
-/// A worker for each of a step's tasks, or none.
-fn fill(workers: &[&Worker], step: &Step) -> Option<Vec<Arc<str>>> {
-    let room = step.reserved();
+/// Assigns each of a step's tasks to the first worker with enough free resources; `None` if not all
+/// of them fit.
+fn assign_gang(workers: &[&Worker], step: &Step) -> Option<Vec<Arc<str>>> {
+    let resources = step.reserved();
     let mut free: Vec<_> = workers.iter().map(|worker| (worker.free(), 0_u32)).collect();
     let mut chosen = Vec::new();
     for _ in 0..step.tasks {
-        let fits = |(free, members): &(Room, u32)| {
-            room.fits(free) && (step.per_worker == 0 || *members < step.per_worker)
+        let fits = |(free, members): &(Resources, u32)| {
+            resources.fits(free) && (step.max_per_worker == 0 || *members < step.max_per_worker)
         };
         let at = free.iter().position(fits)?;
-        free[at].0 = free[at].0.minus(&room);
+        free[at].0 = free[at].0.minus(&resources);
         free[at].1 += 1;
         chosen.push(Arc::clone(&workers[at].entry.id));
     }
--- a/crates/crosspath_schedule/src/report.rs
+++ b/crates/crosspath_schedule/src/report.rs
@@ -1,4 +1,4 @@
-//! What a shard's owner tells the fleet's owner.
+//! Report of a shard owner to the owner of the fleet.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,129 +8,141 @@
 use crate::scheduler::Scheduler;
 use crate::worker::Worker;
 
-/// One VM of the pool.
+/// VM of the pool, with the load of its worker.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vm {
-    /// Its name.
+    /// Name of the VM that the worker runs on.
     pub name: Arc<str>,
-    /// Processor time that it has, in thousandths of a core.
+    /// Processor capacity, in thousandths of a core.
     pub cpu_millis: u64,
-    /// Processor time that is reserved.
+    /// Processor time reserved by runs, in thousandths of a core.
     pub used_millis: u64,
-    /// Tasks that run or may run there.
+    /// Number of runs that exist or may exist on the VM.
     pub tasks: u32,
-    /// Lasting tasks among them.
-    pub lasting: u32,
-    /// Whether it takes work: listed, answering, not draining, its data centre not evacuated.
+    /// Number of those runs that belong to long-running tasks.
+    #[serde(rename = "lasting")]
+    pub long_running: u32,
+    /// Whether the VM accepts new work: its worker is listed, answers, is neither draining nor in
+    /// cooldown, and its data centre is not evacuated.
     pub usable: bool,
-    /// Whether its worker has told this owner what runs there, and all ends that it told of are
-    /// kept; `tasks` says nothing otherwise.
-    pub known: bool,
+    /// Whether the worker has reported its runs to this owner, and all ended runs that it reported
+    /// are durable; `tasks` is meaningless otherwise.
+    #[serde(rename = "known")]
+    pub confirmed: bool,
 }
 
-/// A pool as its owner sees it.
+/// Load and VMs of a pool, as far as the shard owner knows them.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pool {
-    /// Reserved by what runs, in thousandths of a core.
+    /// Processor time reserved by runs, in thousandths of a core.
     pub running_millis: u64,
-    /// Wanted by tasks whose turn has come and that have no place.
+    /// Processor time required by unblocked tasks that have no run, in thousandths of a core.
     pub waiting_millis: u64,
-    /// Part of `running_millis` and `waiting_millis` that is of lasting tasks.
-    #[serde(default)]
-    pub lasting_millis: u64,
-    /// Wanted by tasks for which no worker was found, in thousandths of a core.
+    /// Part of `running_millis` and `waiting_millis` that belongs to long-running tasks.
+    #[serde(default, rename = "lasting_millis")]
+    pub long_running_millis: u64,
+    /// Processor time required by the tasks for which the last placement round found no worker, in
+    /// thousandths of a core.
     pub unplaced_millis: u64,
-    /// Lasting tasks among those.
-    pub unplaced_lasting: u32,
-    /// Wanted by tasks that wait for others of their job.
+    /// Number of long-running tasks among those.
+    #[serde(rename = "unplaced_lasting")]
+    pub unplaced_long_running: u32,
+    /// Processor time required by tasks that wait for other steps of their job, in thousandths of a
+    /// core.
     pub blocked_millis: u64,
-    /// Largest single task that waits.
+    /// Largest processor time that a single waiting task requires, in thousandths of a core.
     pub largest_millis: u64,
-    /// Priority of the most urgent brief work there is; 0 goes first.
+    /// Priority of the most urgent job without long-running steps; 0 is the highest.
     pub priority: u32,
-    /// VMs over which some step must be spread.
-    pub spread: u32,
-    /// Its VMs.
+    /// Number of VMs that the steps with a limit of tasks per worker need at least: the maximum
+    /// over these steps; 0 if there are none.
+    #[serde(rename = "spread")]
+    pub min_vms: u32,
+    /// VMs of the shard's workers, except those workers that another one on the same VM has
+    /// replaced.
     pub vms: Vec<Vm>,
 }
 
 impl Vm {
-    /// Whether surely nothing runs there.
+    /// Whether it is certain that the VM has no runs.
     #[must_use]
     pub fn is_vacant(&self) -> bool {
-        self.known && self.tasks == 0
+        self.confirmed && self.tasks == 0
     }
 }
 
 impl Scheduler {
-    /// The pool for the fleet's owner.
+    /// Current load of the shard, for the owner of the fleet.
     #[must_use]
     pub fn report(&self, now: Duration) -> Pool {
         let mut pool = Pool::default();
-        for worker in self.workers.values().filter(|worker| !self.is_doubtful_life(worker)) {
-            let lasts = |task| self.step_of(task).is_some_and(|step| step.lasting);
-            let lasting = worker.runs.iter().filter(|((task, _), _)| lasts(*task));
-            let lasting: Vec<u64> = lasting.map(|(_, room)| room.cpu_millis).collect();
-            pool.lasting_millis += lasting.iter().sum::<u64>();
-            pool.running_millis += worker.used.cpu_millis;
+        for worker in self.workers.values().filter(|worker| !self.is_replaced_incarnation(worker)) {
+            let is_long_running = |task| self.step_of(task).is_some_and(|step| step.long_running);
+            let long_running = worker.runs.iter().filter(|((task, _), _)| is_long_running(*task));
+            let long_running: Vec<u64> =
+                long_running.map(|(_, reserved)| reserved.cpu_millis).collect();
+            pool.long_running_millis += long_running.iter().sum::<u64>();
+            pool.running_millis += worker.reserved.cpu_millis;
             pool.vms.push(Vm {
                 name: worker.entry.vm.clone(),
                 cpu_millis: worker.entry.capacity.cpu_millis,
-                used_millis: worker.used.cpu_millis,
+                used_millis: worker.reserved.cpu_millis,
                 tasks: u32::try_from(worker.runs.len()).unwrap_or(u32::MAX),
-                lasting: u32::try_from(lasting.len()).unwrap_or(u32::MAX),
+                long_running: u32::try_from(long_running.len()).unwrap_or(u32::MAX),
                 usable: worker.is_usable(now) && !self.is_evacuated(worker),
-                // An end that is not kept yet would be lost with the worker.
-                known: worker.answers() && worker.ends_seen == worker.ends_acknowledged,
+                // An ended run that is not durable yet would be lost with the worker.
+                confirmed: worker.is_answering() && worker.ends_seen == worker.ends_acknowledged,
             });
         }
         for key in &self.waiting {
-            let cpu = key.room.cpu_millis;
+            let cpu = key.resources.cpu_millis;
             pool.waiting_millis += cpu;
-            pool.lasting_millis += if key.lasts() { cpu } else { 0 };
+            pool.long_running_millis += if key.is_long_running() { cpu } else { 0 };
             pool.largest_millis = pool.largest_millis.max(cpu);
         }
-        // What only a customer's maximum holds back needs no VM.
-        pool.waiting_millis = pool.waiting_millis.saturating_sub(self.parts.held_back_millis);
+        // Tasks that are blocked only by a customer's maximum need no VM.
+        pool.waiting_millis = pool.waiting_millis.saturating_sub(self.quotas.quota_blocked_millis);
         pool.blocked_millis = self.blocked_millis();
         pool.unplaced_millis = if self.waiting.is_empty() { 0 } else { self.unplaced_millis };
-        pool.unplaced_lasting = if self.waiting.is_empty() { 0 } else { self.unplaced_lasting };
-        pool.spread = self.spread();
+        pool.unplaced_long_running =
+            if self.waiting.is_empty() { 0 } else { self.unplaced_long_running };
+        pool.min_vms = self.min_vms();
         pool.priority = self.priority();
         pool
     }
 
-    /// Whether a worker does not answer while another life of its VM does.
-    fn is_doubtful_life(&self, worker: &Worker) -> bool {
+    /// Whether a worker does not answer while another worker on the same VM does.
+    fn is_replaced_incarnation(&self, worker: &Worker) -> bool {
         let same_vm = |other: &&Worker| {
             other.entry.vm == worker.entry.vm && other.entry.id != worker.entry.id
         };
-        !worker.answers() && self.workers.values().filter(same_vm).any(Worker::answers)
+        !worker.is_answering() && self.workers.values().filter(same_vm).any(Worker::is_answering)
     }
 
-    /// Priority of the most urgent brief work.
+    /// Priority of the most urgent job without long-running steps; `u32::MAX` if there is none.
     fn priority(&self) -> u32 {
-        let running = self.jobs.values().filter(|job| !job.state.is_final());
-        let brief = running.filter(|job| !job.accepted.spec.steps.iter().any(|step| step.lasting));
-        brief.map(|job| job.accepted.policy.priority).min().unwrap_or(u32::MAX)
+        let running = self.jobs.values().filter(|job| !job.state.is_terminal());
+        let finite =
+            running.filter(|job| !job.accepted.spec.steps.iter().any(|step| step.long_running));
+        finite.map(|job| job.accepted.policy.priority).min().unwrap_or(u32::MAX)
     }
 
-    /// Workers over which some step must be spread.
-    fn spread(&self) -> u32 {
-        let running = self.jobs.values().filter(|job| !job.state.is_final());
+    /// Largest number of workers over which a step must be spread; 0 if no step must.
+    fn min_vms(&self) -> u32 {
+        let running = self.jobs.values().filter(|job| !job.state.is_terminal());
         let steps = running.flat_map(|job| &job.accepted.spec.steps);
-        let spread = steps.filter(|step| step.per_worker > 0);
-        spread.map(|step| step.tasks.div_ceil(step.per_worker)).max().unwrap_or(0)
+        let spread = steps.filter(|step| step.max_per_worker > 0);
+        spread.map(|step| step.tasks.div_ceil(step.max_per_worker)).max().unwrap_or(0)
     }
 
     fn blocked_millis(&self) -> u64 {
         let mut total = 0;
-        for job in self.jobs.values().filter(|job| !job.state.is_final()) {
-            for instance in job.instances.iter().filter(|instance| instance.due) {
-                for (number, step) in instance.steps.iter().enumerate() {
-                    if !step.open {
-                        let room = job.accepted.spec.steps[number].reserved();
-                        total += room.cpu_millis * u64::from(step.left);
+        for job in self.jobs.values().filter(|job| !job.state.is_terminal()) {
+            for occurrence in job.occurrences.iter().filter(|occurrence| occurrence.due) {
+                for (number, step) in occurrence.steps.iter().enumerate() {
+                    if !step.unblocked {
+                        let reserved = job.accepted.spec.steps[number].reserved();
+                        total += reserved.cpu_millis * u64::from(step.remaining);
                     }
                 }
             }
--- a/crates/crosspath_schedule/src/scheduler.rs
+++ b/crates/crosspath_schedule/src/scheduler.rs
@@ -1,11 +1,11 @@
-//! The scheduler's state, and where each event goes.
+//! State of the scheduler, and dispatch of events.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
 
 use crosspath_job::progress::{Progress, State};
-use crosspath_job::record::{Accepted, Asker};
+use crosspath_job::record::{Accepted, Requester};
 use crosspath_job::spec::Step;
 use crosspath_job::{JobId, TaskId};
 
@@ -14,76 +14,82 @@
 use crate::event::Event;
 use crate::job::{Job, Task};
 use crate::lease::Terms;
-use crate::limits::Parts;
-use crate::looks::EndedLife;
+use crate::limits::Quotas;
 use crate::place::Key;
+use crate::polls::EndedIncarnation;
 use crate::shares::Shares;
-use crate::takeover::Settlement;
+use crate::takeover::Recovery;
 use crate::tickets::Tickets;
 use crate::worker::Worker;
 
-/// Waiting tasks that make a backlog.
-const BACKLOG: usize = 64;
-/// Between two rounds of placing with a backlog, where each end that is heard would set one off.
-const PLACE_INTERVAL: Duration = Duration::from_millis(4);
+/// Number of waiting tasks above which there is a backlog.
+const BACKLOG_TASKS: usize = 64;
+/// Minimum time between two placement rounds while there is a backlog. Without it, every reported
+/// end of a run would trigger a round.
+const BACKLOG_PLACEMENT_INTERVAL: Duration = Duration::from_millis(4);
 
-/// What the scheduler is told once.
+/// Settings that stay the same while a daemon owns the shard.
 #[derive(Debug, Clone, Copy)]
 pub struct Settings {
-    /// The shard.
+    /// Number of the shard.
     pub shard: u32,
-    /// Lengths of leases.
+    /// Lengths of the leases that this owner grants.
     pub terms: Terms,
-    /// How long an ended job can be asked for.
-    pub keep_ended: Duration,
-    /// Silence of membership after which an owner stops acting.
+    /// Time for which an ended job can still be looked up.
+    pub ended_job_retention: Duration,
+    /// Time without renewal of its group membership after which an owner stops acting.
     pub membership_ttl: Duration,
 }
 
-/// The scheduler of one shard.
+/// Scheduler of one shard, on behalf of the shard's owner.
 #[derive(Debug)]
 pub struct Scheduler {
     pub(crate) settings: Settings,
     pub(crate) epoch: u64,
     pub(crate) jobs: BTreeMap<JobId, Job>,
     pub(crate) workers: BTreeMap<Arc<str>, Worker>,
-    /// Lives of VMs that are over, by their identifiers.
-    pub(crate) ended_lives: BTreeMap<Arc<str>, EndedLife>,
+    /// Incarnations that have ended, by worker identifier.
+    pub(crate) ended_incarnations: BTreeMap<Arc<str>, EndedIncarnation>,
     pub(crate) waiting: BTreeSet<Key>,
     pub(crate) actions: Vec<Action>,
     pub(crate) commits: Commits,
-    pub(crate) settlement: Settlement,
+    pub(crate) recovery: Recovery,
     pub(crate) tickets: Tickets,
-    pub(crate) parts: Parts,
+    pub(crate) quotas: Quotas,
     pub(crate) shares: Shares,
-    pub(crate) vacate: BTreeSet<Arc<str>>,
+    pub(crate) vms_to_vacate: BTreeSet<Arc<str>>,
     /// Data centres that get no new work.
     pub(crate) evacuated: Arc<BTreeSet<Arc<str>>>,
-    /// Whether that is known recently enough to start anything.
+    /// Whether the set of evacuated data centres is recent enough to start tasks by it.
     pub(crate) may_start: bool,
-    /// Workers that take nothing but tasks that run alone.
-    pub(crate) kept_free: BTreeSet<Arc<str>>,
-    /// Whether a task that runs alone waited in the last round of placing.
-    pub(crate) waits_alone: bool,
+    /// Workers that accept only isolated tasks.
+    pub(crate) reserved_for_isolation: BTreeSet<Arc<str>>,
+    /// Whether an isolated task was waiting in the last placement round.
+    pub(crate) isolation_pending: bool,
+    /// Whether this owner may send orders to workers.
     pub(crate) may_act: bool,
-    pub(crate) place_again: bool,
-    /// What tasks want that the last round of placing found no worker for, in thousandths of a core.
+    /// Whether something has changed that calls for a placement round.
+    pub(crate) placement_due: bool,
+    /// Processor time required by the tasks for which the last placement round found no worker, in
+    /// thousandths of a core.
     pub(crate) unplaced_millis: u64,
-    /// Lasting tasks among those.
-    pub(crate) unplaced_lasting: u32,
-    /// Whether blame keeps work from workers in this round.
-    pub(crate) blame_counts: bool,
-    /// When tasks were last placed.
-    placed: Duration,
-    /// Whether all workers are to be looked over.
-    look_over: bool,
-    /// Jobs that were cancelled before their record was read, and by whom.
-    pub(crate) cancelled_early: BTreeMap<JobId, Asker>,
+    /// Number of long-running tasks among those.
+    pub(crate) unplaced_long_running: u32,
+    /// Whether workers with a high suspicion score get no new work in this round.
+    pub(crate) quarantine_enabled: bool,
+    /// When the last placement round took place.
+    last_placement: Duration,
+    /// Whether the runs on all workers are to be reviewed: stops to retry, workers to vacate,
+    /// stalled runs, throttling.
+    review_due: bool,
+    /// Jobs that were cancelled before their acceptance record was read, and who cancelled them.
+    pub(crate) early_cancellations: BTreeMap<JobId, Requester>,
+    /// Whether a later owner has claimed the shard.
     pub(crate) superseded: bool,
 }
 
 impl Scheduler {
-    /// An owner of a shard that has just claimed it in `epoch`.
+    /// Creates the scheduler of an owner that has just claimed its shard in `epoch`.
     #[must_use]
     pub fn new(settings: Settings, epoch: u64, now: Duration) -> Self {
         Self {
@@ -91,88 +97,93 @@
             epoch,
             jobs: BTreeMap::new(),
             workers: BTreeMap::new(),
-            ended_lives: BTreeMap::new(),
+            ended_incarnations: BTreeMap::new(),
             waiting: BTreeSet::new(),
             actions: Vec::new(),
             commits: Commits::default(),
-            settlement: Settlement::new(&settings, now),
+            recovery: Recovery::new(&settings, now),
             tickets: Tickets::default(),
-            parts: Parts::new(settings.shard, epoch),
+            quotas: Quotas::new(settings.shard, epoch),
             shares: Shares::default(),
-            vacate: BTreeSet::new(),
+            vms_to_vacate: BTreeSet::new(),
             evacuated: Arc::default(),
             may_start: true,
-            kept_free: BTreeSet::new(),
-            waits_alone: false,
+            reserved_for_isolation: BTreeSet::new(),
+            isolation_pending: false,
             may_act: true,
-            place_again: false,
+            placement_due: false,
             unplaced_millis: 0,
-            unplaced_lasting: 0,
-            blame_counts: false,
-            placed: Duration::ZERO,
-            look_over: false,
-            cancelled_early: BTreeMap::new(),
+            unplaced_long_running: 0,
+            quarantine_enabled: false,
+            last_placement: Duration::ZERO,
+            review_due: false,
+            early_cancellations: BTreeMap::new(),
             superseded: false,
         }
     }
 
-    /// Whether a worker has told of a later owner.
+    /// Whether a later owner has claimed the shard, as far as workers, the store and its log have
+    /// shown.
     #[must_use]
     pub fn is_superseded(&self) -> bool {
         self.superseded
     }
 
-    /// Whether it is to decide again soon, without an event.
+    /// Whether [`Scheduler::decide`] should be called again soon even if no event arrives.
     #[must_use]
-    pub fn gathers(&self) -> bool {
-        self.commits.gathers() || (self.place_again && !self.waiting.is_empty())
+    pub fn decides_soon(&self) -> bool {
+        self.commits.is_batching() || (self.placement_due && !self.waiting.is_empty())
     }
 
-    /// Whether some task waits for a worker with room.
+    /// Whether a task waits because no worker has the resources for it.
     #[must_use]
     pub fn lacks_workers(&self) -> bool {
         self.unplaced_millis > 0 && !self.waiting.is_empty()
     }
 
-    /// State of a job as it is kept; none when it is not known.
+    /// State of a job as reported to callers; `None` if the job is unknown. A job that has
+    /// completed or failed is reported as running until its state is durable.
     #[must_use]
     pub fn state(&self, job: JobId) -> Option<State> {
         let job = self.jobs.get(&job)?;
-        let unkept = job.state.is_final() && job.state != State::Cancelled && job.kept != job.state;
-        Some(if unkept { State::Running } else { job.state })
+        let not_durable = job.state.is_terminal()
+            && job.state != State::Cancelled
+            && job.durable_state != job.state;
+        Some(if not_durable { State::Running } else { job.state })
     }
 
-    /// What was accepted as a job; none when it is not known.
+    /// Acceptance of a job; `None` if the job is unknown.
     #[must_use]
     pub fn accepted(&self, job: JobId) -> Option<&Accepted> {
         self.jobs.get(&job).map(|job| job.accepted.as_ref())
     }
 
-    /// What the log is to keep of a job; none when it is not known.
+    /// Content of a job's progress record; `None` if the job is unknown. `wall_ms` is the time of
+    /// day in ms since 1970.
     #[must_use]
     pub fn progress(&self, job: JobId, wall_ms: u64) -> Option<Progress> {
         Some(self.jobs.get(&job)?.progress(wall_ms))
     }
 
-    /// Number of a queue's jobs of which no task has begun.
+    /// Number of jobs in a queue of which no task has started.
     #[must_use]
-    pub fn waiting(&self, queue: &str) -> u64 {
+    pub fn queued_jobs(&self, queue: &str) -> u64 {
         let queued = |job: &&Job| job.state == State::Queued && *job.accepted.queue == *queue;
         self.jobs.values().filter(queued).count() as u64
     }
 
-    /// Takes in what has happened. `wall_ms` is the time of day in ms since 1970.
+    /// Applies an event to the state. `wall_ms` is the time of day in ms since 1970.
     pub fn handle(&mut self, now: Duration, wall_ms: u64, event: Event) {
         match event {
             Event::Accepted(id, accepted) => self.accept(now, wall_ms, id, accepted),
             Event::Cancelled(id, by) => self.cancel(now, id, by),
-            Event::WorkerSeen(entry) => self.worker_seen(now, entry),
-            Event::WorkerGone(id) => self.worker_gone(now, &id),
-            Event::Held { worker, sent, extended, held } => {
-                self.held(now, &worker, sent, extended, held);
+            Event::WorkerListed(entry) => self.worker_listed(now, entry),
+            Event::WorkerUnlisted(id) => self.worker_unlisted(now, &id),
+            Event::Polled { worker, sent, extended, reply } => {
+                self.poll_answered(now, &worker, sent, extended, reply);
             }
-            Event::HoldFailed { worker, sent, extended, error } => {
-                self.hold_failed(now, &worker, sent, extended, error);
+            Event::PollFailed { worker, sent, extended, error } => {
+                self.poll_failed(now, &worker, sent, extended, error);
             }
             Event::StartAnswered { worker, task, run, answer } => {
                 self.start_answered(now, &worker, task, run, answer);
@@ -181,61 +192,67 @@
                 self.stop_answered(now, &worker, task, run, answer);
             }
             Event::Advised { step, answer } => {
-                self.tickets.advised(now, step, answer);
-                self.place_again = true;
+                self.tickets.record_answer(now, step, answer);
+                self.placement_due = true;
             }
             Event::Committed => self.committed(now),
             Event::Vacate(vms) => {
-                self.place_again |= vms != self.vacate;
-                self.look_over |= vms != self.vacate;
-                self.vacate = vms;
+                self.placement_due |= vms != self.vms_to_vacate;
+                self.review_due |= vms != self.vms_to_vacate;
+                self.vms_to_vacate = vms;
             }
             Event::Evacuated(evacuated) => {
-                self.place_again = true;
-                self.look_over = true;
+                self.placement_due = true;
+                self.review_due = true;
                 self.evacuated = evacuated;
             }
             Event::MayStart(may_start) => {
-                self.place_again |= may_start;
+                self.placement_due |= may_start;
                 self.may_start = may_start;
             }
             Event::MayAct(may_act) => {
-                self.place_again |= may_act;
+                self.placement_due |= may_act;
                 self.may_act = may_act;
             }
-            Event::HandedOver(leases) => self.hand_over(leases),
-            Event::Limits(limits) => self.limit(limits),
-            Event::Weights { weights, part } => self.weigh(weights, part),
-            Event::Dealt { number, deal } => self.dealt(number, deal),
+            Event::LeasesHandedOver(leases) => self.apply_handover(leases),
+            Event::Limits(limits) => self.set_limits(limits),
+            Event::Weights { weights, shard_fraction } => self.set_weights(weights, shard_fraction),
+            Event::QuotaAnswered { number, grant } => self.quota_answered(number, grant),
             Event::Superseded => self.superseded = true,
             Event::Tick => {
-                self.look_over = true;
-                // Time alone proves the runs beside which it may start.
-                self.place_again |= self.waits_alone;
-                self.open_due(now, wall_ms);
-                self.release_lapsed(now);
-                self.forget_ended(now);
-                self.forget_ended_lives(now);
+                self.review_due = true;
+                // Runs leave probation as time passes, and an isolated task starts only beside runs
+                // that have left it.
+                self.placement_due |= self.isolation_pending;
+                self.unblock_due_steps(now, wall_ms);
+                self.release_expired(now);
+                self.remove_ended_jobs(now);
+                self.prune_ended_incarnations(now);
             }
         }
     }
 
-    /// Decides what to do now. Called after some events, and now and then without any.
+    /// Decides on the next actions. To be called after each batch of events, and from time to time
+    /// without any.
     pub fn decide(&mut self, now: Duration, wall_ms: u64) -> Vec<Action> {
         if self.may_act {
-            if std::mem::take(&mut self.look_over) {
-                self.stop_again(now);
-                self.vacate_tasks(now);
+            if std::mem::take(&mut self.review_due) {
+                self.retry_stops(now);
+                self.stop_tasks_to_vacate(now);
                 self.stop_stalled(now);
-                self.pace();
+                self.throttle_best_effort();
             }
-            let pause = if self.waiting.len() > BACKLOG { PLACE_INTERVAL } else { Duration::ZERO };
-            if self.place_again && self.may_start && now >= self.placed + pause {
-                self.place_again = false;
-                self.placed = now;
+            let pause = if self.waiting.len() > BACKLOG_TASKS {
+                BACKLOG_PLACEMENT_INTERVAL
+            } else {
+                Duration::ZERO
+            };
+            if self.placement_due && self.may_start && now >= self.last_placement + pause {
+                self.placement_due = false;
+                self.last_placement = now;
                 self.place(now);
             }
-            self.ask_for_parts(now);
+            self.request_quota(now);
         }
         self.commit(now, wall_ms);
         std::mem::take(&mut self.actions)
--- a/crates/crosspath_schedule/src/stall.rs
+++ b/crates/crosspath_schedule/src/stall.rs
@@ -1,7 +1,8 @@
-//! Runs that stand still on a worker that answers.
+//! Detection of stalled runs on workers that answer.
 //!
-//! A worker may answer all looks and do nothing. A brief run whose percent has not changed between
-//! looks for some time is stopped, goes on elsewhere, and is held against the worker.
+//! A worker may answer every poll and yet make no progress. If polls have reported the same
+//! progress of a finite run for [`STALL_TIMEOUT`], the run is stopped, its task resumes elsewhere,
+//! and the suspicion score of the worker is raised. Gangs and best-effort runs are exempt.
 
 use std::time::Duration;
 
@@ -10,13 +11,14 @@
 use crate::job::{Phase, Run};
 use crate::scheduler::Scheduler;
 
-/// Between two looks that show no progress. Even a long task on a slow worker gains some percent in it; going on from
-/// a checkpoint takes a part of it before.
-const STANDSTILL: Duration = Duration::from_millis(1_200);
-/// Blame for a run that stands still: two keep a worker from new work.
-const BLAME_STALLED: f64 = 1.5;
+/// Time without progress after which a run counts as stalled. Even a long task on a slow worker
+/// gains some percent within it, and resuming from a checkpoint takes only a part of it.
+const STALL_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// Added to the suspicion score of a worker for each stalled run; two of them quarantine it.
+const SUSPICION_STALLED: f64 = 1.5;
 
 impl Scheduler {
+    /// Stops all stalled runs on workers that answer.
     pub(crate) fn stop_stalled(&mut self, now: Duration) {
         let mut stalled: Vec<(TaskId, u64)> = Vec::new();
         for worker in self.workers.values().filter(|worker| worker.failures == 0) {
@@ -27,19 +29,20 @@
             let Some(worker) = self.run(task, run).map(|run| run.worker.clone()) else { continue };
             log::info!("event=run_stalled task={task} run={run} worker={worker}");
             if let Some(worker) = self.workers.get_mut(&worker) {
-                worker.add_blame(now, BLAME_STALLED);
+                worker.add_suspicion(now, SUSPICION_STALLED);
             }
             self.stop_run(now, task, run);
         }
     }
 
     fn is_stalled(&self, id: TaskId, number: u64) -> bool {
-        let brief =
-            self.step_of(id).is_some_and(|step| !step.lasting && !step.gang && !step.filler);
-        brief && self.run(id, number).is_some_and(stands_still)
+        let applies = self
+            .step_of(id)
+            .is_some_and(|step| !step.long_running && !step.gang && !step.best_effort);
+        applies && self.run(id, number).is_some_and(has_stalled)
     }
 }
 
-fn stands_still(run: &Run) -> bool {
-    run.phase == Phase::Running && run.looked >= run.progressed + STANDSTILL
+fn has_stalled(run: &Run) -> bool {
+    run.phase == Phase::Running && run.last_seen >= run.progressed + STALL_TIMEOUT
 }
--- a/crates/crosspath_schedule/tests/schedule/common.rs
+++ b/crates/crosspath_schedule/tests/schedule/common.rs
@@ -1,11 +1,11 @@
-//! A scheduler with a clock, and short ways to feed it.
+//! Test harness: a scheduler with a simulated clock, and helpers to build and send its events.
 
 use std::sync::Arc;
 use std::time::Duration;
 
-use crosspath_border::worker::{Ended, Entry, Held, How, Running, Started};
-use crosspath_job::record::{Accepted, Asker, Policy, Record};
-use crosspath_job::spec::{Room, Spec, Step};
+use crosspath_border::worker::{Ended, Entry, Outcome, PollReply, Running, Started};
+use crosspath_job::record::{Accepted, Policy, Record, Requester};
+use crosspath_job::spec::{Resources, Spec, Step};
 use crosspath_job::{JobId, TaskId};
 use crosspath_schedule::lease::Terms;
 use crosspath_schedule::{Action, Event, Scheduler, Settings};
@@ -18,13 +18,13 @@
 }
 
 pub(crate) fn settings() -> Settings {
-    let terms = Terms { hold: ms(5_000), start: ms(2_000), clock_slack: 0.04 };
-    Settings { shard: 0, terms, keep_ended: ms(120_000), membership_ttl: ms(1_200) }
+    let terms = Terms { extension: ms(5_000), initial: ms(2_000), clock_slack: 0.04 };
+    Settings { shard: 0, terms, ended_job_retention: ms(120_000), membership_ttl: ms(1_200) }
 }
 
 pub(crate) fn step(tasks: u32, cores: u64) -> Step {
-    let room = Room { cpu_millis: cores * 1_000, mem_mb: 100, gpus: 0 };
-    Step { tasks, room, estimate_ms: 800, ..Step::default() }
+    let resources = Resources { cpu_millis: cores * 1_000, mem_mb: 100, gpus: 0 };
+    Step { tasks, resources, estimate_ms: 800, ..Step::default() }
 }
 
 pub(crate) fn accepted(steps: Vec<Step>) -> Arc<Accepted> {
@@ -41,9 +41,9 @@
     })
 }
 
-/// A caller of a queue that needs no key.
-pub(crate) fn anyone() -> Asker {
-    Asker::default()
+/// Requester of a queue that needs no key.
+pub(crate) fn anonymous() -> Requester {
+    Requester::default()
 }
 
 pub(crate) fn entry(id: &str) -> Entry {
@@ -55,62 +55,62 @@
         address: "127.0.0.1:9".parse().expect("an address"),
         draining: false,
         remaining_ms: 0,
-        capacity: Room { cpu_millis: 32_000, mem_mb: 128_000, gpus: 0 },
+        capacity: Resources { cpu_millis: 32_000, mem_mb: 128_000, gpus: 0 },
         labels: vec!["a".into(), "r1".into()],
         clock_ms: 1_000,
-        born_ms: 0,
+        started_ms: 0,
     }
 }
 
 pub(crate) fn task(step: u32, index: u32) -> TaskId {
-    TaskId { job: JOB, time: 0, step, index }
+    TaskId { job: JOB, occurrence: 0, step, index }
 }
 
 pub(crate) fn running(task: TaskId, run: u64) -> Running {
     Running { task, run, checkpoint: None, percent: 100, gauge: 0 }
 }
 
-pub(crate) fn ended(number: u64, task: TaskId, run: u64, how: How) -> Ended {
-    Ended { number, task, run, how, checkpoint: None }
+pub(crate) fn ended(number: u64, task: TaskId, run: u64, outcome: Outcome) -> Ended {
+    Ended { number, task, run, outcome, checkpoint: None }
 }
 
-/// A start that the scheduler ordered.
+/// Start or stop that the scheduler has ordered.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Ordered {
+pub(crate) struct Order {
     pub(crate) worker: Arc<str>,
     pub(crate) task: TaskId,
     pub(crate) run: u64,
 }
 
-/// A scheduler and its clock.
+/// Scheduler with a simulated clock, and the actions that it has returned.
 #[derive(Debug)]
-pub(crate) struct Bed {
+pub(crate) struct Harness {
     pub(crate) scheduler: Scheduler,
     pub(crate) now: Duration,
     pub(crate) actions: Vec<Action>,
-    /// Whether commits are answered at once.
-    pub(crate) keeps: bool,
+    /// Whether commits are confirmed as durable at once.
+    pub(crate) auto_commit: bool,
 }
 
-impl Bed {
+impl Harness {
     pub(crate) fn new(epoch: u64) -> Self {
-        Self::at(epoch, ms(10_000))
+        Self::claimed_at(epoch, ms(10_000))
     }
 
-    /// An owner that has claimed the shard at `now`.
-    pub(crate) fn at(epoch: u64, now: Duration) -> Self {
+    /// Owner that claimed the shard at `now`.
+    pub(crate) fn claimed_at(epoch: u64, now: Duration) -> Self {
         let scheduler = Scheduler::new(settings(), epoch, now);
-        Self { scheduler, now, actions: Vec::new(), keeps: true }
+        Self { scheduler, now, actions: Vec::new(), auto_commit: true }
     }
 
-    /// A first owner with these workers, all of which have answered.
+    /// First owner of the shard, with these workers, all of which have answered a poll.
     pub(crate) fn with_workers(ids: &[&str]) -> Self {
-        let mut bed = Self::new(1);
-        bed.take_over(Vec::new(), ids);
+        let mut harness = Self::new(1);
+        harness.take_over(Vec::new(), ids);
         for id in ids {
-            bed.held(id, Vec::new(), Vec::new());
+            harness.polled(id, Vec::new(), Vec::new());
         }
-        bed
+        harness
     }
 
     pub(crate) fn take_over(&mut self, records: Vec<Record>, workers: &[&str]) {
@@ -124,20 +124,21 @@
         self.decide();
     }
 
-    /// Decides; what is to be kept is kept at once, if `keeps` is set.
+    /// Lets the scheduler decide and collects its actions; with `auto_commit`, confirms its
+    /// commits.
     pub(crate) fn decide(&mut self) {
         loop {
             let actions = self.scheduler.decide(self.now, WALL_MS);
             let commits = actions.iter().any(|action| matches!(action, Action::Commit { .. }));
             self.actions.extend(actions);
-            if !commits || !self.keeps {
+            if !commits || !self.auto_commit {
                 return;
             }
             self.scheduler.handle(self.now, WALL_MS, Event::Committed);
         }
     }
 
-    pub(crate) fn pass(&mut self, time: Duration) {
+    pub(crate) fn advance(&mut self, time: Duration) {
         self.now += time;
         self.send(Event::Tick);
     }
@@ -146,14 +147,14 @@
         self.send(Event::Accepted(JOB, accepted(steps)));
     }
 
-    pub(crate) fn held(&mut self, worker: &str, running: Vec<Running>, ended: Vec<Ended>) {
+    pub(crate) fn polled(&mut self, worker: &str, running: Vec<Running>, ended: Vec<Ended>) {
         let sent = self.now;
         self.now += ms(1);
-        let held = Held { clock_ms: 0, born_ms: 0, running, ended };
-        self.send(Event::Held { worker: worker.into(), sent, extended: true, held });
+        let reply = PollReply { clock_ms: 0, started_ms: 0, running, ended };
+        self.send(Event::Polled { worker: worker.into(), sent, extended: true, reply });
     }
 
-    pub(crate) fn started(&mut self, order: &Ordered) {
+    pub(crate) fn started(&mut self, order: &Order) {
         self.now += ms(1);
         self.send(Event::StartAnswered {
             worker: Arc::clone(&order.worker),
@@ -163,12 +164,12 @@
         });
     }
 
-    /// Starts ordered since the last call.
-    pub(crate) fn starts(&mut self) -> Vec<Ordered> {
+    /// Removes and returns the starts ordered since the last call.
+    pub(crate) fn take_starts(&mut self) -> Vec<Order> {
         let mut found = Vec::new();
         self.actions.retain(|action| match action {
             Action::Start { worker, task, run, .. } => {
-                found.push(Ordered { worker: Arc::clone(&worker.id), task: *task, run: *run });
+                found.push(Order { worker: Arc::clone(&worker.id), task: *task, run: *run });
                 false
             }
             _ => true,
@@ -176,12 +177,12 @@
         found
     }
 
-    /// Stops ordered since the last call.
-    pub(crate) fn stops(&mut self) -> Vec<Ordered> {
+    /// Removes and returns the stops ordered since the last call.
+    pub(crate) fn take_stops(&mut self) -> Vec<Order> {
         let mut found = Vec::new();
         self.actions.retain(|action| match action {
             Action::Stop { worker, task, run } => {
-                found.push(Ordered { worker: Arc::clone(&worker.id), task: *task, run: *run });
+                found.push(Order { worker: Arc::clone(&worker.id), task: *task, run: *run });
                 false
             }
             _ => true,
@@ -190,8 +191,8 @@
     }
 }
 
-/// The newest record of each key that a scheduler committed.
-pub(crate) fn kept(actions: &[Action]) -> Vec<Record> {
+/// Newest record of each key among the commits in `actions`.
+pub(crate) fn committed_records(actions: &[Action]) -> Vec<Record> {
     let mut newest = std::collections::BTreeMap::new();
     for action in actions {
         if let Action::Commit { records } = action {
--- a/crates/crosspath_settings/src/settings.rs
+++ b/crates/crosspath_settings/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings, checked and complete.
+//! Validated settings, with defaults filled in.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -13,127 +13,129 @@
 use crate::options::{LimitOptions, ListenOptions, OperatorOptions, Options, TimingOptions};
 use crate::token::Hash;
 
-const MIN_PEER_TOKEN: usize = 16;
+const MIN_PEER_TOKEN_BYTES: usize = 16;
 const MIN_HEADER_BYTES: u32 = 8 * 1024;
 
-/// What an operator may do.
+/// Right of an operator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Right {
-    /// Get, list and watch.
+    /// Get, list and watch resources.
     Read,
-    /// Put and delete.
+    /// Create, update and delete resources.
     Write,
 }
 
-/// Settings of a daemon.
+/// Validated settings of a daemon.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Name of this daemon.
+    /// Name of this daemon, which a VM that replaces this one keeps.
     pub name: DaemonName,
-    /// Its data centre.
+    /// Data centre in which this daemon runs.
     pub data_centre: DataCentre,
-    /// Where callers connect.
-    pub callers: SocketAddr,
-    /// Where operators connect.
-    pub operators: SocketAddr,
-    /// Where peers connect.
+    /// Address that this daemon listens on for callers.
+    pub callers_listen: SocketAddr,
+    /// Address that this daemon listens on for operators.
+    pub operators_listen: SocketAddr,
+    /// Address that this daemon listens on for other daemons.
     pub peers_listen: SocketAddr,
-    /// The other daemons.
+    /// All other daemons of the site.
     pub peers: Vec<Peer>,
-    /// What daemons show each other.
+    /// Secret with which daemons authenticate to each other.
     pub peer_token: String,
-    /// The platform's address.
+    /// Address of the platform's HTTP interfaces.
     pub platform: SocketAddr,
-    /// Operators.
-    pub operator_rights: Vec<Operator>,
-    /// Limits.
+    /// Operators that may use the resource API.
+    pub operator_accounts: Vec<Operator>,
+    /// Limits on requests to this daemon and on what it keeps in memory.
     pub limits: Limits,
-    /// Intervals and leases.
+    /// Intervals, timeouts and lease lengths.
     pub timing: Timing,
 }
 
-/// Another daemon.
+/// Another daemon of the same site.
 #[derive(Debug, Clone)]
 pub struct Peer {
-    /// Its name.
+    /// Name of the other daemon.
     pub name: DaemonName,
-    /// Where it listens.
+    /// Address on which the other daemon listens for peers.
     pub address: SocketAddr,
 }
 
-/// An operator.
+/// An operator of the resource API.
 #[derive(Debug, Clone)]
 pub struct Operator {
-    /// Name for logs.
+    /// Name of the operator, as logged with each change.
     pub name: String,
-    /// Hash of the token.
+    /// Hash of the operator's bearer token.
     pub token: Hash,
-    /// Rights.
+    /// Rights of the operator; empty if it may do nothing.
     pub rights: Vec<Right>,
 }
 
-/// Limits on what one daemon takes in.
+/// Limits on requests to one daemon and on what it keeps in memory.
 #[derive(Debug, Clone)]
 pub struct Limits {
-    /// Connections on each listener.
+    /// Maximum number of connections to each listener.
     pub connections: u32,
-    /// Bytes of a head.
+    /// Maximum size of a request's head, in bytes.
     pub header_bytes: u32,
-    /// Bytes of a body.
+    /// Maximum size of a request's body, in bytes.
     pub body_bytes: u64,
-    /// Time for a head.
+    /// Timeout for receiving a request's head.
     pub header_timeout: Duration,
-    /// Time for a body.
+    /// Timeout for receiving a request's body.
     pub body_timeout: Duration,
-    /// Requests waiting for one pool.
+    /// Maximum number of requests that wait for a slot of one pool.
     pub queue: u32,
-    /// Percent of a pool's slots for batch.
+    /// Maximum share of a pool's slots for batch requests, in percent.
     pub batch_ceiling_percent: u32,
-    /// One of this many grants goes to batch.
+    /// At least one in this many slot grants goes to batch requests, if any wait.
     pub batch_floor_every: u32,
-    /// Payment keys kept.
+    /// Maximum number of payment keys that one daemon keeps.
     pub keys: u32,
-    /// Bytes of an answer kept.
+    /// Maximum size of a response that is kept for repeated requests, in bytes.
     pub answer_bytes: u64,
-    /// Bytes of all answers kept.
+    /// Maximum size of all responses that are kept for repeated requests, in bytes.
     pub answers_total_bytes: u64,
-    /// How long a payment key is good for.
+    /// Time for which a payment key is valid.
     pub key_retention: Duration,
 }
 
-/// Intervals and leases.
+/// Intervals, timeouts and lease lengths.
 #[derive(Debug, Clone)]
 pub struct Timing {
-    /// Between heartbeats.
+    /// Interval between rounds of heartbeats to peers.
     pub heartbeat: Duration,
-    /// Of a guard's promise.
+    /// Length of a lease. While it is valid, the guard that granted it does not evict the member
+    /// that holds it.
     pub lease: Duration,
-    /// For which a guard promises after its own lease was last valid.
+    /// How long a guard continues to grant leases after its own lease was last valid.
     pub tenure: Duration,
-    /// Largest drift of clock rates, in parts per million.
+    /// Maximum drift between the rates of two clocks, in parts per million.
     pub drift_ppm: u32,
-    /// Largest difference of wall clocks.
+    /// Maximum difference between two wall clocks.
     pub skew: Duration,
-    /// Between decisions on the fleet.
+    /// Interval between two rounds of decisions on the fleet.
     pub decide: Duration,
-    /// For a call of the platform.
+    /// Timeout of a call to the platform.
     pub platform_timeout: Duration,
-    /// For a read of the log to wait.
+    /// How long the log may hold a read open until there are new records.
     pub log_wait: Duration,
-    /// Records between snapshots.
+    /// Number of log records between two snapshots of the state.
     pub snapshot_every: u64,
-    /// Between unready and the end of listening.
+    /// Time in a planned stop from not being ready until no more connections are accepted.
     pub stop_wait: Duration,
-    /// For what is in flight when stopping.
+    /// Maximum time in a planned stop for requests in flight, and again for leaving the group.
     pub stop_drain: Duration,
 }
 
-/// Reads and checks a settings file.
+/// Reads and validates a settings file.
 ///
 /// # Errors
 ///
-/// [`Error`] when the file cannot be read, has another shape, or a field cannot be used.
+/// [`Error`] if the file cannot be read, does not match the schema, or has a value that is not
+/// allowed.
 pub fn load(file: &Path) -> Result<Settings, Error> {
     let text = std::fs::read_to_string(file).context(ReadSnafu { file })?;
     let decoder = &mut serde_json::Deserializer::from_str(&text);
@@ -151,12 +153,12 @@
 impl Checker<'_> {
     fn require(
         &self,
-        met: bool,
+        is_valid: bool,
         field: &'static str,
         value: impl ToString,
         remedy: &'static str,
     ) -> Result<(), Error> {
-        if met {
+        if is_valid {
             return Ok(());
         }
         ValueSnafu { file: self.file, field, value: value.to_string(), remedy }.fail()
@@ -164,12 +166,12 @@
 
     fn resolve(&self, options: Options) -> Result<Settings, Error> {
         let token = &options.peer_token;
-        let long = token.len() >= MIN_PEER_TOKEN;
-        self.require(long, "peer_token", "<hidden>", "write at least 16 characters")?;
-        self.check_listen(&options.listen)?;
-        let own = options.peers.iter().find(|peer| peer.name == options.name);
+        let long_enough = token.len() >= MIN_PEER_TOKEN_BYTES;
+        self.require(long_enough, "peer_token", "<hidden>", "write at least 16 characters")?;
+        self.require_distinct_addresses(&options.listen)?;
+        let listed_self = options.peers.iter().find(|peer| peer.name == options.name);
         let name = &options.name;
-        self.require(own.is_none(), "peers", name, "list only the other daemons")?;
+        self.require(listed_self.is_none(), "peers", name, "list only the other daemons")?;
         let peers = options.peers.into_iter();
         let peers = peers.map(|peer| Peer { name: peer.name, address: peer.address }).collect();
         let operators = options.operators.into_iter();
@@ -177,23 +179,25 @@
         Ok(Settings {
             name: options.name,
             data_centre: options.data_centre,
-            callers: options.listen.callers,
-            operators: options.listen.operators,
+            callers_listen: options.listen.callers,
+            operators_listen: options.listen.operators,
             peers_listen: options.listen.peers,
             peers,
             peer_token: options.peer_token,
             platform: options.platform,
-            operator_rights: operators.collect::<Result<_, _>>()?,
+            operator_accounts: operators.collect::<Result<_, _>>()?,
             limits: self.limits(&options.limits)?,
             timing: self.timing(&options.timing)?,
         })
     }
 
-    fn check_listen(&self, listen: &ListenOptions) -> Result<(), Error> {
+    fn require_distinct_addresses(&self, listen: &ListenOptions) -> Result<(), Error> {
         let ListenOptions { callers, operators, peers } = *listen;
-        let same = |a: SocketAddr, b: SocketAddr| a == b && a.port() != 0;
-        let clash = same(callers, operators) || same(operators, peers) || same(callers, peers);
-        self.require(!clash, "listen", callers, "give each listener an address of its own")
+        let same_address = |a: SocketAddr, b: SocketAddr| a == b && a.port() != 0;
+        let conflict = same_address(callers, operators)
+            || same_address(operators, peers)
+            || same_address(callers, peers);
+        self.require(!conflict, "listen", callers, "give each listener an address of its own")
     }
 
     fn operator(&self, options: OperatorOptions) -> Result<Operator, Error> {
@@ -222,9 +226,9 @@
             answers_total_bytes: options.answers_total_bytes.unwrap_or(8 * 1024 * 1024),
             key_retention: ms(options.key_retention_ms, 600_000),
         };
-        let head = limits.header_bytes;
-        let big = head >= MIN_HEADER_BYTES;
-        self.require(big, "limits.header_bytes", head, "write 8192 or more")?;
+        let header_bytes = limits.header_bytes;
+        let large_enough = header_bytes >= MIN_HEADER_BYTES;
+        self.require(large_enough, "limits.header_bytes", header_bytes, "write 8192 or more")?;
         let percent = limits.batch_ceiling_percent;
         let in_range = (1..=100).contains(&percent);
         self.require(in_range, "limits.batch_ceiling_percent", percent, "write 1 to 100")?;
@@ -249,16 +253,16 @@
             stop_wait: ms(options.stop_wait_ms, 1_000),
             stop_drain: ms(options.stop_drain_ms, 10_000),
         };
-        let long = timing.lease >= timing.heartbeat * 3;
+        let long_enough = timing.lease >= timing.heartbeat * 3;
         let lease = timing.lease.as_millis();
-        self.require(long, "timing.lease_ms", lease, "write at least 3 times heartbeat_ms")?;
-        let long = timing.tenure >= timing.lease;
+        self.require(long_enough, "timing.lease_ms", lease, "write at least 3 times heartbeat_ms")?;
+        let long_enough = timing.tenure >= timing.lease;
         let tenure = timing.tenure.as_millis();
-        self.require(long, "timing.tenure_ms", tenure, "write at least lease_ms")?;
+        self.require(long_enough, "timing.tenure_ms", tenure, "write at least lease_ms")?;
         let drift = timing.drift_ppm;
         self.require(drift <= 200_000, "timing.drift_ppm", drift, "write 200000 or less")?;
-        let beat = timing.heartbeat.as_millis();
-        self.require(beat > 0, "timing.heartbeat_ms", beat, "write 1 or more")?;
+        let heartbeat = timing.heartbeat.as_millis();
+        self.require(heartbeat > 0, "timing.heartbeat_ms", heartbeat, "write 1 or more")?;
         let decide = timing.decide.as_millis();
         self.require(decide > 0, "timing.decide_ms", decide, "write 1 or more")?;
         Ok(timing)
