--- a/crates/crosspath_fleet/src/allocation.rs
+++ b/crates/crosspath_fleet/src/allocation.rs
@@ -38,12 +38,12 @@
     let mut remaining = total.saturating_sub(allocated.values().sum());
     while remaining > 0 {
         let short = requests.iter().filter(|(pool, request)| allocated[*pool] < request.target);
-        let neediest = short.max_by(|(a, one), (b, other)| {
+        let largest_deficit = short.max_by(|(a, one), (b, other)| {
             one.weighted_deficit(allocated[*a])
                 .total_cmp(&other.weighted_deficit(allocated[*b]))
                 .then_with(|| b.cmp(a))
         });
-        let Some((pool, _)) = neediest else { break };
+        let Some((pool, _)) = largest_deficit else { break };
         *allocated.entry(Arc::clone(pool)).or_default() += 1;
         remaining -= 1;
     }
--- a/crates/crosspath_fleet/src/planner.rs
+++ b/crates/crosspath_fleet/src/planner.rs
@@ -247,9 +247,9 @@
                 Stage::Done { at } => {
                     let in_target_pool = intent.target_pool().is_none_or(|pool| *pool == vm.pool);
                     // The list may lag behind the order.
-                    let is_back =
+                    let is_completed =
                         in_target_pool && vm.state == State::Up && view.listed_at > at + LIST_LAG;
-                    !is_back && now < at + COMPLETION_TIMEOUT
+                    !is_completed && now < at + COMPLETION_TIMEOUT
                 }
             }
         });
--- a/crates/crosspath_fleet/tests/fleet/common.rs
+++ b/crates/crosspath_fleet/tests/fleet/common.rs
@@ -83,7 +83,7 @@
     }
 
     /// Replaces the planner by one with another order rate.
-    pub(crate) fn orders_per_s(&mut self, orders_per_s: f64) {
+    pub(crate) fn set_orders_per_s(&mut self, orders_per_s: f64) {
         let settings = Settings { orders_per_s, ..settings() };
         self.planner = Planner::new(settings, BTreeMap::new(), BTreeMap::new());
     }
@@ -94,7 +94,7 @@
         self.orders.iter().filter(|(_, _, order)| to(order)).count()
     }
 
-    pub(crate) fn wave(&mut self, vms: &[&str], max_concurrent: u32) {
+    pub(crate) fn add_wave(&mut self, vms: &[&str], max_concurrent: u32) {
         let vms = vms.iter().map(|vm| (*vm).into()).collect();
         let wave = Wave { number: 1, vms, deadline_ms: 27_000, max_concurrent };
         self.view.waves = vec![(Arc::new(wave), self.now)];
--- a/crates/crosspath_fleet/tests/fleet/evacuation.rs
+++ b/crates/crosspath_fleet/tests/fleet/evacuation.rs
@@ -90,7 +90,7 @@
     let mut harness = harness();
     harness.waiting.insert("counter".into(), 30 * VM_MILLIS);
     evacuate(&mut harness, &["a"]);
-    harness.wave(&["c0", "c1", "sa0", "sb0"], 4);
+    harness.add_wave(&["c0", "c1", "sa0", "sb0"], 4);
     for _ in 0..3 {
         harness.round();
     }
--- a/crates/crosspath_fleet/tests/fleet/moves.rs
+++ b/crates/crosspath_fleet/tests/fleet/moves.rs
@@ -185,7 +185,7 @@
     let mut vms: Vec<_> = (0..3).map(|n| vm(&format!("c{n:03}"), "counter")).collect();
     vms.extend((0..60).map(|n| vm(&format!("s{n:03}"), "spare")));
     let mut harness = Harness::new(vms);
-    harness.orders_per_s(1_000.0);
+    harness.set_orders_per_s(1_000.0);
     harness.waiting.insert("counter".into(), 2 * 32_000);
     for _ in 0..20 {
         harness.round();
@@ -205,7 +205,7 @@
     let mut vms: Vec<_> = (0..400).map(|n| vm(&format!("c{n}"), "counter")).collect();
     vms.push(vm("s0", "spare"));
     let mut harness = Harness::new(vms);
-    harness.orders_per_s(rate);
+    harness.set_orders_per_s(rate);
     for _ in 0..100 {
         harness.round();
     }
--- a/crates/crosspath_fleet/tests/fleet/size.rs
+++ b/crates/crosspath_fleet/tests/fleet/size.rs
@@ -43,7 +43,7 @@
 fn a_round_with_many_moves_scales_linearly() {
     for size in SIZES {
         let mut harness = harness(size);
-        harness.orders_per_s(100_000.0);
+        harness.set_orders_per_s(100_000.0);
         harness.round();
         harness.waiting.insert("a".into(), 32_000 * size as u64);
         let visits = visits_of_round(&mut harness, "peak");
@@ -58,7 +58,7 @@
         let mut harness = harness(size);
         let names: Vec<String> = (0..size).step_by(2).map(|n| format!("vm-{n:05}")).collect();
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
-        harness.wave(&names, u32::try_from(size / 20).expect("the size fits in 32 bits"));
+        harness.add_wave(&names, u32::try_from(size / 20).expect("the size fits in 32 bits"));
         harness.round();
         harness.now += ms(100);
         assert!(visits_of_round(&mut harness, "wave") <= MAX_VISITS_PER_VM * size as u64);
--- a/crates/crosspath_fleet/tests/fleet/wave.rs
+++ b/crates/crosspath_fleet/tests/fleet/wave.rs
@@ -14,7 +14,7 @@
 
 fn harness() -> Harness {
     let mut harness = Harness::new(NAMES.iter().map(|name| vm(name, "counter")).collect());
-    harness.wave(&NAMES, 2);
+    harness.add_wave(&NAMES, 2);
     harness
 }
 
@@ -70,7 +70,7 @@
 #[test]
 fn an_unanswered_order_is_retried_and_counts_against_the_limit() {
     let mut harness = harness();
-    harness.wave(&NAMES, 1);
+    harness.add_wave(&NAMES, 1);
     harness.drop_answers = true;
     for _ in 0..30 {
         harness.round();
@@ -88,7 +88,7 @@
     vms.extend((0..8).map(|n| vm(&format!("s{n}"), "spare")));
     let mut harness = Harness::new(vms);
     harness.waiting.insert("a".into(), 20 * VM_MILLIS);
-    harness.wave(&["s0", "s1", "s2", "s3", "s4", "s5", "s6", "s7"], 8);
+    harness.add_wave(&["s0", "s1", "s2", "s3", "s4", "s5", "s6", "s7"], 8);
     harness.round();
     let maintenance =
         harness.orders.iter().filter(|(_, _, order)| matches!(order, Order::Maintain { .. }));
@@ -155,7 +155,7 @@
 fn a_pool_with_a_deficit_gets_vms_not_awaiting_maintenance_first() {
     let vms = vec![vm("a1", "a"), vm("a2", "a"), vm("s1", "spare"), vm("s2", "spare")];
     let mut harness = Harness::new(vms);
-    harness.wave(&["s1"], 1);
+    harness.add_wave(&["s1"], 1);
     harness.waiting.insert("a".into(), VM_MILLIS);
     harness.round();
     let moved = harness.orders.iter().filter(|(_, _, order)| matches!(order, Order::Move { .. }));
--- a/crates/crosspath_node/src/candidacy.rs
+++ b/crates/crosspath_node/src/candidacy.rs
@@ -18,9 +18,9 @@
 /// Time for which there must be too few large owners before a small VM joins. Longer than the group
 /// takes to expire a silent member, so that the large VMs take their shards again after a restart
 /// of all daemons.
-const STEP_IN_DELAY: Duration = Duration::from_millis(1_500);
+const JOIN_DELAY: Duration = Duration::from_millis(1_500);
 /// Time for which there must be enough large owners before a small VM withdraws.
-const STEP_BACK_DELAY: Duration = Duration::from_secs(4);
+const WITHDRAWAL_DELAY: Duration = Duration::from_secs(4);
 
 /// Tracks whether this daemon is a candidate for ownership.
 #[derive(Debug)]
@@ -54,12 +54,12 @@
         }
         let large = owners.iter().filter(|owner| owner.millicores >= LARGE_MILLICORES).count();
         let (should_change, delay) = if self.is_candidate {
-            (large >= SUFFICIENT_LARGE_OWNERS, STEP_BACK_DELAY)
+            (large >= SUFFICIENT_LARGE_OWNERS, WITHDRAWAL_DELAY)
         } else if large == 0 && !owners.is_empty() {
             // Only small VMs own shards, so this is a deployment of small VMs: join at once.
             (true, Duration::ZERO)
         } else {
-            (large < MIN_LARGE_OWNERS, STEP_IN_DELAY)
+            (large < MIN_LARGE_OWNERS, JOIN_DELAY)
         };
         if !should_change {
             self.change_due_since = None;
--- a/crates/crosspath_node/src/directory.rs
+++ b/crates/crosspath_node/src/directory.rs
@@ -78,7 +78,7 @@
 }
 
 impl Change {
-    fn gone(entry: Entry) -> Self {
+    fn unlisted(entry: Entry) -> Self {
         Self { pool: entry.pool, vm: entry.vm, event: Event::WorkerUnlisted(entry.id) }
     }
 }
@@ -112,7 +112,7 @@
         &mut self,
         records: &[Stored],
         whole: bool,
-        read: impl Fn(&Stored) -> Result<Entry, DecodeError>,
+        decode: impl Fn(&Stored) -> Result<Entry, DecodeError>,
     ) -> Vec<Change> {
         let present = records.iter().map(|record| record.key.as_str());
         let mut changes = if whole { self.retain_only(&present.collect()) } else { Vec::new() };
@@ -125,7 +125,7 @@
                 changes.extend(self.remove(&record.key));
                 continue;
             }
-            match read(record) {
+            match decode(record) {
                 Ok(entry) => changes.extend(self.upsert(entry)),
                 Err(error) => {
                     log::warn!("event=worker_entry_unreadable error=\"{error}\"");
@@ -153,19 +153,19 @@
         }
         let change = self.changes.last();
         let current = Cursor { reader: Arc::clone(reader), reading: self.full_reads, change };
-        let is_of =
+        let is_followed =
             |entry: &&Entry| pool_slices.contains(&pool_slice_of(map, &entry.pool, &entry.vm));
         let known =
             cursor.filter(|cursor| **cursor == Cursor { change: cursor.change, ..current.clone() });
         let since = known.and_then(|cursor| self.changes.since(cursor.change));
         let Some(since) = since else {
-            let entries = self.entries.values().filter(is_of).cloned().collect();
+            let entries = self.entries.values().filter(is_followed).cloned().collect();
             return Some(Update { cursor: current, whole: true, entries, gone: Vec::new() });
         };
         let (mut entries, mut gone) = (Vec::new(), Vec::new());
         for id in since {
             match self.entries.get(id) {
-                Some(entry) => entries.extend(Some(entry).filter(is_of).cloned()),
+                Some(entry) => entries.extend(Some(entry).filter(is_followed).cloned()),
                 None => gone.push(Arc::clone(id)),
             }
         }
@@ -198,7 +198,7 @@
     fn remove(&mut self, id: &str) -> Option<Change> {
         let entry = self.entries.remove(id)?;
         self.changes.record_removal(&entry.id, |id| self.entries.contains_key(id));
-        Some(Change::gone(entry))
+        Some(Change::unlisted(entry))
     }
 
     fn upsert(&mut self, entry: Entry) -> Option<Change> {
--- a/crates/crosspath_node/src/membership.rs
+++ b/crates/crosspath_node/src/membership.rs
@@ -182,7 +182,7 @@
 /// the group so, and begins ownership of new ones. Returns whether any shard was released.
 fn apply_membership(node: &Arc<Node>, membership: &Membership) -> bool {
     let assigned: BTreeSet<u32> = membership.shards.iter().copied().collect();
-    let units = node.map().by_shard();
+    let pool_slices = node.map().by_shard();
     let mut owned = node.owned();
     let before = owned.len();
     owned.retain(|number, handle| {
@@ -195,11 +195,11 @@
     });
     let released = owned.len() < before;
     for number in assigned {
-        let unit = units.get(&number);
-        if (number == node.fleet_shard() || unit.is_some()) && !owned.contains_key(&number) {
-            let of = unit.map_or_else(|| "fleet".to_owned(), ToString::to_string);
-            log::info!("event=shard_dealt shard={number} unit={of}");
-            owned.insert(number, Handle::start(node, number, unit.cloned()));
+        let pool_slice = pool_slices.get(&number);
+        if (number == node.fleet_shard() || pool_slice.is_some()) && !owned.contains_key(&number) {
+            let unit = pool_slice.map_or_else(|| "fleet".to_owned(), ToString::to_string);
+            log::info!("event=shard_dealt shard={number} unit={unit}");
+            owned.insert(number, Handle::start(node, number, pool_slice.cloned()));
             node.ownership_changed.notify_one();
         }
     }
@@ -211,8 +211,8 @@
 async fn survey_peers(node: &Arc<Node>) {
     let others = node.other_owners();
     let asked_at = clock::now();
-    let asks = others.iter().map(|address| node.peers.call(*address, &Request::StoreStatus));
-    let answered_ago = join_all(asks).await.into_iter().filter_map(|answer| match answer {
+    let calls = others.iter().map(|address| node.peers.call(*address, &Request::StoreStatus));
+    let answered_ago = join_all(calls).await.into_iter().filter_map(|answer| match answer {
         Ok(Reply::StoreStatus { answered_ms_ago }) => Some(Duration::from_millis(answered_ms_ago)),
         _ => None,
     });
--- a/crates/crosspath_node/src/order.rs
+++ b/crates/crosspath_node/src/order.rs
@@ -54,7 +54,7 @@
     }
 
     async fn try_start(&self, start: &mut Start) -> Result<Started, Error> {
-        let permit = self.watch.orders.acquire().await;
+        let permit = self.watch.start_slots.acquire().await;
         let Ok(_permit) = permit else { return Err(Error::NotReached) };
         let now = clock::now();
         // The start is not sent if it is too late, or if another daemon may by now be the owner or
--- a/crates/crosspath_node/src/watch.rs
+++ b/crates/crosspath_node/src/watch.rs
@@ -24,14 +24,14 @@
 /// Pause after a failed poll.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
 /// Maximum number of concurrent starts to one worker, since each has a connection of its own.
-const MAX_ORDERS: usize = 2;
+const MAX_CONCURRENT_STARTS: usize = 2;
 
 /// State of one worker that its polls share with the shard's owner.
 #[derive(Debug)]
 pub(crate) struct Watch {
     pub(crate) target: Target,
     /// Limits the starts in flight.
-    pub(crate) orders: Semaphore,
+    pub(crate) start_slots: Semaphore,
     clock: Mutex<Clock>,
     acknowledged: AtomicU64,
     stored: Notify,
@@ -43,7 +43,7 @@
         let clock = Clock { reading_ms: clock_ms, received: clock::now() };
         Self {
             target,
-            orders: Semaphore::new(MAX_ORDERS),
+            start_slots: Semaphore::new(MAX_CONCURRENT_STARTS),
             clock: Mutex::new(clock),
             acknowledged: AtomicU64::new(0),
             stored: Notify::new(),
--- a/crates/crosspath_node/tests/node/directory.rs
+++ b/crates/crosspath_node/tests/node/directory.rs
@@ -9,7 +9,7 @@
 use crosspath_node::directory::{Change, Directory};
 use crosspath_schedule::Event;
 
-const SOUND: &str = "sound";
+const VALID: &str = "sound";
 const FOREIGN: &str = "foreign";
 
 fn stored(key: &str, value: &str) -> Stored {
@@ -18,7 +18,7 @@
 
 fn read(record: &Stored) -> Result<Entry, DecodeError> {
     let Stored { key, offset, value } = record;
-    if value != SOUND {
+    if value != VALID {
         let detail = "written by another program".to_owned();
         return Err(DecodeError { key: key.clone(), offset: *offset, detail });
     }
@@ -44,7 +44,7 @@
 #[test]
 fn an_unreadable_entry_is_skipped_and_the_others_apply() {
     let mut directory = Directory::default();
-    let records = [stored("x", FOREIGN), stored("i-1", SOUND), stored("y", FOREIGN)];
+    let records = [stored("x", FOREIGN), stored("i-1", VALID), stored("y", FOREIGN)];
     let changes = apply(&mut directory, &records, true);
     assert_eq!(changes.len(), 1);
     assert!(matches!(&changes[0].event, Event::WorkerListed(entry) if &*entry.id == "i-1"));
@@ -53,17 +53,17 @@
 #[test]
 fn a_worker_whose_entry_was_overwritten_is_gone_until_it_writes_again() {
     let mut directory = Directory::default();
-    apply(&mut directory, &[stored("i-1", SOUND)], true);
+    apply(&mut directory, &[stored("i-1", VALID)], true);
     let changes = apply(&mut directory, &[stored("i-1", FOREIGN)], false);
     assert_eq!(changes.len(), 1);
     assert!(matches!(&changes[0].event, Event::WorkerUnlisted(id) if &**id == "i-1"));
-    let changes = apply(&mut directory, &[stored("i-1", SOUND)], false);
+    let changes = apply(&mut directory, &[stored("i-1", VALID)], false);
     assert!(matches!(&changes[0].event, Event::WorkerListed(_)));
 }
 
 #[test]
 fn an_unchanged_entry_produces_no_change() {
     let mut directory = Directory::default();
-    apply(&mut directory, &[stored("i-1", SOUND)], true);
-    assert!(apply(&mut directory, &[stored("i-1", SOUND)], false).is_empty());
+    apply(&mut directory, &[stored("i-1", VALID)], true);
+    assert!(apply(&mut directory, &[stored("i-1", VALID)], false).is_empty());
 }
--- a/crates/crosspath_node/tests/node/storm.rs
+++ b/crates/crosspath_node/tests/node/storm.rs
@@ -41,8 +41,8 @@
 }
 
 impl Reader {
-    fn new(due: Duration, terms: backoff::Policy, pages: usize) -> Self {
-        let (backoff, received) = (Backoff::new(terms), Pages::default());
+    fn new(due: Duration, policy: backoff::Policy, pages: usize) -> Self {
+        let (backoff, received) = (Backoff::new(policy), Pages::default());
         Self { due, backoff, pages, pages_to_read: pages, read: 0, received, complete_at: None }
     }
 
@@ -88,9 +88,9 @@
     let mut rng = StdRng::seed_from_u64(7);
     let mut readers = Vec::new();
     for number in 0..daemons {
-        let mut reader = |terms, pages| {
+        let mut reader = |policy, pages| {
             let first = READ_INTERVAL.mul_f64(rng.random());
-            readers.push(Reader::new(first, terms, pages));
+            readers.push(Reader::new(first, policy, pages));
         };
         reader(backoff::CONFIG_READS, 1);
         reader(backoff::LIST_READS, 1);
