--- a/crates/crosspathd/src/api.rs
+++ b/crates/crosspathd/src/api.rs
@@ -20,7 +20,7 @@
 use crate::peers;
 
 /// How long an operator waits for a change to be folded.
-const PATIENCE: Duration = Duration::from_secs(5);
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Answers operators.
 #[derive(Debug)]
@@ -36,12 +36,12 @@
         if self.0.halted().is_some() {
             return Err(CommitError::NotAccepted);
         }
-        self.0.committer.commit(changes, PATIENCE).await
+        self.0.committer.commit(changes, COMMIT_TIMEOUT).await
     }
 
     fn outcome(&self, change: &str) -> Outcome {
         let state = self.0.state();
-        self.0.outcomes().fate(&state, change)
+        self.0.outcomes().outcome(&state, change)
     }
 
     fn status(&self) -> Status {
@@ -55,7 +55,7 @@
             log_up: core.is_log_up(),
             lease_valid: core.lease_is_valid(),
             halted: core.halted(),
-            daemons: daemons.map(|name| daemon(core, &state, name)).collect(),
+            daemons: daemons.map(|name| daemon_status(core, &state, name)).collect(),
         }
     }
 
@@ -83,24 +83,24 @@
     }
 }
 
-fn daemon(core: &Core, state: &State, name: &DaemonName) -> DaemonStatus {
+fn daemon_status(core: &Core, state: &State, name: &DaemonName) -> DaemonStatus {
     let own = *name == core.settings.name;
-    let seen = core.seen().get(name).cloned();
-    let heard_ms = |seen: &crate::peers::Seen| {
-        let ago = clock::monotonic().since(seen.heard_at).as_millis();
+    let peer = core.peer_states().get(name).cloned();
+    let received_ms_ago = |peer: &crate::peers::PeerState| {
+        let ago = clock::monotonic().since(peer.received_at).as_millis();
         u64::try_from(ago).unwrap_or(u64::MAX)
     };
     let member = state.members.get(name);
     DaemonStatus {
         name: name.to_string(),
         member: member.is_some(),
-        applied: match &seen {
+        applied: match &peer {
             _ if own => state.applied,
-            Some(seen) => seen.applied,
+            Some(peer) => peer.applied,
             None => Revision::default(),
         },
-        heard_ms_ago: if own { Some(0) } else { seen.as_ref().map(heard_ms) },
-        ready: if own { core.is_ready() } else { seen.is_some_and(|seen| seen.ready) },
+        heard_ms_ago: if own { Some(0) } else { peer.as_ref().map(received_ms_ago) },
+        ready: if own { core.is_ready() } else { peer.is_some_and(|peer| peer.ready) },
         partitions: state.partitions_of(name).count(),
         guard: member.and_then(|member| member.guard.as_ref()).map(ToString::to_string),
     }
@@ -113,7 +113,7 @@
             let obstacle = wave::obstacle(state, &vm, observed(core, state, &vm))?;
             let mut value = serde_json::to_value(&obstacle).ok()?;
             if obstacle == wave::Obstacle::DaemonsNotDone {
-                let behind = peers::not_done(core, state, &vm);
+                let behind = peers::undrained_members(core, state, &vm);
                 value["daemons"] = behind.iter().map(ToString::to_string).collect();
             }
             Some(value)
@@ -129,6 +129,6 @@
 
 /// What this daemon can tell of a VM without asking the platform.
 fn observed(core: &Core, state: &State, vm: &VmName) -> Observed {
-    let daemons_done = peers::not_done(core, state, vm).is_empty();
+    let daemons_done = peers::undrained_members(core, state, vm).is_empty();
     Observed { daemons_done, ..Observed::default() }
 }
--- a/crates/crosspathd/src/boot.rs
+++ b/crates/crosspathd/src/bootstrap.rs
@@ -24,7 +24,7 @@
         };
         after = last.offset;
         for record in &page.records {
-            newest = snapshot(&mut assembly, record).or(newest);
+            newest = complete_snapshot(&mut assembly, record).or(newest);
         }
         let Page { records: more, last, .. } = page;
         records.extend(more);
@@ -37,17 +37,17 @@
         tokio::time::sleep(core.settings.timing.log_wait).await;
         return;
     };
-    core.outcomes().skipped();
+    core.outcomes().mark_incomplete();
     log::info!("event=started_from_snapshot revision={}", state.applied);
     for record in records.iter().filter(|record| record.offset > Revision::default()) {
-        if record.offset > state.applied && !follower::fold(core, &mut state, record) {
+        if record.offset > state.applied && !follower::apply_record(core, &mut state, record) {
             return;
         }
     }
-    publish_later(core, state);
+    publish_if_newer(core, state);
 }
 
-fn snapshot(assembly: &mut Assembly, record: &Record) -> Option<State> {
+fn complete_snapshot(assembly: &mut Assembly, record: &Record) -> Option<State> {
     let Ok(Entry::Snapshot(chunk)) = Entry::decode(&record.data) else {
         return None;
     };
@@ -63,22 +63,23 @@
 /// Without the log, takes the state of a peer that is ahead of the own one.
 pub(crate) async fn from_peers(core: &Core) {
     let applied = core.state().applied;
-    let ahead = core.seen().iter().find(|(_, seen)| seen.applied > applied).map(|(n, _)| n.clone());
-    let fresh = !core.is_caught_up();
-    let asked: Vec<_> = match ahead {
+    let ahead =
+        core.peer_states().iter().find(|(_, peer)| peer.applied > applied).map(|(n, _)| n.clone());
+    let catching_up = !core.is_caught_up();
+    let candidates: Vec<_> = match ahead {
         Some(name) => core.links.iter().filter(|(peer, _)| **peer == name).collect(),
-        None if fresh => core.links.iter().collect(),
+        None if catching_up => core.links.iter().collect(),
         None => Vec::new(),
     };
-    for (name, link) in asked {
+    for (name, link) in candidates {
         let Ok(copy) = link.state().await else { continue };
         if copy.state.digest() != copy.digest {
             log::warn!("event=peer_state_unusable peer={name}");
             continue;
         }
         log::info!("event=took_state_of_peer peer={name} revision={}", copy.state.applied);
-        core.outcomes().skipped();
-        publish_later(core, copy.state);
+        core.outcomes().mark_incomplete();
+        publish_if_newer(core, copy.state);
     }
     if core.state().applied > Revision::default() {
         core.set_caught_up();
@@ -86,7 +87,7 @@
 }
 
 /// A daemon never goes back to a lower revision.
-fn publish_later(core: &Core, state: State) {
+fn publish_if_newer(core: &Core, state: State) {
     if state.applied > core.state().applied {
         core.publish(Arc::new(state));
     }
--- a/crates/crosspathd/src/claims.rs
+++ b/crates/crosspathd/src/claims.rs
@@ -13,13 +13,13 @@
 use crate::core::Core;
 
 const RETRY_AFTER: Duration = Duration::from_secs(1);
-const SETTLE_TRIES: u32 = 3;
+const SETTLE_ATTEMPTS: u32 = 3;
 /// How long a claim is tried; the caller waits for it.
-const PATIENCE: Duration = Duration::from_millis(400);
-const PAUSE: Duration = Duration::from_millis(50);
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(400);
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Decides on a key of a partition that this daemon owns.
-pub(crate) fn claim_here(core: &Core, claim: &Claim) -> Verdict {
+pub(crate) fn claim_locally(core: &Core, claim: &Claim) -> Verdict {
     let state = core.state();
     let owned = state.owner(claim.request.key.partition());
     let owned = owned.filter(|own| own.owner == core.settings.name);
@@ -35,11 +35,11 @@
     claims.claim(&claim.request, claim.nonce, left, ownership.since, clock::wall())
 }
 
-pub(crate) fn settle_here(core: &Core, settle: Settle) {
+pub(crate) fn settle_locally(core: &Core, settle: Settle) {
     core.claims().settle(&settle.request, settle.outcome);
 }
 
-pub(crate) fn look_up_here(core: &Core, look_up: &LookUp) -> Option<Verdict> {
+pub(crate) fn look_up_locally(core: &Core, look_up: &LookUp) -> Option<Verdict> {
     core.claims().look_up(look_up.key, &look_up.caller, clock::wall())
 }
 
@@ -49,7 +49,7 @@
 
 /// What an entry VM does with a request that carries a key.
 #[derive(Debug)]
-pub(crate) enum Claimed {
+pub(crate) enum Decision {
     /// Send it.
     Granted,
     /// It was answered before.
@@ -60,42 +60,42 @@
 
 /// Claims a key with its owner. While the owner cannot be asked, or changes, the claim is made
 /// again for a short time.
-pub(crate) async fn claim(core: &Core, request: &Request, left: Duration) -> Claimed {
+pub(crate) async fn claim(core: &Core, request: &Request, left: Duration) -> Decision {
     let left_ms = u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
     let nonce = Nonce(rand::random());
     let claim = Claim { request: request.clone(), nonce, left_ms };
-    let until = Instant::now() + left.min(PATIENCE);
+    let deadline = Instant::now() + left.min(CLAIM_TIMEOUT);
     loop {
         let mut states = core.state.subscribe();
         states.borrow_and_update();
-        match ask(core, &claim, until).await {
-            Some(Verdict::Granted) => return Claimed::Granted,
+        match request_claim(core, &claim, deadline).await {
+            Some(Verdict::Granted) => return Decision::Granted,
             Some(verdict @ (Verdict::Answered(_) | Verdict::AnsweredLarge { .. })) => {
-                return Claimed::Recorded(verdict);
+                return Decision::Recorded(verdict);
             }
-            Some(Verdict::Final(answer)) => return Claimed::Final(with_retry(answer)),
+            Some(Verdict::Final(answer)) => return Decision::Final(with_retry(answer)),
             Some(Verdict::NotOwner) | None => {}
         }
-        let pause = tokio::time::sleep(PAUSE);
+        let retry = tokio::time::sleep(RETRY_INTERVAL);
         tokio::select! {
             _ = states.changed() => {}
-            () = pause => {}
+            () = retry => {}
         }
-        if Instant::now() >= until {
+        if Instant::now() >= deadline {
             // An earlier request with this key may have been run: "not run" would be a guess.
-            return Claimed::Final(Final::unknown(Unknown::KeyNotAsked));
+            return Decision::Final(Final::unknown(Unknown::KeyNotAsked));
         }
     }
 }
 
 /// What the owner says; none when it gives no answer.
-async fn ask(core: &Core, claim: &Claim, until: Instant) -> Option<Verdict> {
+async fn request_claim(core: &Core, claim: &Claim, deadline: Instant) -> Option<Verdict> {
     let owner = owner(core, claim.request.key)?;
     if owner == core.settings.name {
-        return Some(claim_here(core, claim));
+        return Some(claim_locally(core, claim));
     }
     let link = core.links.get(&owner)?;
-    let answer = tokio::time::timeout_at(until, link.claim(claim.clone())).await;
+    let answer = tokio::time::timeout_at(deadline, link.claim(claim.clone())).await;
     answer.ok()?.ok()
 }
 
@@ -111,12 +111,12 @@
 /// key from being run again.
 pub(crate) async fn settle(core: &Core, request: &Request, outcome: Outcome) {
     let settle = Settle { request: request.clone(), outcome };
-    for _ in 0..SETTLE_TRIES {
+    for _ in 0..SETTLE_ATTEMPTS {
         let Some(owner) = owner(core, request.key) else {
             return;
         };
         if owner == core.settings.name {
-            return settle_here(core, settle);
+            return settle_locally(core, settle);
         }
         let Some(link) = core.links.get(&owner) else {
             return;
@@ -131,15 +131,15 @@
 /// What is known of a key.
 pub(crate) async fn look_up(core: &Core, key: Key, caller: &CallerName) -> Option<Verdict> {
     let look_up = LookUp { key, caller: caller.clone() };
-    let unheard = || Some(Verdict::Final(Answer::Unknown(Unknown::KeyNotAsked)));
+    let unavailable = || Some(Verdict::Final(Answer::Unknown(Unknown::KeyNotAsked)));
     let Some(owner) = owner(core, key) else {
-        return unheard();
+        return unavailable();
     };
     if owner == core.settings.name {
-        return look_up_here(core, &look_up);
+        return look_up_locally(core, &look_up);
     }
     let Some(link) = core.links.get(&owner) else {
-        return unheard();
+        return unavailable();
     };
-    link.look_up(look_up).await.unwrap_or_else(|_| unheard())
+    link.look_up(look_up).await.unwrap_or_else(|_| unavailable())
 }
--- a/crates/crosspathd/src/committer.rs
+++ b/crates/crosspathd/src/committer.rs
@@ -18,11 +18,11 @@
 use crate::core::Core;
 use crate::outcomes::{self, Verdicts};
 
-const QUEUE: usize = 1_024;
-const MAX_CHANGES: usize = 512;
+const QUEUE_CAPACITY: usize = 1_024;
+const MAX_BATCH_CHANGES: usize = 512;
 /// At most 20 appends a second from one daemon.
-const SPACING: Duration = Duration::from_millis(50);
-const SETTLE: Duration = Duration::from_millis(500);
+const MIN_APPEND_INTERVAL: Duration = Duration::from_millis(50);
+const APPLY_TIMEOUT: Duration = Duration::from_millis(500);
 
 type Reply = oneshot::Sender<Result<Vec<Verdict>, CommitError>>;
 type Verdict = Result<Revision, crosspath_state::Conflict>;
@@ -42,34 +42,34 @@
 
 /// The other end of the queue.
 #[derive(Debug)]
-pub(crate) struct Work {
-    queue: mpsc::Receiver<Request>,
+pub(crate) struct Queue {
+    requests: mpsc::Receiver<Request>,
 }
 
 impl Committer {
-    pub(crate) fn new() -> (Self, Work) {
-        let (sender, receiver) = mpsc::channel(QUEUE);
-        (Self { queue: sender }, Work { queue: receiver })
+    pub(crate) fn new() -> (Self, Queue) {
+        let (sender, receiver) = mpsc::channel(QUEUE_CAPACITY);
+        (Self { queue: sender }, Queue { requests: receiver })
     }
 
     /// Commits and waits at most `patience`; the first conflict is the error.
     pub(crate) async fn commit(
         &self,
         changes: Vec<Change>,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<Revision, CommitError> {
         let change_id = Arc::new(OnceLock::new());
-        let (reply, mut answer) = oneshot::channel();
+        let (reply, mut response) = oneshot::channel();
         let request = Request { changes, change_id: Arc::clone(&change_id), reply };
         if self.queue.try_send(request).is_err() {
             return Err(CommitError::NotAccepted);
         }
-        let verdicts = match tokio::time::timeout(patience, &mut answer).await {
+        let verdicts = match tokio::time::timeout(timeout, &mut response).await {
             Ok(Ok(verdicts)) => verdicts?,
             Ok(Err(_)) => return Err(CommitError::NotAccepted),
             Err(_) => {
                 // Closed first: the batch is not formed with it after this.
-                answer.close();
+                response.close();
                 return Err(match change_id.get() {
                     Some(change) => CommitError::Unknown { change: change.clone() },
                     None => CommitError::NotAccepted,
@@ -80,19 +80,19 @@
     }
 
     /// Commits a change of the daemon itself and waits until its fate is certain.
-    pub(crate) async fn commit_surely(&self, changes: Vec<Change>) -> Result<(), CommitError> {
-        let verdicts = self.verdicts(changes).await?;
+    pub(crate) async fn commit_until_final(&self, changes: Vec<Change>) -> Result<(), CommitError> {
+        let verdicts = self.commit_each(changes).await?;
         first_conflict(verdicts).map(|_| ())
     }
 
     /// Commits changes of the daemon itself; one verdict for each.
-    pub(crate) async fn verdicts(&self, changes: Vec<Change>) -> Result<Verdicts, CommitError> {
-        let (reply, answer) = oneshot::channel();
+    pub(crate) async fn commit_each(&self, changes: Vec<Change>) -> Result<Verdicts, CommitError> {
+        let (reply, response) = oneshot::channel();
         let request = Request { changes, change_id: Arc::default(), reply };
         if self.queue.send(request).await.is_err() {
             return Err(CommitError::NotAccepted);
         }
-        answer.await.unwrap_or(Err(CommitError::NotAccepted))
+        response.await.unwrap_or(Err(CommitError::NotAccepted))
     }
 }
 
@@ -105,41 +105,41 @@
 }
 
 /// Appends what is queued until the daemon ends.
-pub(crate) async fn run(core: Arc<Core>, mut work: Work) {
+pub(crate) async fn run(core: Arc<Core>, mut queue: Queue) {
     let mut sequence = 0;
-    let mut life = core.own().incarnation;
+    let mut incarnation = core.own_writer().incarnation;
     loop {
-        let Some(first) = work.queue.recv().await else {
+        let Some(first) = queue.requests.recv().await else {
             return;
         };
         let started = Instant::now();
         let mut requests = vec![first];
         let mut count = requests[0].changes.len();
-        while count < MAX_CHANGES
-            && let Ok(next) = work.queue.try_recv()
+        while count < MAX_BATCH_CHANGES
+            && let Ok(next) = queue.requests.try_recv()
         {
             count += next.changes.len();
             requests.push(next);
         }
-        let writer = core.own();
-        if writer.incarnation != life {
-            life = writer.incarnation;
+        let writer = core.own_writer();
+        if writer.incarnation != incarnation {
+            incarnation = writer.incarnation;
             sequence = 0;
         }
         sequence += 1;
         let id = BatchId { writer, sequence };
-        write(&core, id, requests).await;
-        tokio::time::sleep_until(started + SPACING).await;
+        append_batch(&core, id, requests).await;
+        tokio::time::sleep_until(started + MIN_APPEND_INTERVAL).await;
     }
 }
 
-async fn write(core: &Core, id: BatchId, requests: Vec<Request>) {
+async fn append_batch(core: &Core, id: BatchId, requests: Vec<Request>) {
     let mut changes = Vec::new();
-    let mut waiting = Vec::new();
+    let mut waiters = Vec::new();
     for request in requests {
         let _ = request.change_id.set(outcomes::change_id(&id, changes.len()));
         if !request.reply.is_closed() {
-            waiting.push((changes.len(), request.changes.len(), request.reply));
+            waiters.push((changes.len(), request.changes.len(), request.reply));
             changes.extend(request.changes);
         }
     }
@@ -148,35 +148,41 @@
     }
     let decided_on = core.state().applied;
     let batch = Batch { id: id.clone(), decided_on, written_at: clock::wall(), changes };
-    let result = append(core, &id, Entry::Batch(batch).encode()).await;
-    for (start, len, reply) in waiting {
-        let part = result.clone();
-        let _ = reply.send(part.map(|verdicts| verdicts[start..start + len].to_vec()));
+    let result = append_until_final(core, &id, Entry::Batch(batch).encode()).await;
+    for (start, len, reply) in waiters {
+        let result = result.clone();
+        let _ = reply.send(result.map(|verdicts| verdicts[start..start + len].to_vec()));
     }
 }
 
 /// Appends a batch until its fate is certain.
-async fn append(core: &Core, id: &BatchId, data: String) -> Result<Verdicts, CommitError> {
-    let mut maybe = false;
+async fn append_until_final(
+    core: &Core,
+    id: &BatchId,
+    data: String,
+) -> Result<Verdicts, CommitError> {
+    let mut maybe_appended = false;
     loop {
         let result = core.log.append(data.clone()).await;
         core.metrics.count_append(label(&result));
         match result {
-            Err(AppendError::NotAppended) if !maybe => return Err(CommitError::NotAccepted),
+            Err(AppendError::NotAppended) if !maybe_appended => {
+                return Err(CommitError::NotAccepted);
+            }
             Err(AppendError::NotAppended) => {}
-            Ok(_) | Err(AppendError::Unknown) => maybe = true,
+            Ok(_) | Err(AppendError::Unknown) => maybe_appended = true,
         }
-        if let Some(verdicts) = settled(core, id, SETTLE).await {
+        if let Some(verdicts) = wait_until_applied(core, id, APPLY_TIMEOUT).await {
             return Ok(verdicts);
         }
-        let passed = passed_by(core, id);
+        let position = position_of(core, id);
         // Folded between the last look and this one.
         let verdicts = core.outcomes().get(id).cloned();
-        match (passed, verdicts) {
-            (Passed::Not, _) => {}
-            (Passed::Folded | Passed::Fenced, Some(verdicts)) => return Ok(verdicts),
-            (Passed::Fenced, None) => return Err(CommitError::NotAccepted),
-            (Passed::Folded, None) => {
+        match (position, verdicts) {
+            (Position::Before, _) => {}
+            (Position::Applied | Position::Fenced, Some(verdicts)) => return Ok(verdicts),
+            (Position::Fenced, None) => return Err(CommitError::NotAccepted),
+            (Position::Applied, None) => {
                 let change = outcomes::change_id(id, 0);
                 return Err(CommitError::Unknown { change });
             }
@@ -193,39 +199,39 @@
 }
 
 /// Where the state is, seen from a batch without a verdict.
-enum Passed {
+enum Position {
     /// Before the batch.
-    Not,
+    Before,
     /// Past it: a later batch of this daemon's name was folded, so that this one never will be.
     Fenced,
     /// Past it, by a state taken from elsewhere: it was folded, with a verdict not known here.
-    Folded,
+    Applied,
 }
 
-fn passed_by(core: &Core, id: &BatchId) -> Passed {
+fn position_of(core: &Core, id: &BatchId) -> Position {
     let state = core.state();
-    let Some(last) = state.writers.get(&id.writer.daemon) else { return Passed::Not };
+    let Some(last) = state.writers.get(&id.writer.daemon) else { return Position::Before };
     let last = (last.incarnation, last.sequence);
     match last.cmp(&(id.writer.incarnation, id.sequence)) {
-        std::cmp::Ordering::Less => Passed::Not,
-        std::cmp::Ordering::Equal => Passed::Folded,
-        std::cmp::Ordering::Greater => Passed::Fenced,
+        std::cmp::Ordering::Less => Position::Before,
+        std::cmp::Ordering::Equal => Position::Applied,
+        std::cmp::Ordering::Greater => Position::Fenced,
     }
 }
 
 /// Waits until the batch is folded.
-async fn settled(core: &Core, id: &BatchId, patience: Duration) -> Option<Verdicts> {
+async fn wait_until_applied(core: &Core, id: &BatchId, timeout: Duration) -> Option<Verdicts> {
     let mut states = core.state.subscribe();
-    let until = Instant::now() + patience;
+    let deadline = Instant::now() + timeout;
     loop {
         states.borrow_and_update();
         // The verdict is there before the state that it led to: whoever is told of a change must be
         // able to read it.
-        let published = !matches!(passed_by(core, id), Passed::Not);
+        let published = !matches!(position_of(core, id), Position::Before);
         let verdicts = core.outcomes().get(id).cloned();
         if let Some(verdicts) = verdicts.filter(|_| published) {
             return Some(verdicts);
         }
-        tokio::time::timeout_at(until, states.changed()).await.ok()?.ok()?;
+        tokio::time::timeout_at(deadline, states.changed()).await.ok()?.ok()?;
     }
 }
--- a/crates/crosspathd/src/core.rs
+++ b/crates/crosspathd/src/core.rs
@@ -23,10 +23,10 @@
 use crate::clock;
 use crate::committer::Committer;
 use crate::outcomes::Outcomes;
-use crate::peers::Seen;
+use crate::peers::PeerState;
 use crate::pools::Pools;
 
-const HISTORY: usize = 256;
+const MAX_HISTORY: usize = 256;
 
 /// Promises given and got.
 #[derive(Debug, Default)]
@@ -51,12 +51,12 @@
     pub(crate) pools: Pools,
     leases: Mutex<Leases>,
     claims: Mutex<Table>,
-    seen: Mutex<BTreeMap<DaemonName, Seen>>,
+    peer_states: Mutex<BTreeMap<DaemonName, PeerState>>,
     outcomes: Mutex<Outcomes>,
     history: Mutex<VecDeque<Arc<State>>>,
     frozen: RwLock<BTreeSet<u16>>,
     halted: RwLock<Option<String>>,
-    own: RwLock<Writer>,
+    own_writer: RwLock<Writer>,
     caught_up: AtomicBool,
     log_up: AtomicBool,
     stopping: AtomicBool,
@@ -64,7 +64,7 @@
 
 /// What [`Core::new`] is given.
 #[derive(Debug)]
-pub(crate) struct Parts {
+pub(crate) struct Dependencies {
     pub(crate) settings: Settings,
     pub(crate) log: Arc<dyn Log>,
     pub(crate) worker: Arc<dyn Worker>,
@@ -78,8 +78,8 @@
 }
 
 impl Core {
-    pub(crate) fn new(parts: Parts) -> Self {
-        let settings = parts.settings;
+    pub(crate) fn new(dependencies: Dependencies) -> Self {
+        let settings = dependencies.settings;
         let bounds = Bounds {
             keys: settings.limits.keys as usize,
             answer_bytes: usize::try_from(settings.limits.answers_total_bytes)
@@ -91,23 +91,23 @@
             Writer { daemon: settings.name.clone(), incarnation: Incarnation(clock::wall().0) };
         Self {
             pools: Pools::new(&settings),
-            log: parts.log,
-            worker: parts.worker,
-            vm_list: parts.vm_list,
-            links: parts.links,
-            committer: parts.committer,
+            log: dependencies.log,
+            worker: dependencies.worker,
+            vm_list: dependencies.vm_list,
+            links: dependencies.links,
+            committer: dependencies.committer,
             upstreams: Upstreams::default(),
             metrics: Metrics::default(),
             state: watch::Sender::default(),
             stage: watch::Sender::default(),
             leases: Mutex::default(),
             claims: Mutex::new(Table::new(bounds)),
-            seen: Mutex::default(),
+            peer_states: Mutex::default(),
             outcomes: Mutex::default(),
             history: Mutex::default(),
             frozen: RwLock::default(),
             halted: RwLock::default(),
-            own: RwLock::new(own),
+            own_writer: RwLock::new(own),
             caught_up: AtomicBool::new(false),
             log_up: AtomicBool::new(false),
             stopping: AtomicBool::new(false),
@@ -123,8 +123,8 @@
         lock(&self.claims)
     }
 
-    pub(crate) fn seen(&self) -> MutexGuard<'_, BTreeMap<DaemonName, Seen>> {
-        lock(&self.seen)
+    pub(crate) fn peer_states(&self) -> MutexGuard<'_, BTreeMap<DaemonName, PeerState>> {
+        lock(&self.peer_states)
     }
 
     pub(crate) fn outcomes(&self) -> MutexGuard<'_, Outcomes> {
@@ -141,7 +141,7 @@
         self.metrics.set_applied_revision(state.applied.0);
         let mut history = lock(&self.history);
         history.push_back(Arc::clone(&state));
-        if history.len() > HISTORY {
+        if history.len() > MAX_HISTORY {
             history.pop_front();
         }
         drop(history);
@@ -155,13 +155,13 @@
     }
 
     /// This daemon in its present life.
-    pub(crate) fn own(&self) -> Writer {
-        self.own.read().unwrap_or_else(PoisonError::into_inner).clone()
+    pub(crate) fn own_writer(&self) -> Writer {
+        self.own_writer.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
     /// Starts a new life, after `last` at the earliest: what the old one knew no longer counts.
-    pub(crate) fn begin_life(&self, last: Incarnation) {
-        let mut own = self.own.write().unwrap_or_else(PoisonError::into_inner);
+    pub(crate) fn begin_incarnation(&self, last: Incarnation) {
+        let mut own = self.own_writer.write().unwrap_or_else(PoisonError::into_inner);
         let next = clock::wall().0.max(last.0 + 1).max(own.incarnation.0 + 1);
         own.incarnation = Incarnation(next);
         drop(own);
@@ -175,7 +175,7 @@
 
     /// Whether this daemon may act as a member now.
     pub(crate) fn lease_is_valid(&self) -> bool {
-        let (state, own) = (self.state(), self.own());
+        let (state, own) = (self.state(), self.own_writer());
         self.halted().is_none() && self.leases().holder.is_valid(&state, &own, clock::monotonic())
     }
 
@@ -186,7 +186,7 @@
     }
 
     /// Decides again on partitions, if this daemon still owns them.
-    pub(crate) fn thaw(&self, partitions: &BTreeSet<u16>) {
+    pub(crate) fn unfreeze(&self, partitions: &BTreeSet<u16>) {
         let mut frozen = self.frozen.write().unwrap_or_else(PoisonError::into_inner);
         frozen.retain(|partition| !partitions.contains(partition));
     }
--- a/crates/crosspathd/src/daemon.rs
+++ b/crates/crosspathd/src/daemon.rs
@@ -18,13 +18,13 @@
 
 use crate::api::Api;
 use crate::committer::{self, Committer};
-use crate::core::{Core, Parts};
-use crate::gateway::{Callers, Gateway};
-use crate::peers::Peers;
+use crate::core::{Core, Dependencies};
+use crate::gateway::{CallerHandler, Gateway};
+use crate::peers::PeerHandler;
 use crate::stop::{self, Signals};
 use crate::{driver, follower, membership, snapshotter, watcher};
 
-const OPERATOR_BODY: u64 = 1024 * 1024;
+const MAX_OPERATOR_BODY_BYTES: u64 = 1024 * 1024;
 
 /// The daemon could not start.
 #[derive(Debug, Snafu)]
@@ -58,7 +58,7 @@
     TcpListener::bind(address).await.context(ListenSnafu { address })
 }
 
-fn links(
+fn build_links(
     settings: &Settings,
 ) -> Result<BTreeMap<crosspath_state::name::DaemonName, Arc<dyn Link>>, RunError> {
     let timeout = call_timeout(settings);
@@ -87,30 +87,30 @@
     let operators = bind(settings.operators_listen).await?;
     let peers = bind(settings.peers_listen).await?;
     let timeout = settings.timing.platform_timeout;
-    let (committer, work) = Committer::new();
-    let core = Arc::new(Core::new(Parts {
+    let (committer, queue) = Committer::new();
+    let core = Arc::new(Core::new(Dependencies {
         log: Arc::new(HttpLog::new(settings.platform, timeout)),
         worker: Arc::new(HttpWorker::new(settings.platform, timeout)),
         vm_list: Arc::new(HttpVmList::new(settings.platform, timeout)),
-        links: links(&settings)?,
+        links: build_links(&settings)?,
         committer,
         settings,
     }));
-    log::info!("event=started daemon={}", core.own());
+    log::info!("event=started daemon={}", core.own_writer());
     let callers = serve(&core, callers, operators, peers);
     let tasks = [
         tokio::spawn(follower::run(Arc::clone(&core))),
-        tokio::spawn(committer::run(Arc::clone(&core), work)),
-        tokio::spawn(membership::beat(Arc::clone(&core))),
+        tokio::spawn(committer::run(Arc::clone(&core), queue)),
+        tokio::spawn(membership::send_heartbeats(Arc::clone(&core))),
         tokio::spawn(membership::run(Arc::clone(&core))),
-        tokio::spawn(membership::tell_planner(Arc::clone(&core))),
+        tokio::spawn(membership::report_draining(Arc::clone(&core))),
         tokio::spawn(watcher::run(Arc::clone(&core))),
         tokio::spawn(driver::run(Arc::clone(&core))),
         tokio::spawn(snapshotter::run(Arc::clone(&core))),
     ];
     signals.next().await;
     tokio::select! {
-        () = stop::planned(&core, callers) => {}
+        () = stop::graceful(&core, callers) => {}
         () = signals.next() => log::warn!("event=stopped_at_once"),
     }
     for task in tasks {
@@ -135,16 +135,16 @@
     let body_timeout = settings.limits.body_timeout;
     let addresses: BTreeSet<_> = settings.peers.iter().map(|peer| peer.address.ip()).collect();
     let access = Access { token: Hash::of(&settings.peer_token), addresses };
-    let handler = Arc::new(Peers(Arc::clone(core)));
+    let handler = Arc::new(PeerHandler(Arc::clone(core)));
     let ended = EndedOnly::of(&core.stage);
     drop(tokio::spawn(crosspath_peer::serve(peers, limits.clone(), ended, access, handler)));
     let access = operator::Access::new(settings.operator_accounts.clone());
-    let bounds = operator::BodyLimits { body_bytes: OPERATOR_BODY, body_timeout };
+    let bounds = operator::BodyLimits { body_bytes: MAX_OPERATOR_BODY_BYTES, body_timeout };
     let (stop, handler) = (core.stage.subscribe(), Arc::new(Api(Arc::clone(core))));
     let serving = operator::serve(operators, limits.clone(), bounds, stop, access, handler);
     drop(tokio::spawn(serving));
     let bounds = crosspath_caller::Bounds { body_bytes: settings.limits.body_bytes, body_timeout };
-    let handler = Arc::new(Callers(Arc::new(Gateway::new(Arc::clone(core)))));
+    let handler = Arc::new(CallerHandler(Arc::new(Gateway::new(Arc::clone(core)))));
     let stop = core.stage.subscribe();
     tokio::spawn(crosspath_caller::serve(callers, limits, bounds, stop, handler))
 }
--- a/crates/crosspathd/src/driver.rs
+++ b/crates/crosspathd/src/driver.rs
@@ -21,69 +21,69 @@
 use crate::peers;
 
 /// Rounds between looks at one further worker.
-const LOOK_EVERY: u32 = 4;
+const POLL_EVERY_ROUNDS: u32 = 4;
 
 /// Workers looked at together.
-const AT_ONCE: usize = 16;
+const MAX_CONCURRENT_POLLS: usize = 16;
 
 /// What this daemon knows while it plans.
 #[derive(Debug, Default)]
-struct Round {
-    number: u32,
+struct Planner {
+    round: u32,
     jobs: Jobs,
     /// The revision that the last decisions were made on, if they changed nothing.
-    settled: Option<Revision>,
+    unchanged_at: Option<Revision>,
     /// The worker looked at last, besides those that are out.
-    looked_at: Option<VmName>,
+    last_polled: Option<VmName>,
 }
 
 /// Decides and carries out until the daemon ends.
 pub(crate) async fn run(core: Arc<Core>) {
-    let mut planning: Option<Round> = None;
+    let mut planning: Option<Planner> = None;
     loop {
         tokio::time::sleep(core.settings.timing.decide).await;
         if !core.is_planner() || !core.is_log_up() || core.is_stopping() {
             planning = None;
             continue;
         }
-        let round = match planning.as_mut() {
-            Some(round) => round,
-            None => planning.insert(Round { jobs: sweep(&core).await, ..Round::default() }),
+        let planner = match planning.as_mut() {
+            Some(planner) => planner,
+            None => planning.insert(Planner { jobs: poll_all(&core).await, ..Planner::default() }),
         };
-        round.step(&core).await;
+        planner.step(&core).await;
     }
 }
 
-impl Round {
+impl Planner {
     async fn step(&mut self, core: &Core) {
         let state = core.state();
-        self.number = self.number.wrapping_add(1);
-        let looks = self.number.is_multiple_of(LOOK_EVERY);
-        if looks {
-            self.look_at_next(core, &state).await;
+        self.round = self.round.wrapping_add(1);
+        let poll_due = self.round.is_multiple_of(POLL_EVERY_ROUNDS);
+        if poll_due {
+            self.poll_next(core, &state).await;
         }
-        if looks || self.settled != Some(state.applied) {
+        if poll_due || self.unchanged_at != Some(state.applied) {
             self.jobs.reconcile(core, &state).await;
         }
-        let is_out = |vm: &Vm| vm.status.wave().is_some();
-        if self.settled == Some(state.applied) && !state.vms.values().any(is_out) {
+        let is_in_wave = |vm: &Vm| vm.status.wave().is_some();
+        if self.unchanged_at == Some(state.applied) && !state.vms.values().any(is_in_wave) {
             return;
         }
         let observed = observe(core, &state).await;
         let changes = crosspath_plan::decide(&state, &observed);
-        self.settled = changes.is_empty().then_some(state.applied);
+        self.unchanged_at = changes.is_empty().then_some(state.applied);
         commit(core, changes).await;
     }
 
     /// Looks at one worker after the other, so that what changed there by itself is found in time.
-    async fn look_at_next(&mut self, core: &Core, state: &State) {
-        let after = |vm: &&VmName| self.looked_at.as_ref().is_none_or(|last| *vm > last);
+    async fn poll_next(&mut self, core: &Core, state: &State) {
+        let after = |vm: &&VmName| self.last_polled.as_ref().is_none_or(|last| *vm > last);
         let next = state.vms.keys().find(after).or_else(|| state.vms.keys().next());
         let Some((next, vm)) = next.and_then(|next| state.vms.get_key_value(next)) else { return };
-        if let Some(report) = look(core, next, vm).await {
-            self.jobs.learn(next, &report);
+        if let Some(report) = poll(core, next, vm).await {
+            self.jobs.record_report(next, &report);
         }
-        self.looked_at = Some(next.clone());
+        self.last_polled = Some(next.clone());
     }
 }
 
@@ -92,7 +92,7 @@
         return;
     }
     let count = changes.len();
-    match core.committer.verdicts(changes).await {
+    match core.committer.commit_each(changes).await {
         Ok(verdicts) => {
             for conflict in verdicts.iter().filter_map(|verdict| verdict.as_ref().err()) {
                 log::info!("event=decision_rejected conflict=\"{conflict}\"");
@@ -106,32 +106,33 @@
 
 /// Looks at every VM that is out, and gives the orders that its phase calls for.
 async fn observe(core: &Core, state: &State) -> BTreeMap<VmName, Observed> {
-    let out = state.vms.iter().filter(|(_, vm)| vm.status.wave().is_some());
-    let looks = out.map(|(name, vm)| async move {
-        let seen = observe_vm(core, state, name, vm).await;
-        (name.clone(), seen)
+    let in_wave = state.vms.iter().filter(|(_, vm)| vm.status.wave().is_some());
+    let polls = in_wave.map(|(name, vm)| async move {
+        let observed = observe_vm(core, state, name, vm).await;
+        (name.clone(), observed)
     });
-    join_all(looks).await.into_iter().collect()
+    join_all(polls).await.into_iter().collect()
 }
 
 async fn observe_vm(core: &Core, state: &State, name: &VmName, vm: &Vm) -> Observed {
-    let daemons_done = peers::not_done(core, state, name).is_empty();
+    let daemons_done = peers::undrained_members(core, state, name).is_empty();
     let Ok(report) = core.worker.report(name).await else {
         return Observed { daemons_done, ..Observed::default() };
     };
     match &vm.status {
         vm::Phase::Draining { wave } if is_cancelled(state, wave) => {
-            order_drained(core, name, &report, false).await;
+            ensure_drained(core, name, &report, false).await;
             Observed { daemons_done, ..Observed::default() }
         }
         vm::Phase::Draining { .. } => {
             if daemons_done {
-                order_drained(core, name, &report, true).await;
+                ensure_drained(core, name, &report, true).await;
             }
             Observed { daemons_done, worker_idle: is_idle(&report), rebooted: false }
         }
         vm::Phase::Rebooting { wave } => {
-            let rebooted = order_reboot(core, name, &ticket(state, wave, name), &report).await;
+            let rebooted =
+                ensure_rebooted(core, name, &reboot_ticket(state, wave, name), &report).await;
             Observed { daemons_done, worker_idle: false, rebooted }
         }
         vm::Phase::Serving | vm::Phase::Failed { .. } => Observed::default(),
@@ -148,7 +149,7 @@
     report.drained && report.in_flight == 0 && !running
 }
 
-async fn order_drained(core: &Core, vm: &VmName, report: &Report, drained: bool) {
+async fn ensure_drained(core: &Core, vm: &VmName, report: &Report, drained: bool) {
     if report.drained != drained && core.is_planner() {
         let result = core.worker.set_drained(vm, drained).await;
         log::info!("event=worker_drained vm={vm} drained={drained} done={}", result.is_ok());
@@ -156,13 +157,13 @@
 }
 
 /// One reboot of a VM for each wave, whatever else changes meanwhile.
-fn ticket(state: &State, wave: &WaveName, vm: &VmName) -> Ticket {
+fn reboot_ticket(state: &State, wave: &WaveName, vm: &VmName) -> Ticket {
     let declared_at = state.waves.get(wave).map(|wave| wave.status.declared_at);
     format!("{wave}@{}:{vm}", declared_at.unwrap_or_default())
 }
 
 /// Orders the reboot if it was not ordered yet; whether it is over and the VM takes requests.
-async fn order_reboot(core: &Core, vm: &VmName, ticket: &Ticket, report: &Report) -> bool {
+async fn ensure_rebooted(core: &Core, vm: &VmName, ticket: &Ticket, report: &Report) -> bool {
     if report.reboot.as_ref() != Some(ticket) {
         if is_idle(report) && core.is_planner() {
             let result = core.worker.reboot(vm, ticket).await;
@@ -173,32 +174,32 @@
     if !report.up {
         return false;
     }
-    order_drained(core, vm, report, false).await;
+    ensure_drained(core, vm, report, false).await;
     !report.drained || core.worker.report(vm).await.is_ok_and(|report| !report.drained)
 }
 
 /// Looks at every worker and learns which jobs run where.
-async fn sweep(core: &Core) -> Jobs {
+async fn poll_all(core: &Core) -> Jobs {
     let state = core.state();
     let vms: Vec<(VmName, Vm)> =
         state.vms.iter().map(|(name, vm)| (name.clone(), vm.clone())).collect();
-    let looks = stream::iter(vms).map(|(name, vm)| async move {
-        let report = look(core, &name, &vm).await?;
+    let polls = stream::iter(vms).map(|(name, vm)| async move {
+        let report = poll(core, &name, &vm).await?;
         Some((name, report))
     });
-    let reports = looks.buffer_unordered(AT_ONCE).collect::<Vec<_>>().await;
+    let reports = polls.buffer_unordered(MAX_CONCURRENT_POLLS).collect::<Vec<_>>().await;
     let mut jobs = Jobs::default();
     for (vm, report) in reports.into_iter().flatten() {
-        jobs.learn(&vm, &report);
+        jobs.record_report(&vm, &report);
     }
     jobs
 }
 
 /// Looks at a worker, and takes back a drain that an earlier planner left behind.
-async fn look(core: &Core, name: &VmName, vm: &Vm) -> Option<Report> {
+async fn poll(core: &Core, name: &VmName, vm: &Vm) -> Option<Report> {
     let report = core.worker.report(name).await.ok()?;
     if vm.status.takes_work() {
-        order_drained(core, name, &report, false).await;
+        ensure_drained(core, name, &report, false).await;
     }
     Some(report)
 }
--- a/crates/crosspathd/src/follower.rs
+++ b/crates/crosspathd/src/follower.rs
@@ -8,10 +8,10 @@
 use crosspath_state::snapshot::Chunk;
 use crosspath_state::{Applied, State};
 
-use crate::boot;
+use crate::bootstrap;
 use crate::core::Core;
 
-const PAUSE: Duration = Duration::from_millis(200);
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Follows the log until the daemon ends, or until it meets a record that it must not fold past.
 pub(crate) async fn run(core: Arc<Core>) {
@@ -20,28 +20,28 @@
         match core.log.read(after, core.settings.timing.log_wait).await {
             Ok(page) => {
                 core.set_log_up(true);
-                fold_page(&core, &page);
+                apply_page(&core, &page);
             }
             Err(ReadError::Expired { first }) => {
                 core.set_log_up(true);
-                boot::from_snapshot(&core, first).await;
+                bootstrap::from_snapshot(&core, first).await;
             }
             Err(ReadError::Unavailable) => {
                 core.set_log_up(false);
-                boot::from_peers(&core).await;
-                tokio::time::sleep(PAUSE).await;
+                bootstrap::from_peers(&core).await;
+                tokio::time::sleep(RETRY_INTERVAL).await;
             }
         }
     }
 }
 
-fn fold_page(core: &Core, page: &Page) {
+fn apply_page(core: &Core, page: &Page) {
     let mut state = core.state();
     for record in &page.records {
         if record.offset <= state.applied {
             continue;
         }
-        if !fold(core, Arc::make_mut(&mut state), record) {
+        if !apply_record(core, Arc::make_mut(&mut state), record) {
             break;
         }
     }
@@ -55,7 +55,7 @@
 }
 
 /// Folds one record; whether the daemon may go on.
-pub(crate) fn fold(core: &Core, state: &mut State, record: &Record) -> bool {
+pub(crate) fn apply_record(core: &Core, state: &mut State, record: &Record) -> bool {
     let entry = match Entry::decode(&record.data) {
         Ok(entry) => entry,
         Err(error) => {
@@ -75,7 +75,7 @@
             let Entry::Snapshot(chunk) = entry else {
                 return true;
             };
-            compare(core, &chunk)
+            verify_digest(core, &chunk)
         }
         Err(gap) => {
             core.halt(gap.to_string());
@@ -85,7 +85,7 @@
 }
 
 /// Compares another daemon's digest with that of the own state at the same revision.
-fn compare(core: &Core, chunk: &Chunk) -> bool {
+fn verify_digest(core: &Core, chunk: &Chunk) -> bool {
     let own = core.state_at(chunk.at).filter(|state| state.applied == chunk.at);
     let differs = chunk.index == 0 && own.is_some_and(|own| own.digest() != chunk.digest);
     if differs {
--- a/crates/crosspathd/src/gateway.rs
+++ b/crates/crosspathd/src/gateway.rs
@@ -18,7 +18,7 @@
 use crosspath_state::resource::Service;
 use sha2::{Digest as _, Sha256};
 
-use crate::claims::{self, Claimed};
+use crate::claims::{self, Decision};
 use crate::clock;
 use crate::core::Core;
 use attempt::Attempts;
@@ -34,14 +34,14 @@
 }
 
 /// Counts a request from its arrival to its final answer, however it ends.
-struct Counted {
+struct InFlight {
     gateway: Arc<Gateway>,
     caller: CallerName,
     class: Class,
     started: crosspath_state::time::Monotonic,
 }
 
-impl Drop for Counted {
+impl Drop for InFlight {
     fn drop(&mut self) {
         self.gateway.quota.lock().unwrap_or_else(PoisonError::into_inner).leave(&self.caller);
         let latency = clock::monotonic().since(self.started);
@@ -54,25 +54,25 @@
         Self { core, quota: Mutex::default(), budget: Mutex::default() }
     }
 
-    fn enter(self: &Arc<Self>, caller: &CallerName, class: Class) -> Option<Counted> {
+    fn admit(self: &Arc<Self>, caller: &CallerName, class: Class) -> Option<InFlight> {
         let max = self.core.state().callers.get(caller).map_or(0, |c| c.spec.max_in_flight);
-        let entered = self.quota.lock().unwrap_or_else(PoisonError::into_inner).enter(caller, max);
-        if !entered {
+        let admitted = self.quota.lock().unwrap_or_else(PoisonError::into_inner).enter(caller, max);
+        if !admitted {
             return None;
         }
         self.core.metrics.begin_request(class, caller);
         let (gateway, caller) = (Arc::clone(self), caller.clone());
-        Some(Counted { gateway, caller, class, started: clock::monotonic() })
+        Some(InFlight { gateway, caller, class, started: clock::monotonic() })
     }
 
-    async fn run_counted(self: Arc<Self>, payment: Payment, service: Service) -> Reply {
+    async fn run_admitted(self: Arc<Self>, payment: Payment, service: Service) -> Reply {
         let class = service.class;
-        let Some(counted) = self.enter(&payment.caller, class) else {
-            return Reply::Final(unasked(&payment, NotRun::CallerQuota));
+        let Some(in_flight) = self.admit(&payment.caller, class) else {
+            return Reply::Final(refused_before_claim(&payment, NotRun::CallerQuota));
         };
-        let most = Duration::from_millis(service.timeout_ms);
-        let timeout = payment.timeout.map_or(most, |timeout| timeout.min(most));
-        let deadline = counted.started.after(timeout);
+        let max_timeout = Duration::from_millis(service.timeout_ms);
+        let timeout = payment.timeout.map_or(max_timeout, |timeout| timeout.min(max_timeout));
+        let deadline = in_flight.started.after(timeout);
         let attempts = Attempts { gateway: &self, payment: &payment, service: &service, deadline };
         match payment.key {
             None => attempts.run().await,
@@ -86,16 +86,16 @@
         let request = Request { key, caller: payment.caller.clone(), digest: digest(payment) };
         let left = attempts.deadline.since(clock::monotonic());
         match claims::claim(&self.core, &request, left).await {
-            Claimed::Granted => {}
-            Claimed::Recorded(verdict) => return Reply::Recorded(verdict),
-            Claimed::Final(answer) => return Reply::Final(answer),
+            Decision::Granted => {}
+            Decision::Recorded(verdict) => return Reply::Recorded(verdict),
+            Decision::Final(answer) => return Reply::Final(answer),
         }
-        let (reply, outcome) = attempts.run_whole(self.core.settings.limits.answer_bytes).await;
+        let (reply, outcome) = attempts.run_buffered(self.core.settings.limits.answer_bytes).await;
         claims::settle(&self.core, &request, outcome).await;
         reply
     }
 
-    fn count(&self, class: Class, reply: &Reply) {
+    fn count_response(&self, class: Class, reply: &Reply) {
         let (outcome, reason) = match reply {
             Reply::Upstream(_) => ("upstream", "answered"),
             Reply::Recorded(_) => ("recorded", "answered"),
@@ -118,10 +118,10 @@
 
 /// The handler's own type, so that requests can outlive their connection.
 #[derive(Debug)]
-pub(crate) struct Callers(pub(crate) Arc<Gateway>);
+pub(crate) struct CallerHandler(pub(crate) Arc<Gateway>);
 
 #[async_trait]
-impl Handler for Callers {
+impl Handler for CallerHandler {
     fn caller(&self, token: &str) -> Option<CallerName> {
         let hash = Hash::of(token).to_hex();
         let state = self.0.core.state();
@@ -138,11 +138,11 @@
         let gateway = Arc::clone(&self.0);
         let service = gateway.core.state().services.get(&payment.service).cloned();
         let Some(service) = service.map(|service| service.spec) else {
-            return Reply::Final(unasked(&payment, NotRun::NoUpstream));
+            return Reply::Final(refused_before_claim(&payment, NotRun::NoUpstream));
         };
         let class = service.class;
         let keyed = payment.key.is_some();
-        let running = Arc::clone(&gateway).run_counted(payment, service);
+        let running = Arc::clone(&gateway).run_admitted(payment, service);
         let reply = if keyed {
             // Goes on when the caller is gone, so that a re-send finds the outcome.
             let ended = tokio::spawn(running).await;
@@ -150,7 +150,7 @@
         } else {
             running.await
         };
-        gateway.count(class, &reply);
+        gateway.count_response(class, &reply);
         reply
     }
 
@@ -171,7 +171,7 @@
 
 /// The answer to a request that was refused before its key was asked for: an earlier request with
 /// the key may have been run.
-fn unasked(payment: &Payment, reason: NotRun) -> Final {
+fn refused_before_claim(payment: &Payment, reason: NotRun) -> Final {
     match payment.key {
         None => Final::not_run(reason, RETRY_AFTER),
         Some(_) => Final::unknown(Unknown::KeyNotAsked),
--- a/crates/crosspathd/src/gateway/attempt.rs
+++ b/crates/crosspathd/src/gateway/attempt.rs
@@ -23,13 +23,13 @@
 
 use super::{Gateway, outcome_of};
 use crate::clock;
-use crate::pools::{Slot, Wish};
+use crate::pools::{Slot, SlotRequest};
 
 /// Header by which an upstream says that it refused a request before running it.
 const NOT_RUN: &str = "request-not-run";
 
 /// Largest answer to a request with a key; it is read whole before it is passed on.
-const MAX_KEYED_ANSWER: usize = 4 * 1024 * 1024;
+const MAX_KEYED_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
 
 /// One request on its way to upstreams.
 pub(super) struct Attempts<'a> {
@@ -40,8 +40,8 @@
 }
 
 /// An upstream's answer and the slot that it still uses.
-struct Answered {
-    answer: Response<Streamed>,
+struct UpstreamResponse {
+    response: Response<Streamed>,
     slot: Slot,
     sent_at: Monotonic,
 }
@@ -49,41 +49,45 @@
 impl Attempts<'_> {
     /// Runs the request and passes the answer on as it streams in.
     pub(super) async fn run(&self) -> Reply {
-        match self.answered().await {
-            Ok(answered) => {
-                let Answered { answer, slot, sent_at } = answered;
-                let answer = answer.map(|inner| Passing::new(inner, slot, sent_at).boxed_unsync());
-                Reply::Upstream(cleaned(answer))
+        match self.send_until_final().await {
+            Ok(upstream_response) => {
+                let UpstreamResponse { response, slot, sent_at } = upstream_response;
+                let response =
+                    response.map(|inner| ForwardedBody::new(inner, slot, sent_at).boxed_unsync());
+                Reply::Upstream(without_hop_by_hop(response))
             }
             Err(answer) => Reply::Final(answer),
         }
     }
 
     /// Runs the request, reads the whole answer, and says how to record it.
-    pub(super) async fn run_whole(&self, kept: u64) -> (Reply, Outcome) {
-        let Answered { answer, mut slot, sent_at } = match self.answered().await {
-            Ok(answered) => answered,
+    pub(super) async fn run_buffered(&self, max_recorded_bytes: u64) -> (Reply, Outcome) {
+        let UpstreamResponse { response, mut slot, sent_at } = match self.send_until_final().await {
+            Ok(upstream_response) => upstream_response,
             Err(answer) => return (Reply::Final(answer), outcome_of(answer.answer)),
         };
-        let (head, streamed) = answer.into_parts();
-        let Ok(whole) = Limited::new(streamed, MAX_KEYED_ANSWER).collect().await else {
-            slot.ended(Use::Failed);
-            let cut = Unknown::UpstreamCut;
-            return (Reply::Final(Final::unknown(cut)), Outcome::Unknown(cut));
+        let (head, streamed) = response.into_parts();
+        let Ok(whole) = Limited::new(streamed, MAX_KEYED_RESPONSE_BYTES).collect().await else {
+            slot.set_outcome(Use::Failed);
+            let reason = Unknown::UpstreamCut;
+            return (Reply::Final(Final::unknown(reason)), Outcome::Unknown(reason));
         };
-        slot.ended(Use::Answered(clock::monotonic().since(sent_at)));
+        slot.set_outcome(Use::Answered(clock::monotonic().since(sent_at)));
         let bytes = whole.to_bytes();
-        let outcome = record(&head, &bytes, kept);
-        (Reply::Upstream(cleaned(Response::from_parts(head, body::full(bytes)))), outcome)
+        let outcome = recorded_outcome(&head, &bytes, max_recorded_bytes);
+        (
+            Reply::Upstream(without_hop_by_hop(Response::from_parts(head, body::full(bytes)))),
+            outcome,
+        )
     }
 
-    async fn answered(&self) -> Result<Answered, Final> {
+    async fn send_until_final(&self) -> Result<UpstreamResponse, Final> {
         self.budget().deposit();
         let mut maybe_run = false;
         for attempts in 1.. {
-            let slot = self.slot().await.map_err(|refusal| refused(refusal, maybe_run))?;
+            let slot = self.slot().await.map_err(|refusal| refusal_after(refusal, maybe_run))?;
             let failure = match self.attempt(slot).await {
-                Ok(answered) => return Ok(answered),
+                Ok(upstream_response) => return Ok(upstream_response),
                 Err(failure) => failure,
             };
             let left = self.deadline.since(clock::monotonic());
@@ -104,16 +108,16 @@
 
     async fn slot(&self) -> Result<Slot, Final> {
         let core = &self.gateway.core;
-        let asked_at = clock::monotonic();
+        let requested_at = clock::monotonic();
         let (pool, caller) = (&self.service.pool, &self.payment.caller);
         let class = self.service.class;
-        let wish = Wish { pool, caller, class, deadline: self.deadline };
-        let slot = core.pools.acquire(wish).await;
-        core.metrics.observe_slot_wait(class, caller, clock::monotonic().since(asked_at));
+        let slot_request = SlotRequest { pool, caller, class, deadline: self.deadline };
+        let slot = core.pools.acquire(slot_request).await;
+        core.metrics.observe_slot_wait(class, caller, clock::monotonic().since(requested_at));
         slot
     }
 
-    async fn attempt(&self, mut slot: Slot) -> Result<Answered, Failure> {
+    async fn attempt(&self, mut slot: Slot) -> Result<UpstreamResponse, Failure> {
         let core = &self.gateway.core;
         let vm = core.state().vms.get(slot.vm()).map(|vm| vm.spec.address);
         let Some(address) = vm else {
@@ -128,14 +132,14 @@
             return Err(Failure::NotSent);
         };
         match core.upstreams.send(address, request, Instant::now() + left).await {
-            Ok(answer) if is_refusal(&answer) => {
-                slot.ended(Use::Refused);
+            Ok(response) if is_refusal(&response) => {
+                slot.set_outcome(Use::Refused);
                 core.upstreams.close_idle(address);
                 Err(Failure::Refused)
             }
-            Ok(answer) => Ok(Answered { answer, slot, sent_at }),
+            Ok(response) => Ok(UpstreamResponse { response, slot, sent_at }),
             Err(failure) => {
-                slot.ended(Use::Failed);
+                slot.set_outcome(Use::Failed);
                 Err(match failure {
                     upstream::Failure::NotSent => Failure::NotSent,
                     upstream::Failure::Broken => Failure::Broken,
@@ -165,22 +169,26 @@
 }
 
 /// A refusal of a further attempt must not deny what an earlier one may have done.
-fn refused(refusal: Final, maybe_run: bool) -> Final {
+fn refusal_after(refusal: Final, maybe_run: bool) -> Final {
     if maybe_run { Final::unknown(Unknown::UpstreamCut) } else { refusal }
 }
 
-fn is_refusal(answer: &Response<Streamed>) -> bool {
-    answer.status() == StatusCode::SERVICE_UNAVAILABLE && answer.headers().contains_key(NOT_RUN)
+fn is_refusal(response: &Response<Streamed>) -> bool {
+    response.status() == StatusCode::SERVICE_UNAVAILABLE && response.headers().contains_key(NOT_RUN)
 }
 
-fn cleaned(mut answer: Response<Body>) -> Response<Body> {
-    strip_hop_by_hop(answer.headers_mut());
-    answer
+fn without_hop_by_hop(mut response: Response<Body>) -> Response<Body> {
+    strip_hop_by_hop(response.headers_mut());
+    response
 }
 
-fn record(head: &http::response::Parts, bytes: &Bytes, kept: u64) -> Outcome {
+fn recorded_outcome(
+    head: &http::response::Parts,
+    bytes: &Bytes,
+    max_recorded_bytes: u64,
+) -> Outcome {
     let status = head.status.as_u16();
-    if bytes.len() as u64 > kept {
+    if bytes.len() as u64 > max_recorded_bytes {
         return Outcome::AnsweredLarge { status };
     }
     let kind = head.headers.get(header::CONTENT_TYPE).and_then(|kind| kind.to_str().ok());
@@ -189,28 +197,28 @@
 }
 
 /// An answer on its way to the caller; its slot is free when it is whole, or given up.
-struct Passing {
+struct ForwardedBody {
     inner: Streamed,
     slot: Slot,
     sent_at: Monotonic,
 }
 
-impl Passing {
+impl ForwardedBody {
     fn new(inner: Streamed, slot: Slot, sent_at: Monotonic) -> Self {
-        let mut passing = Self { inner, slot, sent_at };
-        if hyper::body::Body::is_end_stream(&passing.inner) {
-            passing.answered();
+        let mut body = Self { inner, slot, sent_at };
+        if hyper::body::Body::is_end_stream(&body.inner) {
+            body.record_completion();
         }
-        passing
+        body
     }
 
-    fn answered(&mut self) {
+    fn record_completion(&mut self) {
         let time = clock::monotonic().since(self.sent_at);
-        self.slot.ended(Use::Answered(time));
+        self.slot.set_outcome(Use::Answered(time));
     }
 }
 
-impl hyper::body::Body for Passing {
+impl hyper::body::Body for ForwardedBody {
     type Data = Bytes;
     type Error = BoxError;
 
@@ -222,16 +230,16 @@
             Poll::Pending => Poll::Pending,
             Poll::Ready(Some(Ok(frame))) => {
                 if hyper::body::Body::is_end_stream(&self.inner) {
-                    self.answered();
+                    self.record_completion();
                 }
                 Poll::Ready(Some(Ok(frame)))
             }
             Poll::Ready(Some(Err(error))) => {
-                self.slot.ended(Use::Failed);
+                self.slot.set_outcome(Use::Failed);
                 Poll::Ready(Some(Err(error.into())))
             }
             Poll::Ready(None) => {
-                self.answered();
+                self.record_completion();
                 Poll::Ready(None)
             }
         }
--- a/crates/crosspathd/src/handover.rs
+++ b/crates/crosspathd/src/handover.rs
@@ -23,16 +23,16 @@
     core.freeze(&moving);
     let claims = core.claims().select(|key| moving.contains(&key.partition()));
     let count = claims.len();
-    let taken = link.take_over(Transfer { to: to.clone(), claims }).await;
-    if taken != Ok(true) {
-        core.thaw(&moving);
+    let accepted = link.take_over(Transfer { to: to.clone(), claims }).await;
+    if accepted != Ok(true) {
+        core.unfreeze(&moving);
         return false;
     }
     let daemon = to.daemon.clone();
     let change = Change::Member(Membership::Handover { partitions, to });
-    let result = core.committer.commit_surely(vec![change]).await;
+    let result = core.committer.commit_until_final(vec![change]).await;
     // From here on the state says who owns them.
-    core.thaw(&moving);
+    core.unfreeze(&moving);
     log::info!(
         "event=handed_over to={daemon} partitions={} claims={count} done={}",
         moving.len(),
@@ -65,17 +65,17 @@
 pub(crate) async fn balance(core: &Core) {
     let state = core.state();
     let own = core.settings.name.clone();
-    let mine: Vec<u16> = state.partitions_of(&own).collect();
-    let fair = state.partitions.len().div_ceil(state.members.len().max(1));
+    let owned: Vec<u16> = state.partitions_of(&own).collect();
+    let fair_share = state.partitions.len().div_ceil(state.members.len().max(1));
     let counts = state.members.keys().map(|name| (state.partitions_of(name).count(), name));
-    let Some((fewest, poorest)) = counts.min() else {
+    let Some((fewest, least_loaded)) = counts.min() else {
         return;
     };
-    let surplus = mine.len().saturating_sub(fair).min(fair.saturating_sub(fewest));
-    if surplus == 0 || *poorest == own || !core.lease_is_valid() {
+    let surplus = owned.len().saturating_sub(fair_share).min(fair_share.saturating_sub(fewest));
+    if surplus == 0 || *least_loaded == own || !core.lease_is_valid() {
         return;
     }
-    if let Some(to) = writer(&state, poorest) {
-        hand_over(core, mine.into_iter().take(surplus).collect(), to).await;
+    if let Some(to) = writer(&state, least_loaded) {
+        hand_over(core, owned.into_iter().take(surplus).collect(), to).await;
     }
 }
--- a/crates/crosspathd/src/jobs.rs
+++ b/crates/crosspathd/src/jobs.rs
@@ -14,119 +14,120 @@
 use crate::core::Core;
 
 /// Orders under way at one time.
-const AT_ONCE: usize = 16;
+const MAX_CONCURRENT_ORDERS: usize = 16;
 
-const FIRST_PAUSE: Duration = Duration::from_millis(200);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(200);
 const MAX_DOUBLINGS: u32 = 7;
 
 /// What the workers were last known to do, by job, and orders that failed.
 #[derive(Debug, Default)]
 pub(crate) struct Jobs {
-    known: BTreeMap<JobName, BTreeMap<VmName, JobState>>,
-    failed: BTreeMap<(VmName, JobName), Failed>,
+    observed: BTreeMap<JobName, BTreeMap<VmName, JobState>>,
+    backoffs: BTreeMap<(VmName, JobName), Backoff>,
 }
 
 /// How often an order failed in a row, and when it may be given again.
 #[derive(Debug, Clone, Copy)]
-struct Failed {
-    times: u32,
-    not_before: Monotonic,
+struct Backoff {
+    failures: u32,
+    retry_at: Monotonic,
 }
 
-impl Failed {
-    fn again(before: Option<Self>, now: Monotonic) -> Self {
-        let times = before.map_or(0, |before| before.times + 1);
-        let pause = FIRST_PAUSE * 2_u32.pow(times.min(MAX_DOUBLINGS));
-        Self { times, not_before: now.after(pause) }
+impl Backoff {
+    fn after_failure(previous: Option<Self>, now: Monotonic) -> Self {
+        let failures = previous.map_or(0, |previous| previous.failures + 1);
+        let delay = INITIAL_BACKOFF * 2_u32.pow(failures.min(MAX_DOUBLINGS));
+        Self { failures, retry_at: now.after(delay) }
     }
 }
 
 impl Jobs {
     /// Notes what a worker reports, in place of what it was thought to do.
-    pub(crate) fn learn(&mut self, vm: &VmName, report: &Report) {
-        for places in self.known.values_mut() {
-            places.remove(vm);
+    pub(crate) fn record_report(&mut self, vm: &VmName, report: &Report) {
+        for vms in self.observed.values_mut() {
+            vms.remove(vm);
         }
         for job in &report.jobs {
-            self.known.entry(job.job.clone()).or_default().insert(vm.clone(), job.state);
+            self.observed.entry(job.job.clone()).or_default().insert(vm.clone(), job.state);
         }
-        self.known.retain(|_, places| !places.is_empty());
+        self.observed.retain(|_, vms| !vms.is_empty());
     }
 
     /// Gives the orders that are missing. A job that moved is stopped where it was before it is
     /// started elsewhere.
     pub(crate) async fn reconcile(&mut self, core: &Core, state: &State) {
-        self.forget_failed(state);
-        let stops = self.stops(state);
-        self.give(core, stops).await;
-        let starts = self.starts(state);
-        self.give(core, starts).await;
+        self.forget_failed_vms(state);
+        let stops = self.stop_orders(state);
+        self.send_orders(core, stops).await;
+        let starts = self.start_orders(state);
+        self.send_orders(core, starts).await;
     }
 
     /// What ran on a VM that failed runs there no more; if it comes back it is looked at again.
-    fn forget_failed(&mut self, state: &State) {
+    fn forget_failed_vms(&mut self, state: &State) {
         let failed = |vm: &VmName| {
             let phase = state.vms.get(vm).map(|vm| &vm.status);
             phase.is_none_or(|phase| matches!(phase, vm::Phase::Failed { .. }))
         };
-        for places in self.known.values_mut() {
-            places.retain(|vm, _| !failed(vm));
+        for vms in self.observed.values_mut() {
+            vms.retain(|vm, _| !failed(vm));
         }
-        self.known.retain(|_, places| !places.is_empty());
+        self.observed.retain(|_, vms| !vms.is_empty());
     }
 
-    async fn give(&mut self, core: &Core, orders: Vec<Order>) {
+    async fn send_orders(&mut self, core: &Core, orders: Vec<Order>) {
         let now = clock::monotonic();
         let due = orders.into_iter().filter(|order| self.is_due(order, now));
         let due: Vec<_> = due.collect();
         if due.is_empty() || !core.is_planner() {
             return;
         }
-        let given = stream::iter(due).map(|order| async move {
+        let sent = stream::iter(due).map(|order| async move {
             let done = core.worker.set_job(&order.vm, &order.job, order.state).await.is_ok();
             (order, done)
         });
-        for (order, done) in given.buffer_unordered(AT_ONCE).collect::<Vec<_>>().await {
+        for (order, done) in sent.buffer_unordered(MAX_CONCURRENT_ORDERS).collect::<Vec<_>>().await
+        {
             let key = (order.vm.clone(), order.job.clone());
             if done {
-                self.failed.remove(&key);
-                self.note(order);
+                self.backoffs.remove(&key);
+                self.record_done(order);
             } else {
-                let failed = Failed::again(self.failed.get(&key).copied(), now);
-                self.failed.insert(key, failed);
+                let backoff = Backoff::after_failure(self.backoffs.get(&key).copied(), now);
+                self.backoffs.insert(key, backoff);
             }
         }
     }
 
     fn is_due(&self, order: &Order, now: Monotonic) -> bool {
-        let failed = self.failed.get(&(order.vm.clone(), order.job.clone()));
-        failed.is_none_or(|failed| failed.not_before <= now)
+        let backoff = self.backoffs.get(&(order.vm.clone(), order.job.clone()));
+        backoff.is_none_or(|backoff| backoff.retry_at <= now)
     }
 
-    fn note(&mut self, order: Order) {
-        let places = self.known.entry(order.job.clone()).or_default();
+    fn record_done(&mut self, order: Order) {
+        let vms = self.observed.entry(order.job.clone()).or_default();
         match order.state {
-            JobState::Absent => drop(places.remove(&order.vm)),
-            JobState::Running | JobState::Suspended => drop(places.insert(order.vm, order.state)),
+            JobState::Absent => drop(vms.remove(&order.vm)),
+            JobState::Running | JobState::Suspended => drop(vms.insert(order.vm, order.state)),
         }
-        if places.is_empty() {
-            self.known.remove(&order.job);
+        if vms.is_empty() {
+            self.observed.remove(&order.job);
         }
     }
 
-    fn stops(&self, state: &State) -> Vec<Order> {
-        let places = self
-            .known
+    fn stop_orders(&self, state: &State) -> Vec<Order> {
+        let vms = self
+            .observed
             .iter()
-            .flat_map(|(job, places)| places.keys().map(move |vm| (job.clone(), vm.clone())));
-        let gone = places.filter(|(job, vm)| {
+            .flat_map(|(job, vms)| vms.keys().map(move |vm| (job.clone(), vm.clone())));
+        let misplaced = vms.filter(|(job, vm)| {
             let wanted = state.jobs.get(job).and_then(|job| job.status.phase.vm());
             wanted != Some(vm)
         });
-        gone.map(|(job, vm)| Order { job, vm, state: JobState::Absent }).collect()
+        misplaced.map(|(job, vm)| Order { job, vm, state: JobState::Absent }).collect()
     }
 
-    fn starts(&self, state: &State) -> Vec<Order> {
+    fn start_orders(&self, state: &State) -> Vec<Order> {
         let wanted = state.jobs.iter().filter_map(|(name, job)| {
             let (vm, state) = match &job.status.phase {
                 job::Phase::Running { vm } => (vm, JobState::Running),
@@ -136,10 +137,10 @@
             Some(Order { job: name.clone(), vm: vm.clone(), state })
         });
         let missing = wanted.filter(|order| {
-            let places = self.known.get(&order.job);
-            let elsewhere = places.is_some_and(|places| places.keys().any(|vm| *vm != order.vm));
-            let known = places.and_then(|places| places.get(&order.vm));
-            !elsewhere && known != Some(&order.state)
+            let vms = self.observed.get(&order.job);
+            let elsewhere = vms.is_some_and(|vms| vms.keys().any(|vm| *vm != order.vm));
+            let reported = vms.and_then(|vms| vms.get(&order.vm));
+            !elsewhere && reported != Some(&order.state)
         });
         missing.collect()
     }
--- a/crates/crosspathd/src/lib.rs
+++ b/crates/crosspathd/src/lib.rs
@@ -15,7 +15,7 @@
 //! The state itself is read without a lock: it is replaced whole.
 
 mod api;
-mod boot;
+mod bootstrap;
 mod claims;
 mod clock;
 mod committer;
--- a/crates/crosspathd/src/logging.rs
+++ b/crates/crosspathd/src/logging.rs
@@ -18,7 +18,7 @@
         log::warn!("event=logs_may_block error=\"{error}\"");
         return;
     }
-    builder.target(Target::Pipe(Box::new(Lossy::default()))).init();
+    builder.target(Target::Pipe(Box::new(LossyWriter::default()))).init();
 }
 
 fn make_non_blocking() -> Result<(), Errno> {
@@ -29,12 +29,12 @@
 
 /// Writes whole lines, or none of a line.
 #[derive(Debug, Default)]
-struct Lossy {
+struct LossyWriter {
     dropped: u64,
 }
 
-impl Lossy {
-    fn tell_dropped(&mut self) {
+impl LossyWriter {
+    fn report_dropped(&mut self) {
         let line = format!("event=log_lines_dropped count={}\n", self.dropped);
         if nix::unistd::write(io::stdout().as_fd(), line.as_bytes()).is_ok() {
             self.dropped = 0;
@@ -42,10 +42,10 @@
     }
 }
 
-impl io::Write for Lossy {
+impl io::Write for LossyWriter {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         if self.dropped > 0 {
-            self.tell_dropped();
+            self.report_dropped();
         }
         // A pipe takes lines of this length whole or not at all. There is nowhere to tell of a
         // standard output that is gone.
--- a/crates/crosspathd/src/membership.rs
+++ b/crates/crosspathd/src/membership.rs
@@ -20,24 +20,24 @@
 const FAN_OUT: usize = 6;
 
 /// Time between two looks at what is in flight on VMs that drain.
-const DRAIN_LOOK: Duration = Duration::from_millis(50);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Sends heartbeats until the daemon ends.
-pub(crate) async fn beat(core: Arc<Core>) {
+pub(crate) async fn send_heartbeats(core: Arc<Core>) {
     let interval = core.settings.timing.heartbeat;
     let mut next = Instant::now();
     for round in 0.. {
-        let peers = peers_of_round(&core, round);
-        let beats = peers.into_iter().map(|peer| beat_one(Arc::clone(&core), peer));
+        let peers = heartbeat_targets(&core, round);
+        let heartbeats = peers.into_iter().map(|peer| send_heartbeat(Arc::clone(&core), peer));
         // One slow peer holds up no beat to the others.
-        drop(tokio::spawn(join_all(beats)));
+        drop(tokio::spawn(join_all(heartbeats)));
         next = (next + interval).max(Instant::now());
         sleep_until(next).await;
     }
 }
 
 /// The guard and those guarded in every round, the planner too, and the others in turn.
-fn peers_of_round(core: &Core, round: usize) -> Vec<DaemonName> {
+fn heartbeat_targets(core: &Core, round: usize) -> Vec<DaemonName> {
     let names: Vec<_> = core.links.keys().cloned().collect();
     if names.len() <= FAN_OUT {
         return names;
@@ -50,49 +50,49 @@
         guarded || Some(name) == guard || Some(name) == Core::planner(&state)
     };
     let (mut due, others): (Vec<_>, Vec<_>) = names.into_iter().partition(is_due);
-    let turn = others.len().max(1);
-    let spare = FAN_OUT.saturating_sub(due.len()).min(others.len());
-    due.extend((0..spare).map(|i| others[(round * spare + i) % turn].clone()));
+    let other_count = others.len().max(1);
+    let remaining = FAN_OUT.saturating_sub(due.len()).min(others.len());
+    due.extend((0..remaining).map(|i| others[(round * remaining + i) % other_count].clone()));
     due
 }
 
-async fn beat_one(core: Arc<Core>, peer: DaemonName) {
+async fn send_heartbeat(core: Arc<Core>, peer: DaemonName) {
     let Some(link) = core.links.get(&peer) else {
         return;
     };
-    let asked_at = clock::monotonic();
-    let answer = link.beat(peers::own_beat(&core)).await;
+    let sent_at = clock::monotonic();
+    let answer = link.beat(peers::own_heartbeat(&core)).await;
     core.metrics.count_heartbeat(if answer.is_ok() { "answered" } else { "unanswered" });
     let Ok(answer) = answer else { return };
     if let Some(promise) = answer.promise() {
-        core.leases().holder.promised(core.terms(), &peer, asked_at, promise);
+        core.leases().holder.promised(core.terms(), &peer, sent_at, promise);
     }
-    peers::note(&core, answer.beat);
+    peers::record_heartbeat(&core, answer.beat);
 }
 
 /// While VMs drain, tells the planner at once what changes in flight here on them.
-pub(crate) async fn tell_planner(core: Arc<Core>) {
+pub(crate) async fn report_draining(core: Arc<Core>) {
     let mut states = core.state.subscribe();
-    let mut told = None;
+    let mut last_sent = None;
     loop {
         let state = states.borrow_and_update().clone();
         let draining = state.vms.values().any(|vm| matches!(vm.status, vm::Phase::Draining { .. }));
         if !draining {
-            told = None;
+            last_sent = None;
             if states.changed().await.is_err() {
                 return;
             }
             continue;
         }
         let planner = Core::planner(&state).filter(|planner| **planner != core.settings.name);
-        let news = Some((planner.cloned(), state.applied, core.draining_in_flight()));
-        if news != told {
+        let report = Some((planner.cloned(), state.applied, core.draining_in_flight()));
+        if report != last_sent {
             if let Some(planner) = planner {
-                beat_one(Arc::clone(&core), planner.clone()).await;
+                send_heartbeat(Arc::clone(&core), planner.clone()).await;
             }
-            told = news;
+            last_sent = report;
         }
-        tokio::time::sleep(DRAIN_LOOK).await;
+        tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
     }
 }
 
@@ -109,15 +109,15 @@
 }
 
 async fn step(core: &Core) {
-    let (state, own) = (core.state(), core.own());
+    let (state, own) = (core.state(), core.own_writer());
     if !state.is_member(&own) {
         return join(core, &state, &own).await;
     }
     let (valid, now) = (core.lease_is_valid(), clock::monotonic());
     core.leases().guardian.observe(core.terms(), &state, &own, valid, now);
-    let guardless = state.members.get(&own.daemon).is_some_and(|member| member.guard.is_none());
-    if guardless {
-        name_guard(core, &state, &own).await;
+    let has_no_guard = state.members.get(&own.daemon).is_some_and(|member| member.guard.is_none());
+    if has_no_guard {
+        assign_guard(core, &state, &own).await;
     }
     evict(core).await;
     handover::balance(core).await;
@@ -127,24 +127,24 @@
     let was_member = state.writers.get(&own.daemon);
     if let Some(last) = was_member.filter(|last| last.incarnation >= own.incarnation) {
         // Evicted while away, or another life has this name's last word.
-        core.begin_life(last.incarnation);
+        core.begin_incarnation(last.incarnation);
         core.claims().clear();
     }
     let join = Change::Member(Membership::Join);
-    match core.committer.commit_surely(vec![join]).await {
-        Ok(()) => log::info!("event=joined daemon={}", core.own()),
+    match core.committer.commit_until_final(vec![join]).await {
+        Ok(()) => log::info!("event=joined daemon={}", core.own_writer()),
         Err(error) => log::warn!("event=join_failed error=\"{error}\""),
     }
 }
 
-async fn name_guard(core: &Core, state: &State, own: &Writer) {
+async fn assign_guard(core: &Core, state: &State, own: &Writer) {
     let Some(guard) = member::successor(&state.members, &own.daemon) else {
         return;
     };
     // Until the record is settled the new guard's promise is needed too, so it is asked for first.
     core.leases().holder.naming(Some(guard.clone()));
     let change = Change::Member(Membership::Guard { guard: guard.clone() });
-    let result = core.committer.commit_surely(vec![change]).await;
+    let result = core.committer.commit_until_final(vec![change]).await;
     core.leases().holder.naming(None);
     log::info!("event=guard_named guard={guard} done={}", result.is_ok());
 }
@@ -153,7 +153,7 @@
     let evictable = core.leases().guardian.evictable(core.terms(), clock::monotonic());
     for member in evictable {
         let change = Change::Member(Membership::Evict { member: member.clone() });
-        let result = core.committer.commit_surely(vec![change]).await;
+        let result = core.committer.commit_until_final(vec![change]).await;
         log::warn!("event=evicted member={member} done={}", result.is_ok());
         if result == Err(CommitError::NotAccepted) {
             core.leases().guardian.spare(&member);
--- a/crates/crosspathd/src/outcomes.rs
+++ b/crates/crosspathd/src/outcomes.rs
@@ -6,7 +6,7 @@
 use crosspath_state::record::{BatchId, Incarnation, Revision, Writer};
 use crosspath_state::{Conflict, State};
 
-const KEPT: usize = 4_096;
+const MAX_BATCHES: usize = 4_096;
 
 /// One verdict for each change of a batch.
 pub(crate) type Verdicts = Vec<Result<Revision, Conflict>>;
@@ -16,23 +16,23 @@
 pub(crate) struct Outcomes {
     verdicts: BTreeMap<BatchId, Verdicts>,
     order: VecDeque<BatchId>,
-    forgotten: bool,
+    incomplete: bool,
 }
 
 impl Outcomes {
     pub(crate) fn insert(&mut self, id: BatchId, verdicts: Verdicts) {
         self.order.push_back(id.clone());
         self.verdicts.insert(id, verdicts);
-        if self.order.len() > KEPT {
-            self.forgotten = true;
+        if self.order.len() > MAX_BATCHES {
+            self.incomplete = true;
             let oldest = self.order.pop_front();
             oldest.and_then(|oldest| self.verdicts.remove(&oldest));
         }
     }
 
     /// Notes that batches before the state's revision were not seen.
-    pub(crate) fn skipped(&mut self) {
-        self.forgotten = true;
+    pub(crate) fn mark_incomplete(&mut self) {
+        self.incomplete = true;
     }
 
     pub(crate) fn get(&self, id: &BatchId) -> Option<&Verdicts> {
@@ -40,8 +40,8 @@
     }
 
     /// What became of one change.
-    pub(crate) fn fate(&self, state: &State, change: &str) -> Outcome {
-        let Some((id, index)) = parse(change) else {
+    pub(crate) fn outcome(&self, state: &State, change: &str) -> Outcome {
+        let Some((id, index)) = parse_change_id(change) else {
             return Outcome::Unrecorded;
         };
         if let Some(verdicts) = self.get(&id) {
@@ -55,7 +55,7 @@
         let last = last.map(|last| (last.incarnation, last.sequence));
         // The fold drops it from now on, should it still arrive.
         let fenced = last > Some((id.writer.incarnation, id.sequence));
-        match (fenced, self.forgotten) {
+        match (fenced, self.incomplete) {
             (true, false) => Outcome::NotAccepted,
             (true, true) => Outcome::Unrecorded,
             (false, _) => Outcome::Pending,
@@ -68,7 +68,7 @@
     format!("{}.{}.{}.{index}", id.writer.daemon, id.writer.incarnation.0, id.sequence)
 }
 
-fn parse(change: &str) -> Option<(BatchId, usize)> {
+fn parse_change_id(change: &str) -> Option<(BatchId, usize)> {
     let mut parts = change.rsplitn(4, '.');
     let index = parts.next()?.parse().ok()?;
     let sequence = parts.next()?.parse().ok()?;
--- a/crates/crosspathd/src/peers.rs
+++ b/crates/crosspathd/src/peers.rs
@@ -17,17 +17,17 @@
 
 /// What a peer said last.
 #[derive(Debug, Clone)]
-pub(crate) struct Seen {
+pub(crate) struct PeerState {
     pub(crate) writer: Writer,
     pub(crate) applied: Revision,
     pub(crate) in_flight: Vec<(VmName, u32)>,
     pub(crate) ready: bool,
-    pub(crate) heard_at: Monotonic,
+    pub(crate) received_at: Monotonic,
 }
 
-impl Seen {
+impl PeerState {
     /// Whether the peer, in this life, sends nothing to a VM that began to drain at `revision`.
-    pub(crate) fn is_done(&self, writer: &Writer, vm: &VmName, revision: Revision) -> bool {
+    pub(crate) fn has_drained(&self, writer: &Writer, vm: &VmName, revision: Revision) -> bool {
         self.writer == *writer
             && self.applied >= revision
             && self.in_flight.iter().all(|(other, count)| other != vm || *count == 0)
@@ -35,79 +35,84 @@
 }
 
 /// This daemon's own heartbeat.
-pub(crate) fn own_beat(core: &Core) -> Beat {
+pub(crate) fn own_heartbeat(core: &Core) -> Beat {
     // Read first: what is in flight then is at least as new as the revision says.
     let applied = core.state().applied;
-    Beat { from: core.own(), applied, in_flight: core.draining_in_flight(), ready: core.is_ready() }
+    Beat {
+        from: core.own_writer(),
+        applied,
+        in_flight: core.draining_in_flight(),
+        ready: core.is_ready(),
+    }
 }
 
 /// Notes a peer's heartbeat; one from an earlier life, or overtaken, is dropped.
-pub(crate) fn note(core: &Core, beat: Beat) {
-    let seen = Seen {
+pub(crate) fn record_heartbeat(core: &Core, beat: Beat) {
+    let reported = PeerState {
         applied: beat.applied,
         in_flight: beat.in_flight,
         ready: beat.ready,
-        heard_at: clock::monotonic(),
+        received_at: clock::monotonic(),
         writer: beat.from,
     };
-    let mut table = core.seen();
-    let known = table.get(&seen.writer.daemon);
-    let older = known.is_some_and(|known| {
-        (known.writer.incarnation, known.applied) > (seen.writer.incarnation, seen.applied)
+    let mut table = core.peer_states();
+    let known = table.get(&reported.writer.daemon);
+    let is_outdated = known.is_some_and(|known| {
+        (known.writer.incarnation, known.applied) > (reported.writer.incarnation, reported.applied)
     });
-    if !older {
-        table.insert(seen.writer.daemon.clone(), seen);
+    if !is_outdated {
+        table.insert(reported.writer.daemon.clone(), reported);
     }
 }
 
 /// Members that may still send to a VM that drains, or have something in flight there.
-pub(crate) fn not_done(core: &Core, state: &State, vm: &VmName) -> Vec<DaemonName> {
+pub(crate) fn undrained_members(core: &Core, state: &State, vm: &VmName) -> Vec<DaemonName> {
     let Some(stored) = state.vms.get(vm) else {
         return Vec::new();
     };
-    let seen = core.seen().clone();
+    let peer_states = core.peer_states().clone();
     let behind = state.members.iter().filter(|(name, member)| {
         if **name == core.settings.name {
             return core.pools.in_flight(vm) > 0;
         }
         let writer = Writer { daemon: (*name).clone(), incarnation: member.incarnation };
-        !seen.get(*name).is_some_and(|seen| seen.is_done(&writer, vm, stored.revision))
+        !peer_states.get(*name).is_some_and(|peer| peer.has_drained(&writer, vm, stored.revision))
     });
     behind.map(|(name, _)| name.clone()).collect()
 }
 
 /// Answers peers.
 #[derive(Debug)]
-pub(crate) struct Peers(pub(crate) Arc<Core>);
+pub(crate) struct PeerHandler(pub(crate) Arc<Core>);
 
 #[async_trait]
-impl Handler for Peers {
+impl Handler for PeerHandler {
     async fn beat(&self, beat: Beat) -> BeatAnswer {
         let core = &*self.0;
         let member = beat.from.clone();
-        note(core, beat);
+        record_heartbeat(core, beat);
         let valid = core.lease_is_valid() && core.is_caught_up();
         let (state, terms, now) = (core.state(), core.terms(), clock::monotonic());
         let promise = core.leases().guardian.promise(terms, &state, &member, valid, now);
         let millis = |span: Duration| u64::try_from(span.as_millis()).unwrap_or_default();
-        BeatAnswer { beat: own_beat(core), promise_ms: promise.map(millis) }
+        BeatAnswer { beat: own_heartbeat(core), promise_ms: promise.map(millis) }
     }
 
     async fn claim(&self, claim: Claim) -> Verdict {
-        claims::claim_here(&self.0, &claim)
+        claims::claim_locally(&self.0, &claim)
     }
 
     async fn settle(&self, settle: Settle) {
-        claims::settle_here(&self.0, settle);
+        claims::settle_locally(&self.0, settle);
     }
 
     async fn look_up(&self, look_up: LookUp) -> Option<Verdict> {
-        claims::look_up_here(&self.0, &look_up)
+        claims::look_up_locally(&self.0, &look_up)
     }
 
     async fn take_over(&self, transfer: Transfer) -> bool {
         let core = &*self.0;
-        let taken = transfer.to == core.own() && core.state().is_member(&transfer.to);
+        let taken = transfer.to == core.own_writer() && core.state().is_member(&transfer.to);
         if taken {
             core.claims().take_over(transfer.claims);
         }
--- a/crates/crosspathd/src/pools.rs
+++ b/crates/crosspathd/src/pools.rs
@@ -44,7 +44,7 @@
     pool: Arc<Pool>,
     vm: VmName,
     class: Class,
-    end: Use,
+    outcome: Use,
 }
 
 impl Slot {
@@ -53,8 +53,8 @@
     }
 
     /// Says how the use ended; without a word it counts as abandoned.
-    pub(crate) fn ended(&mut self, end: Use) {
-        self.end = end;
+    pub(crate) fn set_outcome(&mut self, outcome: Use) {
+        self.outcome = outcome;
     }
 }
 
@@ -64,7 +64,7 @@
         let grants = self.pool.lock().dispatch.release(
             &self.vm,
             self.class,
-            self.end,
+            self.outcome,
             now,
             &mut rand::rng(),
         );
@@ -72,18 +72,18 @@
     }
 }
 
-enum Asked {
+enum Acquisition {
     Assigned(Slot),
     Waiting(oneshot::Receiver<Slot>),
 }
 
 /// Takes a request out of the queue when whoever waits goes away.
-struct Waiting<'a> {
+struct CancelOnDrop<'a> {
     pool: &'a Arc<Pool>,
     ticket: Ticket,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for CancelOnDrop<'_> {
     fn drop(&mut self) {
         let mut queue = self.pool.lock();
         queue.dispatch.cancel(self.ticket);
@@ -98,21 +98,25 @@
         self.queue.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn ask(self: &Arc<Self>, wish: &Wish<'_>, ticket: Ticket) -> Result<Asked, Final> {
-        let (class, deadline) = (wish.class, wish.deadline);
-        let ask = Ask { ticket, caller: wish.caller.clone(), class, deadline };
+    fn request_slot(
+        self: &Arc<Self>,
+        request: &SlotRequest<'_>,
+        ticket: Ticket,
+    ) -> Result<Acquisition, Final> {
+        let (class, deadline) = (request.class, request.deadline);
+        let ask = Ask { ticket, caller: request.caller.clone(), class, deadline };
         let mut queue = self.lock();
         match queue.dispatch.offer(ask, clock::monotonic(), &mut rand::rng()) {
             Offer::Assigned(vm) => {
                 drop(queue);
                 let pool = Arc::clone(self);
-                Ok(Asked::Assigned(Slot { pool, vm, class, end: Use::Abandoned }))
+                Ok(Acquisition::Assigned(Slot { pool, vm, class, outcome: Use::Abandoned }))
             }
             Offer::Refused(refusal) => Err(refusal),
             Offer::Waiting => {
                 let (waiter, granted) = oneshot::channel();
                 queue.waiters.insert(ticket, waiter);
-                Ok(Asked::Waiting(granted))
+                Ok(Acquisition::Waiting(granted))
             }
         }
     }
@@ -122,7 +126,7 @@
         for grant in grants {
             let waiter = self.lock().waiters.remove(&grant.ticket);
             let pool = Arc::clone(self);
-            let slot = Slot { pool, vm: grant.vm, class: grant.class, end: Use::Abandoned };
+            let slot = Slot { pool, vm: grant.vm, class: grant.class, outcome: Use::Abandoned };
             match waiter {
                 Some(waiter) => drop(waiter.send(slot)),
                 None => drop(slot),
@@ -133,7 +137,7 @@
 
 /// A request for a slot.
 #[derive(Debug)]
-pub(crate) struct Wish<'a> {
+pub(crate) struct SlotRequest<'a> {
     pub(crate) pool: &'a PoolName,
     pub(crate) caller: &'a CallerName,
     pub(crate) class: Class,
@@ -216,17 +220,17 @@
     }
 
     /// Waits for a slot.
-    pub(crate) async fn acquire(&self, wish: Wish<'_>) -> Result<Slot, Final> {
-        let Some(pool) = self.pool(wish.pool) else {
+    pub(crate) async fn acquire(&self, request: SlotRequest<'_>) -> Result<Slot, Final> {
+        let Some(pool) = self.pool(request.pool) else {
             return Err(Final::not_run(NotRun::NoUpstream, Duration::from_secs(1)));
         };
         let ticket = Ticket(self.tickets.fetch_add(1, Ordering::Relaxed));
-        let granted = match pool.ask(&wish, ticket)? {
-            Asked::Assigned(slot) => return Ok(slot),
-            Asked::Waiting(granted) => granted,
+        let granted = match pool.request_slot(&request, ticket)? {
+            Acquisition::Assigned(slot) => return Ok(slot),
+            Acquisition::Waiting(granted) => granted,
         };
-        let _waiting = Waiting { pool: &pool, ticket };
-        let left = wish.deadline.since(clock::monotonic());
+        let _cancel_on_drop = CancelOnDrop { pool: &pool, ticket };
+        let left = request.deadline.since(clock::monotonic());
         match tokio::time::timeout(left, granted).await {
             Ok(Ok(slot)) => Ok(slot),
             _ => Err(Final::not_run(NotRun::TooLate, Duration::from_secs(1))),
--- a/crates/crosspathd/src/stop.rs
+++ b/crates/crosspathd/src/stop.rs
@@ -39,7 +39,7 @@
 }
 
 /// Stops as planned; `callers` ends when nothing of theirs is in flight any more.
-pub(crate) async fn planned(core: &Arc<Core>, callers: JoinHandle<()>) {
+pub(crate) async fn graceful(core: &Arc<Core>, callers: JoinHandle<()>) {
     let timing = &core.settings.timing;
     log::info!("event=stopping");
     core.set_stopping();
@@ -63,7 +63,7 @@
         log::warn!("event=handover_failed error=\"{error}\"");
     }
     let leave = Change::Member(Membership::Leave);
-    if let Err(error) = core.committer.commit_surely(vec![leave]).await {
+    if let Err(error) = core.committer.commit_until_final(vec![leave]).await {
         log::warn!("event=leave_failed error=\"{error}\"");
     }
 }
--- a/crates/crosspathd/src/watcher.rs
+++ b/crates/crosspathd/src/watcher.rs
@@ -20,14 +20,14 @@
 const MIN_INTERVAL: Duration = Duration::from_secs(1);
 /// Keeps the list, at about 35 bytes a VM, under 3 KB a second however many VMs there are.
 const INTERVAL_PER_VM: Duration = Duration::from_millis(12);
-const TICK: Duration = Duration::from_millis(100);
+const POOL_TICK: Duration = Duration::from_millis(100);
 
 /// Keeps the pools' VMs up to date with the state and with the list.
 pub(crate) async fn run(core: Arc<Core>) {
     let mut leaving = BTreeSet::new();
     let mut states = core.state.subscribe();
-    let mut next_look = Instant::now();
-    let mut tick = tokio::time::interval(TICK);
+    let mut next_poll = Instant::now();
+    let mut tick = tokio::time::interval(POOL_TICK);
     loop {
         tokio::select! {
             changed = states.changed() => if changed.is_err() { return },
@@ -35,11 +35,11 @@
                 core.pools.tick();
                 continue;
             }
-            () = sleep_until(next_look) => {
-                next_look = Instant::now() + interval(&core.state());
+            () = sleep_until(next_poll) => {
+                next_poll = Instant::now() + poll_interval(&core.state());
                 let Ok(list) = core.vm_list.list().await else { continue };
                 if core.is_planner() {
-                    record(&core, &list).await;
+                    record_changes(&core, &list).await;
                 }
                 let listed = list.iter().filter(|entry| entry.liveness == Liveness::Leaving);
                 leaving = listed.map(|entry| entry.vm.clone()).collect();
@@ -50,30 +50,30 @@
     }
 }
 
-fn interval(state: &State) -> Duration {
+fn poll_interval(state: &State) -> Duration {
     let vms = u32::try_from(state.vms.len()).unwrap_or(u32::MAX);
     MIN_INTERVAL.max(INTERVAL_PER_VM.saturating_mul(vms))
 }
 
-async fn record(core: &Core, list: &[Entry]) {
+async fn record_changes(core: &Core, list: &[Entry]) {
     let state = core.state();
     let mut changes = Vec::new();
     for entry in list {
-        let Some(liveness) = question(&state, entry) else {
+        let Some(liveness) = differing_liveness(&state, entry) else {
             continue;
         };
         let up = core.worker.report(&entry.vm).await.is_ok_and(|report| report.up);
-        changes.extend(change(&entry.vm, liveness, up));
+        changes.extend(confirmed_change(&entry.vm, liveness, up));
     }
     if changes.is_empty() {
         return;
     }
-    let result = core.committer.commit_surely(changes).await;
+    let result = core.committer.commit_until_final(changes).await;
     log::info!("event=vm_failures_recorded done={}", result.is_ok());
 }
 
 /// What the list says, where it differs from the state.
-fn question(state: &State, entry: &Entry) -> Option<Liveness> {
+fn differing_liveness(state: &State, entry: &Entry) -> Option<Liveness> {
     let phase = &state.vms.get(&entry.vm)?.status;
     let differs = match (phase, entry.liveness) {
         // The platform brings it back, or the wave shows that it does not.
@@ -84,7 +84,7 @@
     differs.then_some(entry.liveness)
 }
 
-fn change(vm: &VmName, liveness: Liveness, up: bool) -> Option<Change> {
+fn confirmed_change(vm: &VmName, liveness: Liveness, up: bool) -> Option<Change> {
     let vm = vm.clone();
     match (liveness, up) {
         (Liveness::Down, false) => Some(Change::Failure { vm, seen_at: clock::wall() }),
