--- a/crates/crosspath_border/src/customer.rs
+++ b/crates/crosspath_border/src/customer.rs
@@ -18,7 +18,7 @@
 /// Weight and limits of one customer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Customer {
-    /// Unique name of the customer.
+    /// Unique name, under which jobs of the customer are recorded.
     pub name: Arc<str>,
     /// Rate in jobs per second that the customer is entitled to when capacity is exhausted.
     pub weight: f64,
@@ -42,7 +42,7 @@
     /// The same customer is registered twice.
     #[snafu(display("customer {name} is registered twice; names must be unique"))]
     Duplicate {
-        /// Name of the customer.
+        /// Name that occurs more than once.
         name: Arc<str>,
     },
     /// Two customers share a key.
--- a/crates/crosspath_border/src/ingress.rs
+++ b/crates/crosspath_border/src/ingress.rs
@@ -59,7 +59,7 @@
 pub enum Lookup {
     /// Current state of the job.
     State(State),
-    /// The job does not exist.
+    /// No job with this identifier exists for the requester.
     None,
     /// The state cannot be determined at the moment.
     Unavailable {
--- a/crates/crosspath_border/src/operator.rs
+++ b/crates/crosspath_border/src/operator.rs
@@ -8,7 +8,8 @@
 
 use crate::customer::{Customer, Keys};
 
-/// Default for the maximum size of a request body in bytes, as deployments configure it.
+/// Maximum size of a request body in bytes if the configuration does not set one. Deployments use
+/// this value.
 pub const DEFAULT_BODY_BYTES: u64 = 262_144;
 
 /// Job queue, selected by host and path.
@@ -30,7 +31,7 @@
     pub open: bool,
 }
 
-/// Pool of VMs.
+/// Pool of VMs, as configured by operators. A VM is in one pool at a time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pool {
     /// Unique name of the pool.
@@ -39,14 +40,14 @@
     pub spare: bool,
 }
 
-/// Complete configuration.
+/// Complete configuration, which replaces the previous one as a whole.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Config {
     /// Version of the configuration; increases with each change.
     pub version: u64,
-    /// All queues.
+    /// Queues through which callers submit jobs.
     pub queues: Vec<Queue>,
-    /// All pools.
+    /// Pools between which VMs can be moved, including spare ones.
     pub pools: Vec<Pool>,
     /// All customers. If there are none, no caller needs a key.
     pub customers: Vec<Customer>,
@@ -69,7 +70,7 @@
     pub max_concurrent: u32,
 }
 
-/// State of a wave.
+/// State of a maintenance wave, which the daemons publish for operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WaveState {
     /// At least one VM has not been serviced yet.
--- a/crates/crosspath_border/src/store.rs
+++ b/crates/crosspath_border/src/store.rs
@@ -22,18 +22,18 @@
     ShardMap,
     /// Records written by operators.
     Operators,
-    /// Registrations written by workers.
+    /// The worker list: one entry per worker, written by the worker itself.
     Workers,
     /// Wave states that operators read.
     WaveStatus,
 }
 
-/// Partition of a topic.
+/// Partition of a topic. Offsets are counted per partition.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Partition {
     /// Topic that the partition belongs to.
     pub topic: Topic,
-    /// Number of the partition within the topic.
+    /// Number of the partition within the topic; for [`Topic::Shards`], the number of the shard.
     pub number: u32,
 }
 
@@ -57,7 +57,7 @@
 pub struct Stored {
     /// Offset of the record in its partition.
     pub offset: u64,
-    /// Key of the record.
+    /// Key of the record; a later record with the same key replaces this one.
     pub key: String,
     /// Value of the record; empty if the key was deleted.
     pub value: Bytes,
@@ -119,7 +119,7 @@
     /// The sequence number of the append is not the next one.
     #[snafu(display("append sequence number out of order; expected {expected}"))]
     Sequence {
-        /// Next sequence number.
+        /// Sequence number that the store expects next from this owner.
         expected: u64,
     },
     /// The partition does not end at the offset that the append required.
@@ -147,10 +147,10 @@
     }
 }
 
-/// Result of a read.
+/// Records returned by one read.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Page {
-    /// Records in order of their offsets.
+    /// Records in order of their offsets; empty if none arrived within the wait.
     pub records: Vec<Stored>,
     /// Offset after the last record of the partition.
     pub end: u64,
@@ -190,9 +190,9 @@
 /// Assignment of a shard to a member.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Holder {
-    /// Number of the shard.
+    /// Number of the assigned shard.
     pub shard: u32,
-    /// Name of the member.
+    /// Name under which the member joined, as [`Join::member`].
     pub member: Arc<str>,
 }
 
@@ -277,7 +277,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("record {key} at offset {offset} cannot be decoded: {detail}"))]
 pub struct DecodeError {
-    /// Key of the record.
+    /// Key of the invalid record.
     pub key: String,
     /// Offset of the record in its partition.
     pub offset: u64,
--- a/crates/crosspath_border/src/vm.rs
+++ b/crates/crosspath_border/src/vm.rs
@@ -9,20 +9,20 @@
 /// Lifecycle state of a VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
-    /// The VM serves its pool.
+    /// The VM serves its pool. Only in this state can it be moved or serviced.
     Up,
     /// The VM is being moved to another pool.
     Moving,
     /// The VM is being serviced.
     Maintenance,
-    /// The VM is down.
+    /// The VM is out of service for any other reason, or the platform reports an unknown state.
     Down,
 }
 
 /// Virtual machine, as listed by the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Vm {
-    /// Unique name of the VM.
+    /// Unique name, which orders and maintenance waves use.
     pub name: Arc<str>,
     /// Pool that the VM belongs to.
     pub pool: Arc<str>,
@@ -38,22 +38,22 @@
     pub worker: Option<Arc<str>>,
 }
 
-/// Order to the platform.
+/// Order for one VM, carried out by the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Order {
-    /// Move the VM to a pool.
+    /// Move the VM from its current pool to another one.
     Move {
         /// Name of the destination pool.
         pool: Arc<str>,
     },
-    /// Service the VM.
+    /// Service the VM as part of a maintenance wave.
     Maintain {
         /// Number of the maintenance wave that names the VM.
         wave: u64,
     },
 }
 
-/// Answer to an order.
+/// Answer of the platform to an [`Order`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
     /// The order was carried out, now or earlier.
@@ -92,7 +92,7 @@
 /// Client of the platform's VM management.
 #[async_trait]
 pub trait Fleet: Send + Sync + std::fmt::Debug {
-    /// Lists all VMs.
+    /// Lists the VMs of all pools, each with its state.
     ///
     /// # Errors
     ///
--- a/crates/crosspath_border/src/worker.rs
+++ b/crates/crosspath_border/src/worker.rs
@@ -1,4 +1,4 @@
-//! Workers: their registrations, and the protocol by which tasks run on them.
+//! Workers: their entries in the worker list, and the protocol by which tasks run on them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-/// Registration that a worker publishes about itself.
+/// Entry of the worker list, which the worker writes itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     /// Identifier of the worker, issued for the current incarnation of its VM.
@@ -19,7 +19,7 @@
     pub pool: Arc<str>,
     /// Name of the VM on which the worker runs.
     pub vm: Arc<str>,
-    /// Data centre of the VM.
+    /// Data centre of the VM. Nothing is placed on the worker while that is evacuated.
     pub data_centre: Arc<str>,
     /// Address at which the worker accepts requests.
     pub address: SocketAddr,
@@ -31,7 +31,7 @@
     pub capacity: Resources,
     /// Labels of the worker, such as its kind and rack.
     pub labels: Vec<Arc<str>>,
-    /// The worker's clock when the registration was written, in ms.
+    /// The worker's clock when the entry was written, in ms.
     pub clock_ms: u64,
     /// Start of the worker's incarnation in ms since 1970; 0 if it is not reported. A later
     /// incarnation may have the same identifier.
@@ -40,7 +40,7 @@
 }
 
 impl Entry {
-    /// Whether both registrations are equal apart from the time at which they were written.
+    /// Whether both entries are equal apart from the time at which they were written.
     #[must_use]
     pub fn eq_ignoring_clock(&self, other: &Self) -> bool {
         Self { clock_ms: other.clock_ms, ..self.clone() } == *other
@@ -50,7 +50,7 @@
 /// Address and incarnation of the worker that a request is meant for.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Target {
-    /// Address of the worker.
+    /// Address at which the worker accepts requests, as [`Entry::address`].
     pub address: SocketAddr,
     /// Identifier of the worker.
     pub id: Arc<str>,
@@ -61,7 +61,7 @@
 /// Request to start a run of a task.
 #[derive(Debug, Clone)]
 pub struct Start {
-    /// Task to be run.
+    /// Task that the run belongs to.
     pub task: TaskId,
     /// Number of the run; later runs of a task have higher numbers.
     pub run: u64,
@@ -77,16 +77,16 @@
     pub ticket: Option<Arc<str>>,
 }
 
-/// Answer to a start.
+/// Answer of a worker to a [`Start`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Started {
-    /// The run was started.
+    /// The worker accepted the start of the run.
     Yes,
     /// A shard owner with a higher fencing token has already sent requests.
     Fenced,
     /// This run or a later one has already been stopped or has ended on the worker.
     Old,
-    /// The deadline has passed.
+    /// The lease deadline in the request has passed.
     Late,
     /// The worker lacks the resources.
     NoRoom,
@@ -101,9 +101,9 @@
 /// Run that is in progress, as reported by its worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Running {
-    /// Task that is being run.
+    /// Task that the run belongs to.
     pub task: TaskId,
-    /// Number of the run.
+    /// Number of the run, as in [`Start::run`].
     pub run: u64,
     /// Newest checkpoint of the run; `None` if it has saved none.
     pub checkpoint: Option<Arc<str>>,
@@ -114,12 +114,12 @@
     pub gauge: u64,
 }
 
-/// Outcome of a run.
+/// Outcome of a run, as reported by its worker. The names of the variants appear in log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
     /// The run ended successfully.
     Done,
-    /// The run failed.
+    /// The task ended by itself without success.
     Failed,
     /// The run was stopped on request.
     Stopped,
@@ -136,11 +136,11 @@
 pub struct Ended {
     /// Sequence number of this report within the worker's incarnation, counted from 1.
     pub number: u64,
-    /// Task that was run.
+    /// Task that the run belongs to.
     pub task: TaskId,
-    /// Number of the run.
+    /// Number of the run, as in [`Start::run`].
     pub run: u64,
-    /// How the run ended.
+    /// Success, or the reason why the run ended without it.
     pub outcome: Outcome,
     /// Newest checkpoint of the run; `None` if it saved none.
     pub checkpoint: Option<Arc<str>>,
@@ -161,23 +161,23 @@
     pub wait: Duration,
 }
 
-/// Answer to a [`Poll`].
+/// Answer of a worker to a [`Poll`].
 #[derive(Debug, Clone, Default)]
 pub struct PollReply {
     /// The worker's clock, in ms.
     pub clock_ms: u64,
     /// Start of the incarnation that answers, as [`Entry::started_ms`].
     pub started_ms: u64,
-    /// Runs in progress.
+    /// All runs in progress on the worker.
     pub running: Vec<Running>,
     /// Ended runs that are not acknowledged yet.
     pub ended: Vec<Ended>,
 }
 
-/// Answer together with the worker's clock.
+/// Answer of a worker, with a reading of its clock.
 #[derive(Debug, Clone, Copy)]
 pub struct Timestamped<T> {
-    /// Content of the answer.
+    /// Answer without the clock reading.
     pub value: T,
     /// The worker's clock when it answered, in ms; `None` if the answer does not include it.
     pub clock_ms: Option<u64>,
@@ -207,10 +207,10 @@
     },
 }
 
-/// Client of the workers.
+/// Client for requests of shard owners to workers.
 #[async_trait]
 pub trait Runner: Send + Sync + std::fmt::Debug {
-    /// Starts a run of a task.
+    /// Starts a run of a task. Refusals that [`Started`] names are answers, not errors.
     ///
     /// # Errors
     ///
--- a/crates/crosspath_job/src/id.rs
+++ b/crates/crosspath_job/src/id.rs
@@ -63,7 +63,7 @@
 }
 
 /// Identifier of one task of a job. Written as `JOB.TIME.STEP.INDEX`, where `TIME` is the
-/// occurrence.
+/// occurrence; all numbers but that of the job are decimal.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
     /// Job that the task belongs to.
--- a/crates/crosspath_job/src/progress.rs
+++ b/crates/crosspath_job/src/progress.rs
@@ -9,16 +9,16 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// No task has started.
+    /// The job is accepted, and no task has started yet.
     #[default]
     Queued,
     /// At least one task has started.
     Running,
     /// Every task has ended successfully.
     Completed,
-    /// A task has failed too often.
+    /// A task has failed as often as the policy permits, or was lost with too many workers.
     Failed,
-    /// The job was cancelled.
+    /// The job was cancelled on request, before it completed or failed.
     Cancelled,
 }
 
@@ -33,18 +33,19 @@
 /// A run that was lost together with its worker.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Loss {
-    /// Number of the lost run.
+    /// Number of the lost run, unique within its task.
     #[serde(rename = "r")]
     pub run: u64,
-    /// Incarnation of the worker on which it was lost.
+    /// Incarnation of the worker on which the run was lost.
     #[serde(rename = "w")]
     pub worker: Arc<str>,
-    /// Whether no other run on the worker can have caused its loss.
+    /// Whether no other run on the worker can be the cause of the worker's loss.
     #[serde(rename = "a", default, skip_serializing_if = "std::ops::Not::not")]
     pub alone: bool,
 }
 
-/// Stored progress of one task. A task without an entry has not started.
+/// Stored progress of one task. The default value is not stored: it stands for a task that is not
+/// done and has no runs, failures, losses or checkpoint.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct TaskProgress {
@@ -67,13 +68,14 @@
     pub checkpoint: Option<Arc<str>>,
 }
 
-/// Progress of a job.
+/// Value of a job's progress record, which only the shard owner writes.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Progress {
     /// Current state of the job.
     #[serde(rename = "s")]
     pub state: State,
-    /// Progress by task, keyed `TIME.STEP.INDEX`. A task without an entry has not ended yet.
+    /// Progress by task, keyed `TIME.STEP.INDEX`, where `TIME` is the occurrence. Empty once the
+    /// state is terminal; until then, a task without an entry has not ended successfully.
     #[serde(rename = "t", default, skip_serializing_if = "BTreeMap::is_empty")]
     pub tasks: BTreeMap<String, TaskProgress>,
     /// When the job ended, in ms since 1970; 0 while it has not ended.
--- a/crates/crosspath_job/src/record.rs
+++ b/crates/crosspath_job/src/record.rs
@@ -34,7 +34,7 @@
     pub valid_ms: u64,
 }
 
-/// Job that was accepted.
+/// Value of a job's acceptance record: the specification, and what applied when it was accepted.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Accepted {
     /// Name of the queue that accepted it.
@@ -99,15 +99,15 @@
 /// Decoded record of a shard.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Record {
-    /// The job was accepted.
+    /// Acceptance of a job, written by the daemon that accepted it.
     Accepted(JobId, Arc<Accepted>),
-    /// Progress of the job.
+    /// Progress of a job, written by the shard owner.
     Progress(JobId, Progress),
-    /// The requester asked for the job to be cancelled.
+    /// Request to cancel a job. It has no effect if the job does not belong to the requester.
     Cancelled(JobId, Requester),
-    /// A daemon claimed the shard.
+    /// Claim by which a daemon became the owner of the shard.
     Claim(Claim),
-    /// The key was deleted.
+    /// Deletion of the record with this key.
     Tombstone(String),
 }
 
@@ -117,13 +117,13 @@
     /// The key matches no kind of record.
     #[snafu(display("key \"{key}\" matches no kind of record"))]
     Key {
-        /// Key of the record.
+        /// Key as read from the log.
         key: String,
     },
     /// The value is not valid JSON of the kind that the key names.
     #[snafu(display("value of key \"{key}\" cannot be decoded: {source}"))]
     Value {
-        /// Key of the record.
+        /// Key of the record, which determines the expected type.
         key: String,
         /// Cause reported by the JSON decoder.
         source: serde_json::Error,
--- a/crates/crosspath_job/src/spec.rs
+++ b/crates/crosspath_job/src/spec.rs
@@ -20,9 +20,9 @@
 pub struct Resources {
     /// Processor time in thousandths of a core.
     pub cpu_millis: u64,
-    /// Memory in MB.
+    /// Memory in MB. Best-effort tasks reserve it too.
     pub mem_mb: u64,
-    /// Number of accelerators.
+    /// Number of accelerators. Best-effort tasks reserve them too.
     pub gpus: u64,
 }
 
@@ -47,13 +47,13 @@
         self.zip_with(other, u64::saturating_add)
     }
 
-    /// Component-wise minimum.
+    /// Smaller value of each component.
     #[must_use]
     pub fn component_min(&self, other: &Self) -> Self {
         self.zip_with(other, u64::min)
     }
 
-    /// Component-wise maximum.
+    /// Larger value of each component.
     #[must_use]
     pub fn component_max(&self, other: &Self) -> Self {
         self.zip_with(other, u64::max)
@@ -83,25 +83,26 @@
     /// Resources that each task requires.
     #[serde(rename = "room")]
     pub resources: Resources,
-    /// Duration of one task as estimated by the caller, in ms.
+    /// Duration of one task as estimated by the caller, in ms; 0 if there is no estimate.
     #[serde(skip_serializing_if = "is_default")]
     pub estimate_ms: u64,
-    /// Indices of the steps that must end before this one starts.
+    /// Indices of the steps whose tasks must all end successfully before this one starts.
     #[serde(skip_serializing_if = "is_default")]
     pub after: Vec<u32>,
-    /// Whether the tasks save checkpoints.
+    /// Whether the tasks save checkpoints, from which a later run can resume.
     #[serde(skip_serializing_if = "is_default")]
     pub checkpoints: bool,
     /// Whether the tasks are gang-scheduled: all run at the same time or none does.
     #[serde(skip_serializing_if = "is_default")]
     pub gang: bool,
-    /// Whether a gang runs slowly if it is spread over several racks.
+    /// Whether the gang runs slowly if it is spread over several racks. Placement then prefers a
+    /// single rack.
     #[serde(skip_serializing_if = "is_default")]
     pub same_rack: bool,
-    /// Label that a worker must have to run the tasks.
+    /// Label that a worker must have to run the tasks; `None` permits all workers.
     #[serde(skip_serializing_if = "is_default")]
     pub requires: Option<Arc<str>>,
-    /// Rack close to the step's data.
+    /// Label of the rack close to the step's data. Workers there are preferred, not required.
     #[serde(rename = "near", skip_serializing_if = "is_default")]
     pub preferred_rack: Option<Arc<str>>,
     /// Maximum number of the step's tasks on one worker; 0 means no limit.
@@ -122,7 +123,8 @@
     /// Whether the tasks use only processor time that other tasks leave idle.
     #[serde(rename = "filler", skip_serializing_if = "is_default")]
     pub best_effort: bool,
-    /// Number of tasks of a long-running step that the system may stop at the same time.
+    /// Limit on moving tasks of a long-running step off workers that are to be vacated: a task is
+    /// stopped only while fewer than this number of the others are unavailable. `None` means 1.
     #[serde(rename = "may_miss", skip_serializing_if = "is_default")]
     pub max_unavailable: Option<u32>,
 }
@@ -144,7 +146,7 @@
 /// Schedule on which all steps of the job are repeated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Repeat {
-    /// Number of occurrences.
+    /// Number of occurrences; 0 counts as 1.
     pub count: u32,
     /// Due time of the first occurrence, in ms since 1970.
     pub first_ms: u64,
@@ -168,27 +170,27 @@
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum SpecError {
     /// The text is longer than [`MAX_TEXT_BYTES`].
-    #[snafu(display("spec is {bytes} bytes long; at most {MAX_TEXT_BYTES} are taken"))]
+    #[snafu(display("spec is {bytes} bytes long; at most {MAX_TEXT_BYTES} are allowed"))]
     TextTooLong {
         /// Length of the text in bytes.
         bytes: usize,
     },
     /// The job has no steps or more than [`MAX_STEPS`].
-    #[snafu(display("{steps} steps; 1 to {MAX_STEPS} are taken"))]
+    #[snafu(display("job has {steps} steps; 1 to {MAX_STEPS} are allowed"))]
     StepCount {
-        /// Number of steps.
+        /// Number of steps in the specification.
         steps: usize,
     },
     /// A step has no tasks or more than [`MAX_STEP_TASKS`].
-    #[snafu(display("steps[{step}] has {tasks} tasks; 1 to {MAX_STEP_TASKS} are taken"))]
+    #[snafu(display("steps[{step}] has {tasks} tasks; 1 to {MAX_STEP_TASKS} are allowed"))]
     TaskCount {
-        /// Index of the step.
+        /// Index of the rejected step, counted from 0.
         step: usize,
-        /// Number of tasks in the step.
+        /// Number of tasks that the step asks for.
         tasks: u32,
     },
     /// A step depends on itself or on a later step.
-    #[snafu(display("steps[{step}] comes after step {after}, which is not an earlier one"))]
+    #[snafu(display("steps[{step}] depends on steps[{after}], which is not an earlier step"))]
     DependencyOrder {
         /// Index of the dependent step.
         step: usize,
@@ -196,9 +198,9 @@
         after: u32,
     },
     /// The job has more occurrences than [`MAX_OCCURRENCES`].
-    #[snafu(display("{occurrences} times; at most {MAX_OCCURRENCES} are taken"))]
+    #[snafu(display("job has {occurrences} occurrences; at most {MAX_OCCURRENCES} are allowed"))]
     OccurrenceCount {
-        /// Number of occurrences.
+        /// Number of occurrences that the repetition schedule asks for.
         occurrences: u32,
     },
 }
--- a/crates/crosspath_quota/src/allowance.rs
+++ b/crates/crosspath_quota/src/allowance.rs
@@ -15,7 +15,7 @@
 /// the ledger with their requests.
 const PENDING_INTERVAL: Duration = Duration::from_millis(20);
 /// Interval between requests while no task waits. They release what ended runs used, and report to
-/// a new ledger what the shard keeps. Released resources may be missing elsewhere for this long.
+/// a new ledger what the shard keeps. Other shards may lack released resources for this long.
 const IDLE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A shard's use of one customer's maximum, and its unmet demand.
@@ -171,8 +171,8 @@
     Demand { keep, requested, minimum }
 }
 
-/// Part of an allotment that is valid under the maximum now in force. None if the maximum was
-/// lowered: more than that may run in other shards, which only the ledger knows.
+/// Part of an allotment that is valid under the maximum now in force. Zero if the maximum was
+/// lowered: other shards may already use more than it, which only the ledger knows.
 fn effective(allotment: &Allotment, limit: &Resources) -> Resources {
     if allotment.limit.fits(limit) { allotment.held } else { Resources::default() }
 }
--- a/crates/crosspath_quota/src/message.rs
+++ b/crates/crosspath_quota/src/message.rs
@@ -22,7 +22,7 @@
 /// Request of a shard for allotments.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Request {
-    /// Number of the shard.
+    /// Number of the shard that sends the request.
     pub shard: u32,
     /// Epoch of the shard's owner.
     pub epoch: u64,
@@ -36,21 +36,21 @@
     pub demands: BTreeMap<Arc<str>, Demand>,
 }
 
-/// A shard's share of one customer's maximum.
+/// The part of one customer's maximum that a shard may use.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Allotment {
     /// Resources that the shard may have running.
     pub held: Resources,
-    /// Maximum of the customer when the share was allotted.
+    /// Maximum of the customer when the part was allotted.
     pub limit: Resources,
 }
 
 /// Answer of the ledger to a request.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
-    /// Sequence number of the request.
+    /// Sequence number of the request that is answered.
     pub number: u64,
-    /// Term of the ledger.
+    /// Term of the ledger that answers.
     pub term: u64,
     /// Whether the ledger is active. A new ledger grants nothing until every shard has acknowledged
     /// its term.
--- a/crates/crosspath_quota/tests/quota/simulation.rs
+++ b/crates/crosspath_quota/tests/quota/simulation.rs
@@ -57,7 +57,7 @@
     /// All ledgers so far, each with the maximum that it knows. Only the last one answers.
     ledgers: Vec<(Ledger, u64)>,
     messages: Vec<(Duration, Message)>,
-    /// All maxima so far, with the time at which each was set.
+    /// All maxima so far, each with the time at which it was set.
     maxima: Vec<(Duration, u64)>,
     pub(crate) starts: u64,
 }
--- a/crates/crosspath_schedule/src/action.rs
+++ b/crates/crosspath_schedule/src/action.rs
@@ -15,7 +15,7 @@
     Start {
         /// Worker to send the start to.
         worker: Target,
-        /// Task to be run.
+        /// Task that the run belongs to.
         task: TaskId,
         /// Number of the run; later runs of a task have higher numbers.
         run: u64,
@@ -38,7 +38,7 @@
     /// Poll a worker at once, in addition to the periodic polls, which wait on the worker for a run
     /// to end.
     Poll {
-        /// Worker to poll.
+        /// Worker that is to answer the poll.
         worker: Target,
     },
     /// Limit the speed of a run.
@@ -54,7 +54,7 @@
     },
     /// Ask the advice service which workers may run a step; answered by `Event::Advised`.
     RequestAdvice {
-        /// Step to be approved.
+        /// Step for which workers are to be approved.
         step: StepId,
         /// Identifiers of the candidate workers.
         workers: Vec<Arc<str>>,
@@ -76,16 +76,18 @@
         /// Sequence number up to which the worker's reports are acknowledged.
         number: u64,
     },
-    /// Start to poll a worker periodically.
+    /// Start periodic polls of a worker; they are answered by `Event::Polled` or
+    /// `Event::PollFailed`.
     StartPolling {
-        /// Worker to poll.
+        /// Address and incarnation to poll.
         worker: Target,
-        /// The worker's clock in ms, as stated in its registration or its last poll reply.
+        /// The worker's clock in ms, as stated in its entry of the worker list or in the poll reply
+        /// that showed its incarnation.
         clock_ms: u64,
     },
     /// Stop the periodic polls of a worker.
     StopPolling {
-        /// Worker that is polled until now.
+        /// Address and incarnation whose polls are to stop.
         worker: Target,
     },
 }
--- a/crates/crosspath_schedule/src/commit.rs
+++ b/crates/crosspath_schedule/src/commit.rs
@@ -146,8 +146,8 @@
         unacknowledged.map(|(id, worker)| (Arc::clone(id), worker.ends_seen)).collect()
     }
 
-    /// Acknowledges all ended runs at once. Used when there is nothing to commit, so that none of
-    /// them has changed any progress that is not durable.
+    /// Acknowledges all ended runs at once. Called only while there is nothing to commit: all
+    /// progress that the ended runs have caused is then durable.
     fn acknowledge_all(&mut self) {
         for (id, number) in self.unacknowledged_ends() {
             self.acknowledge(&id, number);
--- a/crates/crosspath_schedule/src/event.rs
+++ b/crates/crosspath_schedule/src/event.rs
@@ -13,9 +13,9 @@
 /// One observation that may change the scheduler's state.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// A job was accepted.
+    /// The acceptance record of a job was read from the log.
     Accepted(JobId, Arc<Accepted>),
-    /// The requester asked for the job to be cancelled.
+    /// The requester asked for the job to be cancelled. Ignored if the job is not the requester's.
     Cancelled(JobId, Requester),
     /// The worker list has a new or changed entry.
     WorkerListed(Entry),
@@ -25,31 +25,31 @@
     Polled {
         /// Identifier of the polled worker.
         worker: Arc<str>,
-        /// When the poll was sent.
+        /// Time at which the poll was sent.
         sent: Duration,
         /// Whether the poll extended the leases on the worker.
         extended: bool,
-        /// Answer of the worker.
+        /// Runs on the worker, and its clock.
         reply: PollReply,
     },
-    /// A poll failed.
+    /// A worker gave no usable answer to a poll.
     PollFailed {
         /// Identifier of the polled worker.
         worker: Arc<str>,
-        /// When the poll was sent.
+        /// Time at which the poll was sent.
         sent: Duration,
         /// Whether the poll extends the leases on the worker if it was received.
         extended: bool,
-        /// Reason of the failure.
+        /// Reason, which tells whether the poll may have reached the worker.
         error: Error,
     },
     /// A worker answered a start, or the start failed.
     StartAnswered {
         /// Identifier of the worker that the start was sent to.
         worker: Arc<str>,
-        /// Task that was to be run.
+        /// Task that the run belongs to.
         task: TaskId,
-        /// Number of the run.
+        /// Number of the run that was to be started.
         run: u64,
         /// Answer of the worker, or the reason why there is none.
         answer: Result<Started, Error>,
@@ -60,7 +60,7 @@
         worker: Arc<str>,
         /// Task that the run belongs to.
         task: TaskId,
-        /// Number of the run.
+        /// Number of the run that was to be stopped.
         run: u64,
         /// Acknowledgement of the worker, or the reason why there is none.
         answer: Result<(), Error>,
@@ -96,7 +96,7 @@
     },
     /// The ledger answered a request for allotments, or the request failed.
     QuotaAnswered {
-        /// Number of the request.
+        /// Sequence number of the request, as in [`crosspath_quota::Request::number`].
         number: u64,
         /// Allotments that the ledger granted; `None` if it did not answer.
         grant: Option<Grant>,
--- a/crates/crosspath_schedule/src/job.rs
+++ b/crates/crosspath_schedule/src/job.rs
@@ -77,7 +77,7 @@
     }
 }
 
-/// A task of a job.
+/// The state of a task, as the owner of the shard knows it.
 #[derive(Debug, Clone, Default)]
 pub struct Task {
     /// Whether the task has ended successfully.
@@ -135,10 +135,10 @@
     pub due: bool,
 }
 
-/// A job of the shard.
+/// The state of a job, as the owner of the shard knows it.
 #[derive(Debug)]
 pub struct Job {
-    /// Identifier of the job.
+    /// Identifier that the caller chose.
     pub id: JobId,
     /// The acceptance record: spec, policy, queue and customer.
     pub accepted: Arc<Accepted>,
@@ -308,7 +308,8 @@
     }
 }
 
-/// Parses the key of a task in a progress record, `OCCURRENCE.STEP.INDEX`.
+/// Parses the key of a task in a progress record, `TIME.STEP.INDEX`, where `TIME` is the
+/// occurrence.
 fn parse_key(key: &str) -> Option<(u32, u32, u32)> {
     let mut parts = key.split('.').map(str::parse);
     let mut next = || parts.next()?.ok();
--- a/crates/crosspath_schedule/src/losses.rs
+++ b/crates/crosspath_schedule/src/losses.rs
@@ -71,7 +71,7 @@
 pub(crate) struct Colocation {
     /// Number of other runs beside each of its runs.
     others: usize,
-    /// Whether at most one of its runs may be the cause of the loss.
+    /// Whether at most one of its runs may be the cause of the worker's loss.
     alone: bool,
 }
 
--- a/crates/crosspath_schedule/src/place.rs
+++ b/crates/crosspath_schedule/src/place.rs
@@ -19,9 +19,9 @@
 /// Number of consecutive tasks without a fitting worker after which a round of placement ends.
 const MAX_CONSECUTIVE_UNPLACED: usize = 96;
 
-/// Cost of a worker for each suspect on it, that is, each run of a task that may crash it. It
-/// weighs more than how full the worker is, and less than a place off the rack that is close to
-/// the data.
+/// Cost that each suspect run adds to its worker: a run on probation of a task that may crash
+/// workers. It weighs more than how full the worker is, and less than being off the rack that is
+/// close to the data.
 const SUSPECT_WEIGHT: f64 = 5.0;
 
 /// Queue entry of a waiting task. Entries are ordered by priority, then long-running before finite
--- a/crates/crosspath_schedule/src/report.rs
+++ b/crates/crosspath_schedule/src/report.rs
@@ -36,7 +36,8 @@
 pub struct Pool {
     /// Processor time reserved by runs, in thousandths of a core.
     pub running_millis: u64,
-    /// Processor time required by unblocked tasks that have no run, in thousandths of a core.
+    /// Processor time required by unblocked tasks that have no run, in thousandths of a core. Tasks
+    /// that were blocked on quota in the last placement round are left out.
     pub waiting_millis: u64,
     /// Part of `running_millis` and `waiting_millis` that belongs to long-running tasks.
     #[serde(default, rename = "lasting_millis")]
@@ -52,7 +53,8 @@
     pub blocked_millis: u64,
     /// Largest processor time that a single waiting task requires, in thousandths of a core.
     pub largest_millis: u64,
-    /// Priority of the most urgent job without long-running steps; 0 is the highest.
+    /// Priority of the most urgent job without long-running steps; 0 is the highest, `u32::MAX`
+    /// means that there is none.
     pub priority: u32,
     /// Number of VMs that the steps with a limit of tasks per worker need at least: the maximum
     /// over these steps; 0 if there are none.
--- a/crates/crosspath_schedule/src/scheduler.rs
+++ b/crates/crosspath_schedule/src/scheduler.rs
@@ -31,7 +31,7 @@
 /// Settings that stay the same while a daemon owns the shard.
 #[derive(Debug, Clone, Copy)]
 pub struct Settings {
-    /// Number of the shard.
+    /// Number of the shard, which identifies it in requests to the ledger.
     pub shard: u32,
     /// Lengths of the leases that this owner grants.
     pub terms: Terms,
--- a/crates/crosspath_schedule/src/takeover.rs
+++ b/crates/crosspath_schedule/src/takeover.rs
@@ -7,10 +7,10 @@
 //! lease that a previous owner may have granted there has expired. No owner starts a run without
 //! that record, even while the store is unavailable.
 //!
-//! The wait starts at the takeover, so it would never end while the shard changes owners in quick
-//! succession: long-running tasks of an unreachable rack were unavailable for 18 s while entry VMs
-//! were restarted one after another. Therefore an owner that leaves a shard reports to the next
-//! one, if that one asks, by when everything that may run on each worker has expired.
+//! The wait starts at the takeover, so by itself it would not end while the shard changes owners in
+//! quick succession: restarts of the entry VMs, one after another, can keep long-running tasks of
+//! an unreachable rack unavailable for 18 s. Therefore an owner that leaves a shard reports to the
+//! next one, if that one asks, by when everything that may run on each worker has expired.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -26,7 +26,7 @@
 use crate::losses::Liveness;
 use crate::scheduler::{Scheduler, Settings};
 
-/// Allowance for orders of the previous owner that were in flight.
+/// Time for which an order may still be in flight after its owner has stopped acting.
 const IN_FLIGHT_MARGIN: Duration = Duration::from_millis(500);
 
 /// Leases as known to an owner when it leaves a shard, for the next owner.
--- a/crates/crosspath_schedule/src/worker.rs
+++ b/crates/crosspath_schedule/src/worker.rs
@@ -40,7 +40,7 @@
     pub(crate) ends_seen: u64,
     /// Highest sequence number of an ended run that was acknowledged to the worker.
     pub(crate) ends_acknowledged: u64,
-    /// Score of recent failures and stalls on the worker; decays over time.
+    /// Score of recent failed runs, refused starts and stalls on the worker; decays over time.
     pub(crate) suspicion: f64,
     /// When the suspicion score last changed.
     pub(crate) suspicion_updated: Duration,
