--- a/crates/crosspath_bench/src/baseline.rs
+++ b/crates/crosspath_bench/src/baseline.rs
@@ -2,9 +2,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crosspath_plan::room::Rooms;
+use crosspath_plan::capacity::Capacity;
 use crosspath_plan::view::View;
-use crosspath_plan::wave::Observed;
+use crosspath_plan::wave::Observation;
 use crosspath_plan::{evacuate, place, wave};
 use crosspath_state::name::{PoolName, VmName};
 use crosspath_state::record::{Change, Step};
@@ -17,7 +17,7 @@
 pub struct OneAtATime;
 
 impl Strategy for OneAtATime {
-    fn next_changes(&self, state: &State, observed: &BTreeMap<VmName, Observed>) -> Vec<Change> {
+    fn next_changes(&self, state: &State, observed: &BTreeMap<VmName, Observation>) -> Vec<Change> {
         let changes = Planner.next_changes(state, observed);
         let mut busy_pools: BTreeSet<PoolName> =
             in_maintenance(state).map(|vm| vm.spec.pool.clone()).collect();
@@ -45,7 +45,7 @@
 pub struct FixedBatches;
 
 impl Strategy for FixedBatches {
-    fn next_changes(&self, state: &State, observed: &BTreeMap<VmName, Observed>) -> Vec<Change> {
+    fn next_changes(&self, state: &State, observed: &BTreeMap<VmName, Observation>) -> Vec<Change> {
         let mut changes = Planner.next_changes(state, observed);
         let drain_count = crate::wave::drained_vms(&changes).len();
         changes.retain(|change| !matches!(change, Change::Step { step: Step::Drain { .. }, .. }));
@@ -83,7 +83,7 @@
 pub struct FirstFitMoveAll;
 
 impl Strategy for FirstFitMoveAll {
-    fn next_changes(&self, state: &State, observed: &BTreeMap<VmName, Observed>) -> Vec<Change> {
+    fn next_changes(&self, state: &State, observed: &BTreeMap<VmName, Observation>) -> Vec<Change> {
         let draining =
             state.vms.iter().filter(|(_, vm)| matches!(vm.status, vm::Phase::Draining { .. }));
         let mut placements = Vec::new();
@@ -94,26 +94,26 @@
             return placements;
         }
         let view = View::new(state);
-        let mut rooms = Rooms::new(&view);
-        let mut changes = wave::advance(&view, &mut rooms, observed);
+        let mut capacity = Capacity::new(&view);
+        let mut changes = wave::advance(&view, &mut capacity, observed);
         changes.extend(evacuate::resume(state));
         changes.extend(drain_within_budget(state));
-        changes.extend(place::pending(&view, &mut rooms).changes);
+        changes.extend(place::pending(&view, &mut capacity).changes);
         changes
     }
 }
 
 fn first_fit(state: &State, from: &VmName, pool: &PoolName) -> Vec<Change> {
     let view = View::new(state);
-    let mut rooms = Rooms::new(&view);
+    let mut capacity = Capacity::new(&view);
     let running = state
         .jobs_on(from)
         .filter(|(_, job)| matches!(job.status.phase, job::Phase::Running { .. }));
     let mut changes = Vec::new();
     for (name, job) in running {
-        let target = rooms.of(pool).iter().find(|(_, free)| free.fits(&job.spec));
+        let target = capacity.of(pool).iter().find(|(_, free)| free.fits(&job.spec));
         let Some(to) = target.map(|(vm, _)| vm.clone()) else { continue };
-        rooms.take(pool, &to, &job.spec);
+        capacity.reserve(pool, &to, &job.spec);
         changes.push(place::place(name, to));
     }
     changes
--- a/crates/crosspath_bench/src/overload.rs
+++ b/crates/crosspath_bench/src/overload.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 use std::time::Duration;
 
-use crosspath_route::dispatch::{Ask, Bounds, Dispatch, Offer, Target, Ticket, Use};
+use crosspath_route::dispatch::{self, Admission, Bounds, Completion, Dispatch, Target, Ticket};
 use crosspath_state::job::Class;
 use crosspath_state::name::{CallerName, VmName};
 use crosspath_state::time::Monotonic;
@@ -90,11 +90,16 @@
 
     fn arrive(&mut self, ticket: u64, arrived: u64, class: Class) {
         let deadline = Monotonic(arrived + DEADLINE_MS);
-        let ask = Ask { ticket: Ticket(ticket), caller: self.caller.clone(), class, deadline };
-        let vm = match self.dispatch.offer(ask, Monotonic(arrived), &mut self.rng) {
-            Offer::Assigned(vm) => Some(vm),
-            Offer::Waiting => None,
-            Offer::Refused(_) => return,
+        let request = dispatch::Request {
+            ticket: Ticket(ticket),
+            caller: self.caller.clone(),
+            class,
+            deadline,
+        };
+        let vm = match self.dispatch.admit(request, Monotonic(arrived), &mut self.rng) {
+            Admission::Assigned(vm) => Some(vm),
+            Admission::Waiting => None,
+            Admission::Refused(_) => return,
         };
         if vm.is_some() {
             self.completions.push(Reverse((arrived + SERVICE_MS, ticket)));
@@ -123,7 +128,7 @@
         for ticket in self.dispatch.expire(Monotonic(at)) {
             self.pending.remove(&ticket.0);
         }
-        let slot_use = Use::Answered(Duration::from_millis(SERVICE_MS));
+        let slot_use = Completion::Answered(Duration::from_millis(SERVICE_MS));
         let grants = self.dispatch.release(&vm, class, slot_use, Monotonic(at), &mut self.rng);
         for grant in grants {
             if let Some(waiting) = self.pending.get_mut(&grant.ticket.0) {
--- a/crates/crosspath_bench/src/slopes.rs
+++ b/crates/crosspath_bench/src/slopes.rs
@@ -214,7 +214,7 @@
     let operator = site.daemons[1].operator();
     let status = operator.call::<Value>(Method::GET, "/v1/status", None::<&()>).await;
     let applied = status.context(CallSnafu)?["applied"].as_u64().unwrap_or_default();
-    let heartbeat = crosspath_peer::Beat {
+    let heartbeat = crosspath_peer::Heartbeat {
         from: crosspath_state::record::Writer {
             daemon: "entry-2".parse().expect("a valid name"),
             incarnation: crosspath_state::record::Incarnation(1_800_000_000_000),
@@ -233,7 +233,8 @@
         from.write_all(&buffer[..response_bytes]).await?;
         Ok::<_, std::io::Error>((request_bytes as f64, response_bytes as f64))
     };
-    let (byte_counts, _) = tokio::join!(relay, crosspath_peer::Link::beat(&client_link, heartbeat));
+    let (byte_counts, _) =
+        tokio::join!(relay, crosspath_peer::Link::heartbeat(&client_link, heartbeat));
     byte_counts.context(ProcessSnafu { path: "loopback" })
 }
 
--- a/crates/crosspath_bench/src/slots.rs
+++ b/crates/crosspath_bench/src/slots.rs
@@ -1,7 +1,7 @@
 //! What is lost when each daemon has a fixed part of a VM's slots, compared with slots that all
 //! daemons share.
 
-use crosspath_route::split::Place;
+use crosspath_route::split::Position;
 use crosspath_state::name::VmName;
 use rand::rngs::SmallRng;
 use rand::{RngExt as _, SeedableRng as _};
@@ -17,7 +17,7 @@
 #[must_use]
 pub fn waste_and_overshoot(daemons: u32, seed: u64) -> (f64, f64) {
     let vm = |number: u32| VmName::new(&format!("vm-{number}")).expect("a valid name");
-    let part = |index: u32, number: u32| Place { index, daemons }.part(&vm(number), SLOTS);
+    let part = |index: u32, number: u32| Position { index, daemons }.share(&vm(number), SLOTS);
     let daemon_slots: Vec<u32> =
         (0..daemons).map(|index| (0..VMS).map(|number| part(index, number)).sum()).collect();
     let overshoot = (0..VMS)
--- a/crates/crosspath_bench/src/wave.rs
+++ b/crates/crosspath_bench/src/wave.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use crosspath_plan::bound;
-use crosspath_plan::wave::Observed;
+use crosspath_plan::wave::Observation;
 use crosspath_state::budget::Usage;
 use crosspath_state::name::{PoolName, VmName};
 use crosspath_state::record::{Change, Step};
@@ -35,7 +35,7 @@
 /// Decides the next changes: [`Planner`], or a baseline of [`crate::baseline`].
 pub trait Strategy {
     /// Changes to append to the log; empty when nothing can be done before time passes.
-    fn next_changes(&self, state: &State, observed: &BTreeMap<VmName, Observed>) -> Vec<Change>;
+    fn next_changes(&self, state: &State, observed: &BTreeMap<VmName, Observation>) -> Vec<Change>;
 }
 
 /// The decisions that a daemon commits, from [`crosspath_plan::decide`].
@@ -43,7 +43,7 @@
 pub struct Planner;
 
 impl Strategy for Planner {
-    fn next_changes(&self, state: &State, observed: &BTreeMap<VmName, Observed>) -> Vec<Change> {
+    fn next_changes(&self, state: &State, observed: &BTreeMap<VmName, Observation>) -> Vec<Change> {
         crosspath_plan::decide(state, observed)
     }
 }
@@ -175,10 +175,10 @@
         self.budget_violations += u32::try_from(exceeded.count()).unwrap_or(u32::MAX);
     }
 
-    fn observe(&self) -> BTreeMap<VmName, Observed> {
+    fn observe(&self) -> BTreeMap<VmName, Observation> {
         let observe_vm = |(name, maintenance_since): (&VmName, &Duration)| {
             let maintenance_time = self.now.saturating_sub(*maintenance_since);
-            let observed = Observed {
+            let observed = Observation {
                 daemons_done: true,
                 worker_idle: maintenance_time >= DRAIN_TIME,
                 rebooted: maintenance_time >= DRAIN_TIME + REBOOT_TIME,
--- a/crates/crosspath_caller/src/lib.rs
+++ b/crates/crosspath_caller/src/lib.rs
@@ -8,9 +8,9 @@
 //! This crate reads and checks requests and writes answers; what happens to a request in between
 //! stands behind [`Handler`].
 
-mod answer;
 mod headers;
 mod request;
+mod response;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -28,9 +28,9 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-pub use answer::{OUTCOME, REASON};
 pub use headers::{PAYMENT_KEY, REQUEST_TIMEOUT_MS, strip_hop_by_hop};
 pub use request::{Payment, Rejection};
+pub use response::{OUTCOME, REASON};
 
 /// What a request ends with.
 #[derive(Debug)]
@@ -59,12 +59,12 @@
     async fn outcome(&self, key: Key, caller: &CallerName) -> Reply;
 
     /// Counts a request that was turned away before it was run.
-    fn rejected(&self, rejection: &Rejection);
+    fn count_rejected(&self, rejection: &Rejection);
 }
 
 /// Limits on a request.
 #[derive(Debug, Clone, Copy)]
-pub struct Bounds {
+pub struct BodyLimits {
     /// Bytes of a body.
     pub body_bytes: u64,
     /// Time for a body to arrive.
@@ -75,30 +75,30 @@
 pub async fn serve<H: Handler>(
     listener: TcpListener,
     limits: Limits,
-    bounds: Bounds,
+    body_limits: BodyLimits,
     stop: watch::Receiver<Stage>,
     handler: Arc<H>,
 ) {
     let answer = move |request: Request<Incoming>, _: SocketAddr| {
         let handler = Arc::clone(&handler);
-        async move { answer_one(request, bounds, &*handler).await }
+        async move { answer_one(request, body_limits, &*handler).await }
     };
     server::serve(listener, limits, stop, answer).await;
 }
 
 async fn answer_one<H: Handler>(
     request: Request<Incoming>,
-    bounds: Bounds,
+    body_limits: BodyLimits,
     handler: &H,
 ) -> Response<Body> {
-    match request::read(request, bounds, handler).await {
-        Ok(request::Parsed::Payment(payment)) => answer::reply(handler.run(*payment).await),
+    match request::read(request, body_limits, handler).await {
+        Ok(request::Parsed::Payment(payment)) => response::reply(handler.run(*payment).await),
         Ok(request::Parsed::Outcome { key, caller }) => {
-            answer::reply(handler.outcome(key, &caller).await)
+            response::reply(handler.outcome(key, &caller).await)
         }
         Err(rejection) => {
-            handler.rejected(&rejection);
-            answer::rejection(&rejection)
+            handler.count_rejected(&rejection);
+            response::rejection(&rejection)
         }
     }
 }
--- a/crates/crosspath_caller/src/request.rs
+++ b/crates/crosspath_caller/src/request.rs
@@ -12,7 +12,7 @@
 use snafu::{OptionExt as _, ResultExt as _, Snafu, ensure};
 
 use crate::headers::{PAYMENT_KEY, REQUEST_TIMEOUT_MS, strip_hop_by_hop};
-use crate::{Bounds, Handler};
+use crate::{BodyLimits, Handler};
 
 const OUTCOMES: &str = "/v1/outcomes/";
 
@@ -57,7 +57,7 @@
     },
     /// More than one key was sent.
     #[snafu(display("header {PAYMENT_KEY} stands more than once; send one key"))]
-    Keys,
+    DuplicateKey,
     /// The timeout is malformed.
     #[snafu(display("header {REQUEST_TIMEOUT_MS} is not a number of milliseconds above 0"))]
     Timeout,
@@ -77,7 +77,7 @@
             Self::Unauthorized => "unauthorized",
             Self::NoService => "no_service",
             Self::Method => "method",
-            Self::Key { .. } | Self::Keys => "key",
+            Self::Key { .. } | Self::DuplicateKey => "key",
             Self::Timeout => "timeout",
             Self::Body { source } => match source {
                 BodyError::TooLarge { .. } => "body_too_large",
@@ -95,7 +95,7 @@
 
 pub(crate) async fn read<H: Handler>(
     request: Request<Incoming>,
-    bounds: Bounds,
+    body_limits: BodyLimits,
     handler: &H,
 ) -> Result<Parsed, Rejection> {
     let (mut parts, incoming) = request.into_parts();
@@ -109,13 +109,13 @@
     let service = service(&parts, handler)?;
     let key = key(&parts.headers)?;
     let timeout = timeout(&parts.headers)?;
-    let announced = incoming.size_hint().lower();
-    let limit = bounds.body_bytes;
+    let declared = incoming.size_hint().lower();
+    let limit = body_limits.body_bytes;
     let too_large = Err(BodyError::TooLarge { limit });
-    let fits = if announced > limit { too_large } else { Ok(()) };
+    let fits = if declared > limit { too_large } else { Ok(()) };
     fits.context(BodySnafu)?;
-    let body = body::read(incoming, limit, bounds.body_timeout).await.context(BodySnafu)?;
-    clean(&mut parts.headers);
+    let body = body::read(incoming, limit, body_limits.body_timeout).await.context(BodySnafu)?;
+    strip_for_upstream(&mut parts.headers);
     let path = parts.uri.path_and_query().map(ToString::to_string).unwrap_or_default();
     let (method, headers) = (parts.method, parts.headers);
     Ok(Parsed::Payment(Box::new(Payment {
@@ -131,7 +131,7 @@
 }
 
 /// Leaves only headers that are meant for the upstream; the library writes the length anew.
-fn clean(headers: &mut HeaderMap) {
+fn strip_for_upstream(headers: &mut HeaderMap) {
     strip_hop_by_hop(headers);
     headers.remove(header::AUTHORIZATION);
     headers.remove(header::CONTENT_LENGTH);
@@ -157,7 +157,7 @@
     let Some(value) = values.next() else {
         return Ok(None);
     };
-    ensure!(values.next().is_none(), KeysSnafu);
+    ensure!(values.next().is_none(), DuplicateKeySnafu);
     let text = value.to_str().unwrap_or_default();
     Key::parse(text).context(KeySnafu).map(Some)
 }
--- a/crates/crosspath_caller/src/answer.rs
+++ b/crates/crosspath_caller/src/response.rs
@@ -17,10 +17,10 @@
 pub const REASON: &str = "crosspath-reason";
 
 const ANSWERED: &str = "upstream";
-const REPEATED: &str = "recorded";
+const REPLAYED: &str = "recorded";
 
 #[derive(Serialize)]
-struct Text<'a> {
+struct ErrorBody<'a> {
     outcome: &'a str,
     reason: &'a str,
     message: String,
@@ -28,7 +28,7 @@
 
 pub(crate) fn reply(reply: Reply) -> Response<Body> {
     match reply {
-        Reply::Upstream(answer) => mark(answer, ANSWERED, None),
+        Reply::Upstream(answer) => with_outcome_headers(answer, ANSWERED, None),
         Reply::Recorded(verdict) => recorded(verdict),
         Reply::Final(answer) => final_answer(answer),
     }
@@ -36,10 +36,10 @@
 
 fn recorded(verdict: Verdict) -> Response<Body> {
     match verdict {
-        Verdict::Answered(recorded) => repeat(recorded),
+        Verdict::Answered(recorded) => replay(recorded),
         Verdict::AnsweredLarge { status } => {
             let recorded = Recorded { status, content_type: None, body: Vec::new() };
-            mark(repeat(recorded), REPEATED, Some("body_not_kept"))
+            with_outcome_headers(replay(recorded), REPLAYED, Some("body_not_kept"))
         }
         Verdict::Final(answer) => final_answer(Final { answer, retry_after: None }),
         Verdict::Granted | Verdict::NotOwner => {
@@ -48,28 +48,28 @@
     }
 }
 
-fn repeat(recorded: Recorded) -> Response<Body> {
+fn replay(recorded: Recorded) -> Response<Body> {
     let mut answer = Response::new(body::full(recorded.body));
     *answer.status_mut() = StatusCode::from_u16(recorded.status).unwrap_or(StatusCode::OK);
     let kind = recorded.content_type.and_then(|kind| HeaderValue::try_from(kind).ok());
     if let Some(kind) = kind {
         answer.headers_mut().insert(header::CONTENT_TYPE, kind);
     }
-    mark(answer, REPEATED, None)
+    with_outcome_headers(answer, REPLAYED, None)
 }
 
 fn final_answer(answer: Final) -> Response<Body> {
     let (outcome, reason) = (answer.answer.outcome(), answer.answer.reason());
     let message = message(answer.answer).to_owned();
-    let text = Text { outcome, reason, message };
-    let mut response = body::json(status(answer.answer), &text);
+    let error_body = ErrorBody { outcome, reason, message };
+    let mut response = body::json(status(answer.answer), &error_body);
     if let Some(after) = answer.retry_after {
         let seconds = after.as_millis().div_ceil(1_000).max(1).to_string();
         let seconds = HeaderValue::try_from(seconds);
         let seconds = seconds.unwrap_or_else(|_| HeaderValue::from_static("1"));
         response.headers_mut().insert(header::RETRY_AFTER, seconds);
     }
-    mark(response, outcome, Some(reason))
+    with_outcome_headers(response, outcome, Some(reason))
 }
 
 fn status(answer: Answer) -> StatusCode {
@@ -102,7 +102,9 @@
         Rejection::Unauthorized => StatusCode::UNAUTHORIZED,
         Rejection::NoService => StatusCode::NOT_FOUND,
         Rejection::Method => StatusCode::METHOD_NOT_ALLOWED,
-        Rejection::Key { .. } | Rejection::Keys | Rejection::Timeout => StatusCode::BAD_REQUEST,
+        Rejection::Key { .. } | Rejection::DuplicateKey | Rejection::Timeout => {
+            StatusCode::BAD_REQUEST
+        }
         Rejection::Body { source } => match source {
             BodyError::TooLarge { .. } => StatusCode::PAYLOAD_TOO_LARGE,
             BodyError::TooSlow { .. } => StatusCode::REQUEST_TIMEOUT,
@@ -111,11 +113,11 @@
     };
     let reason = rejection.reason();
     let outcome = "not_run";
-    let text = Text { outcome, reason, message: rejection.to_string() };
-    mark(body::json(status, &text), outcome, Some(reason))
+    let error_body = ErrorBody { outcome, reason, message: rejection.to_string() };
+    with_outcome_headers(body::json(status, &error_body), outcome, Some(reason))
 }
 
-fn mark(
+fn with_outcome_headers(
     mut answer: Response<Body>,
     outcome: &'static str,
     reason: Option<&'static str>,
--- a/crates/crosspath_peer/src/api.rs
+++ b/crates/crosspath_peer/src/api.rs
@@ -4,12 +4,12 @@
 use jsonrpsee::core::RpcResult;
 use jsonrpsee::proc_macros::rpc;
 
-use crate::message::{Beat, BeatAnswer, Claim, LookUp, Settle, StateCopy, Transfer};
+use crate::message::{Claim, Heartbeat, HeartbeatReply, LookUp, Settle, StateCopy, Transfer};
 
 #[rpc(client, server)]
 pub(crate) trait Api {
     #[method(name = "beat")]
-    async fn beat(&self, beat: Beat) -> RpcResult<BeatAnswer>;
+    async fn heartbeat(&self, beat: Heartbeat) -> RpcResult<HeartbeatReply>;
 
     #[method(name = "claim")]
     async fn claim(&self, claim: Claim) -> RpcResult<Verdict>;
--- a/crates/crosspath_peer/src/lib.rs
+++ b/crates/crosspath_peer/src/lib.rs
@@ -14,7 +14,7 @@
 use snafu::Snafu;
 
 pub use link::{BuildError, RpcLink};
-pub use message::{Beat, BeatAnswer, Claim, LookUp, Settle, StateCopy, Transfer};
+pub use message::{Claim, Heartbeat, HeartbeatReply, LookUp, Settle, StateCopy, Transfer};
 pub use server::{Access, serve};
 
 /// A peer gave no answer; what it was asked for may have happened.
@@ -33,7 +33,7 @@
     /// # Errors
     ///
     /// [`Unanswered`].
-    async fn beat(&self, beat: Beat) -> Result<BeatAnswer, Unanswered>;
+    async fn heartbeat(&self, heartbeat: Heartbeat) -> Result<HeartbeatReply, Unanswered>;
 
     /// Claims a payment key.
     ///
@@ -75,7 +75,7 @@
 #[async_trait]
 pub trait Handler: Send + Sync + 'static {
     /// A heartbeat.
-    async fn beat(&self, beat: Beat) -> BeatAnswer;
+    async fn heartbeat(&self, heartbeat: Heartbeat) -> HeartbeatReply;
     /// A claim.
     async fn claim(&self, claim: Claim) -> Verdict;
     /// The end of a claimed request.
--- a/crates/crosspath_peer/src/link.rs
+++ b/crates/crosspath_peer/src/link.rs
@@ -11,7 +11,7 @@
 use snafu::{ResultExt as _, Snafu};
 
 use crate::api::ApiClient as _;
-use crate::message::{Beat, BeatAnswer, Claim, LookUp, Settle, StateCopy, Transfer};
+use crate::message::{Claim, Heartbeat, HeartbeatReply, LookUp, Settle, StateCopy, Transfer};
 use crate::{Link, Unanswered};
 
 const MAX_MESSAGE_BYTES: u32 = 64 * 1024 * 1024;
@@ -68,8 +68,8 @@
 
 #[async_trait]
 impl Link for RpcLink {
-    async fn beat(&self, beat: Beat) -> Result<BeatAnswer, Unanswered> {
-        self.client.beat(beat).await.map_err(unanswered)
+    async fn heartbeat(&self, heartbeat: Heartbeat) -> Result<HeartbeatReply, Unanswered> {
+        self.client.heartbeat(heartbeat).await.map_err(unanswered)
     }
 
     async fn claim(&self, claim: Claim) -> Result<Verdict, Unanswered> {
--- a/crates/crosspath_peer/src/message.rs
+++ b/crates/crosspath_peer/src/message.rs
@@ -11,7 +11,7 @@
 
 /// A heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// Who sends it.
     pub from: Writer,
     /// What it has applied.
@@ -24,14 +24,15 @@
 
 /// Answer to a heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct BeatAnswer {
+pub struct HeartbeatReply {
     /// Who answers, and its own state.
-    pub beat: Beat,
+    #[serde(rename = "beat")]
+    pub heartbeat: Heartbeat,
     /// How long it will not evict the asker, in ms.
     pub promise_ms: Option<u64>,
 }
 
-impl BeatAnswer {
+impl HeartbeatReply {
     /// How long the answerer will not evict the asker.
     #[must_use]
     pub fn promise(&self) -> Option<Duration> {
--- a/crates/crosspath_peer/src/server.rs
+++ b/crates/crosspath_peer/src/server.rs
@@ -21,7 +21,7 @@
 
 use crate::Handler;
 use crate::api::ApiServer;
-use crate::message::{Beat, BeatAnswer, Claim, LookUp, Settle, StateCopy, Transfer};
+use crate::message::{Claim, Heartbeat, HeartbeatReply, LookUp, Settle, StateCopy, Transfer};
 
 const MAX_MESSAGE_BYTES: u32 = 64 * 1024 * 1024;
 
@@ -43,12 +43,12 @@
     }
 }
 
-struct Methodset<H>(Arc<H>);
+struct RpcHandler<H>(Arc<H>);
 
 #[async_trait]
-impl<H: Handler> ApiServer for Methodset<H> {
-    async fn beat(&self, beat: Beat) -> RpcResult<BeatAnswer> {
-        Ok(self.0.beat(beat).await)
+impl<H: Handler> ApiServer for RpcHandler<H> {
+    async fn heartbeat(&self, heartbeat: Heartbeat) -> RpcResult<HeartbeatReply> {
+        Ok(self.0.heartbeat(heartbeat).await)
     }
 
     async fn claim(&self, claim: Claim) -> RpcResult<Verdict> {
@@ -82,7 +82,7 @@
     handler: Arc<H>,
 ) {
     let (stop_handle, _keep) = stop_channel();
-    let methods: Methods = Methodset(handler).into_rpc().into();
+    let methods: Methods = RpcHandler(handler).into_rpc().into();
     let access = Arc::new(access);
     let answer = move |request: Request<Incoming>, peer: SocketAddr| {
         let (methods, stop_handle) = (methods.clone(), stop_handle.clone());
--- a/crates/crosspath_plan/src/bound.rs
+++ b/crates/crosspath_plan/src/bound.rs
@@ -32,6 +32,6 @@
     if width == 0 {
         return None;
     }
-    let alone = u32::from(canary);
-    Some(alone + (vms - alone).div_ceil(width))
+    let canary_rounds = u32::from(canary);
+    Some(canary_rounds + (vms - canary_rounds).div_ceil(width))
 }
--- a/crates/crosspath_plan/src/room.rs
+++ b/crates/crosspath_plan/src/capacity.rs
@@ -21,7 +21,7 @@
 impl Free {
     /// All of a VM.
     #[must_use]
-    pub fn whole(vm: &vm::Spec) -> Self {
+    pub fn total(vm: &vm::Spec) -> Self {
         Self { cores: vm.cores, memory_mb: vm.memory_mb, accelerators: vm.accelerators }
     }
 
@@ -35,7 +35,7 @@
 
     /// What is left when the job is placed here.
     #[must_use]
-    pub fn less(&self, job: &job::Spec) -> Self {
+    pub fn minus(&self, job: &job::Spec) -> Self {
         Self {
             cores: self.cores.saturating_sub(job.cores),
             memory_mb: self.memory_mb.saturating_sub(job.memory_mb),
@@ -49,12 +49,12 @@
 
 /// What is free in each pool, less what this round of decisions has taken already.
 #[derive(Debug)]
-pub struct Rooms<'a> {
+pub struct Capacity<'a> {
     view: &'a View<'a>,
     pools: BTreeMap<PoolName, Pool>,
 }
 
-impl<'a> Rooms<'a> {
+impl<'a> Capacity<'a> {
     /// Nothing is taken yet.
     #[must_use]
     pub fn new(view: &'a View<'a>) -> Self {
@@ -68,19 +68,19 @@
     }
 
     /// Takes room for a job on a VM.
-    pub fn take(&mut self, pool: &PoolName, vm: &VmName, job: &job::Spec) {
+    pub fn reserve(&mut self, pool: &PoolName, vm: &VmName, job: &job::Spec) {
         if let Some(free) = self.of(pool).get_mut(vm) {
-            *free = free.less(job);
+            *free = free.minus(job);
         }
     }
 }
 
 fn free_now(view: &View<'_>, pool: &PoolName) -> Pool {
     let serving = view.vms_of(pool).iter().filter(|(_, vm)| vm.status.takes_work());
-    let rooms = serving.map(|(name, vm)| {
+    let capacity = serving.map(|(name, vm)| {
         let jobs = view.jobs_on(name).iter();
-        let free = jobs.fold(Free::whole(&vm.spec), |free, (_, job)| free.less(&job.spec));
+        let free = jobs.fold(Free::total(&vm.spec), |free, (_, job)| free.minus(&job.spec));
         ((*name).clone(), free)
     });
-    rooms.collect()
+    capacity.collect()
 }
--- a/crates/crosspath_plan/src/evacuate.rs
+++ b/crates/crosspath_plan/src/evacuate.rs
@@ -8,13 +8,18 @@
 use crosspath_state::record::{Change, JobAction};
 use crosspath_state::{State, job};
 
+use crate::capacity::{self, Capacity};
 use crate::place;
-use crate::room::{self, Rooms};
 use crate::view::View;
 
 /// Changes that empty `vm` for `wave`; jobs that find no room are not among them.
 #[must_use]
-pub fn vm(view: &View<'_>, rooms: &mut Rooms<'_>, vm: &VmName, wave: &WaveName) -> Vec<Change> {
+pub fn vacate(
+    view: &View<'_>,
+    capacity: &mut Capacity<'_>,
+    vm: &VmName,
+    wave: &WaveName,
+) -> Vec<Change> {
     let state = view.state;
     let Some(stored) = state.vms.get(vm) else { return Vec::new() };
     let running = view.jobs_on(vm).iter().filter(|(_, job)| is_running(&job.status));
@@ -30,10 +35,10 @@
             changes.push(suspend(name));
             continue;
         }
-        let Some(to) = target(state, rooms.of(pool), wave, &job.spec) else {
+        let Some(to) = destination(state, capacity.of(pool), wave, &job.spec) else {
             continue;
         };
-        rooms.take(pool, &to, &job.spec);
+        capacity.reserve(pool, &to, &job.spec);
         changes.push(place::place(name, to));
     }
     changes
@@ -41,9 +46,9 @@
 
 /// Cores of the jobs on a VM that only a move can take out of the way of a reboot.
 #[must_use]
-pub fn fixed_cores(view: &View<'_>, vm: &VmName) -> u32 {
-    let fixed = view.jobs_on(vm).iter().filter(|(_, job)| !job.spec.checkpointable);
-    fixed.map(|(_, job)| job.spec.cores).sum()
+pub fn non_checkpointable_cores(view: &View<'_>, vm: &VmName) -> u32 {
+    let unmovable = view.jobs_on(vm).iter().filter(|(_, job)| !job.spec.checkpointable);
+    unmovable.map(|(_, job)| job.spec.cores).sum()
 }
 
 /// Changes that resume what is suspended on VMs that take work again.
@@ -66,11 +71,16 @@
 }
 
 /// The fullest serviced VM with room, or else the fullest of those that are due.
-fn target(state: &State, rooms: &room::Pool, wave: &WaveName, job: &job::Spec) -> Option<VmName> {
+fn destination(
+    state: &State,
+    capacity: &capacity::Pool,
+    wave: &WaveName,
+    job: &job::Spec,
+) -> Option<VmName> {
     let wave = state.waves.get(wave).map(|wave| &wave.status);
     let due = |vm: &VmName| {
         wave.is_some_and(|wave| wave.targets.contains(vm) && !wave.serviced.contains(vm))
     };
-    let fitting = rooms.iter().filter(|(_, free)| free.fits(job));
+    let fitting = capacity.iter().filter(|(_, free)| free.fits(job));
     fitting.min_by_key(|(vm, free)| (due(vm), free.cores)).map(|(vm, _)| vm.clone())
 }
--- a/crates/crosspath_plan/src/place.rs
+++ b/crates/crosspath_plan/src/place.rs
@@ -11,7 +11,7 @@
 use crosspath_state::{State, job};
 use serde::Serialize;
 
-use crate::room::{Free, Rooms};
+use crate::capacity::{Capacity, Free};
 use crate::view::View;
 
 /// Why a job has no VM.
@@ -42,7 +42,7 @@
 
 /// Places every job that waits and that fits in what is free.
 #[must_use]
-pub fn pending(view: &View<'_>, rooms: &mut Rooms<'_>) -> Placement {
+pub fn pending(view: &View<'_>, capacity: &mut Capacity<'_>) -> Placement {
     let state = view.state;
     let mut placement = Placement::default();
     let waiting = state.jobs.iter().filter(|(_, job)| job.status.phase == job::Phase::Pending);
@@ -53,7 +53,7 @@
     waiting.sort_by_key(|(_, job)| (job.class, std::cmp::Reverse((job.cores, job.memory_mb))));
     let mut planner = Planner::new(view);
     for (name, spec) in waiting {
-        match planner.place(rooms, spec) {
+        match planner.place(capacity, spec) {
             Ok(vm) => placement.changes.push(place(name, vm)),
             Err(obstacle) => drop(placement.obstacles.insert(name.clone(), obstacle)),
         }
@@ -72,7 +72,7 @@
 pub fn obstacle(state: &State, job: &JobName) -> Option<Obstacle> {
     let job = state.jobs.get(job).filter(|job| job.status.phase == job::Phase::Pending)?;
     let view = View::new(state);
-    Planner::new(&view).place(&mut Rooms::new(&view), &job.spec).err()
+    Planner::new(&view).place(&mut Capacity::new(&view), &job.spec).err()
 }
 
 type Domain<'a> = (&'a TeamName, &'a PoolName, &'a DataCentre, &'a Rack);
@@ -80,30 +80,34 @@
 
 struct Planner<'a> {
     view: &'a View<'a>,
-    cores_of: BTreeMap<&'a TeamName, u32>,
+    used_cores: BTreeMap<&'a TeamName, u32>,
     spread: Spread<'a>,
 }
 
 impl<'a> Planner<'a> {
     fn new(view: &'a View<'a>) -> Self {
         let state = view.state;
-        let mut cores_of: BTreeMap<&TeamName, u32> = BTreeMap::new();
+        let mut used_cores: BTreeMap<&TeamName, u32> = BTreeMap::new();
         let mut spread = Spread::new();
         for job in state.jobs.values() {
             let Some(vm) = job.status.phase.vm().and_then(|vm| state.vms.get(vm)) else {
                 continue;
             };
-            *cores_of.entry(&job.spec.team).or_default() += job.spec.cores;
+            *used_cores.entry(&job.spec.team).or_default() += job.spec.cores;
             *spread.entry(domain(&job.spec, &vm.spec)).or_default() += 1;
         }
-        Self { view, cores_of, spread }
+        Self { view, used_cores, spread }
     }
 
-    fn place(&mut self, rooms: &mut Rooms<'_>, job: &'a job::Spec) -> Result<VmName, Obstacle> {
-        self.check_ever(job)?;
+    fn place(
+        &mut self,
+        capacity: &mut Capacity<'_>,
+        job: &'a job::Spec,
+    ) -> Result<VmName, Obstacle> {
+        self.check_feasible(job)?;
         let state = self.view.state;
         let quota = state.teams.get(&job.team).map_or(0, |team| team.spec.max_cores);
-        let used = self.cores_of.entry(&job.team).or_default();
+        let used = self.used_cores.entry(&job.team).or_default();
         if *used + job.cores > quota {
             return Err(Obstacle::QuotaUsed);
         }
@@ -113,11 +117,11 @@
             let nearby = spec.and_then(|spec| spread.get(&domain(job, spec)));
             (nearby.copied().unwrap_or_default(), free.cores, free.memory_mb)
         };
-        let fitting = rooms.of(&job.pool).iter().filter(|(_, free)| free.fits(job));
+        let fitting = capacity.of(&job.pool).iter().filter(|(_, free)| free.fits(job));
         let best = fitting.min_by_key(|(vm, free)| cost(vm, free));
         let vm = best.map(|(vm, _)| vm.clone()).ok_or(Obstacle::NoRoomNow)?;
         *used += job.cores;
-        rooms.take(&job.pool, &vm, job);
+        capacity.reserve(&job.pool, &vm, job);
         if let Some(spec) = state.vms.get(&vm).map(|vm| &vm.spec) {
             *self.spread.entry(domain(job, spec)).or_default() += 1;
         }
@@ -125,13 +129,13 @@
     }
 
     /// Whether the job could run on an empty pool with an unused quota.
-    fn check_ever(&self, job: &job::Spec) -> Result<(), Obstacle> {
+    fn check_feasible(&self, job: &job::Spec) -> Result<(), Obstacle> {
         let quota = self.view.state.teams.get(&job.team).map_or(0, |team| team.spec.max_cores);
         if job.cores > quota {
             return Err(Obstacle::NeverWithinQuota);
         }
         let vms = || self.view.vms_of(&job.pool).iter().map(|(_, vm)| &vm.spec);
-        if vms().any(|vm| Free::whole(vm).fits(job)) {
+        if vms().any(|vm| Free::total(vm).fits(job)) {
             return Ok(());
         }
         let what = match () {
--- a/crates/crosspath_plan/src/wave.rs
+++ b/crates/crosspath_plan/src/wave.rs
@@ -13,13 +13,13 @@
 use crosspath_state::{State, Stored, vm, wave};
 use serde::Serialize;
 
+use crate::capacity::Capacity;
 use crate::evacuate;
-use crate::room::Rooms;
 use crate::view::View;
 
 /// What was observed of a VM that is out for maintenance.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Observed {
+pub struct Observation {
     /// Every member has stopped choosing it and has nothing in flight there.
     pub daemons_done: bool,
     /// Its worker refuses new requests, runs none, and runs no job.
@@ -63,21 +63,21 @@
 
 /// VMs to drain next, for every running wave.
 #[must_use]
-pub fn starts(view: &View<'_>) -> Vec<Change> {
+pub fn next_drains(view: &View<'_>) -> Vec<Change> {
     let waves = view.state.waves.iter();
     let running = waves.filter(|(_, wave)| wave.status.phase == wave::Phase::Running);
-    running.flat_map(|(name, wave)| starts_of(view, name, wave)).collect()
+    running.flat_map(|(name, wave)| drains_of_wave(view, name, wave)).collect()
 }
 
 type Wave = Stored<wave::Spec, wave::Status>;
 
-fn starts_of(view: &View<'_>, name: &WaveName, wave: &Wave) -> Vec<Change> {
+fn drains_of_wave(view: &View<'_>, name: &WaveName, wave: &Wave) -> Vec<Change> {
     let pools = wave.spec.pools.iter();
-    let chosen = pools.flat_map(|pool| chosen_of_pool(view, wave, pool));
+    let chosen = pools.flat_map(|pool| drains_of_pool(view, wave, pool));
     chosen.map(|vm| Change::Step { vm, step: Step::Drain { wave: name.clone() } }).collect()
 }
 
-fn chosen_of_pool(view: &View<'_>, wave: &Wave, pool: &PoolName) -> Vec<VmName> {
+fn drains_of_pool(view: &View<'_>, wave: &Wave, pool: &PoolName) -> Vec<VmName> {
     let state = view.state;
     let Some(spec) = state.pools.get(pool).map(|pool| &pool.spec) else {
         return Vec::new();
@@ -86,19 +86,19 @@
     let free = usage.free(spec) as usize;
     let free = match canary(state, wave, pool) {
         Canary::Passed => free,
-        Canary::Wanted => free.min(1),
-        Canary::Out(_) => 0,
+        Canary::Pending => free.min(1),
+        Canary::InMaintenance(_) => 0,
     };
     if free == 0 {
         return Vec::new();
     }
-    ordered(view, wave, pool).into_iter().take(free).collect()
+    candidates(view, wave, pool).into_iter().take(free).collect()
 }
 
 enum Canary {
     Passed,
-    Wanted,
-    Out(VmName),
+    Pending,
+    InMaintenance(VmName),
 }
 
 fn canary(state: &State, wave: &Wave, pool: &PoolName) -> Canary {
@@ -107,62 +107,62 @@
         return Canary::Passed;
     }
     let out = state.vms_of(pool).find(|(_, vm)| vm.status.wave().is_some());
-    out.map_or(Canary::Wanted, |(vm, _)| Canary::Out(vm.clone()))
+    out.map_or(Canary::Pending, |(vm, _)| Canary::InMaintenance(vm.clone()))
 }
 
 /// VMs of the pool that are due and serving, the best to take out first.
-fn ordered(view: &View<'_>, wave: &Wave, pool: &PoolName) -> Vec<VmName> {
+fn candidates(view: &View<'_>, wave: &Wave, pool: &PoolName) -> Vec<VmName> {
     let status = &wave.status;
     let is_due = |vm: &VmName| {
         status.targets.contains(vm) && !status.serviced.contains(vm) && !status.failed.contains(vm)
     };
     let serving = view.vms_of(pool).iter().filter(|(_, vm)| vm.status.takes_work());
     let due = serving.map(|(name, _)| *name).filter(|name| is_due(name));
-    let mut rooms = Rooms::new(view);
-    let serviced = rooms.of(pool).iter().filter(|(vm, _)| status.serviced.contains(*vm));
-    let room: u32 = serviced.map(|(_, free)| free.cores).sum();
-    let mut keyed: Vec<_> = due.map(|vm| (burden(view, vm, room), vm.clone())).collect();
+    let mut capacity = Capacity::new(view);
+    let serviced = capacity.of(pool).iter().filter(|(vm, _)| status.serviced.contains(*vm));
+    let free_cores: u32 = serviced.map(|(_, free)| free.cores).sum();
+    let mut keyed: Vec<_> = due.map(|vm| (move_cost(view, vm, free_cores), vm.clone())).collect();
     keyed.sort();
     keyed.into_iter().map(|(_, vm)| vm).collect()
 }
 
 /// Whether jobs would have to move to VMs that are still due, and how large they are.
-fn burden(view: &View<'_>, vm: &VmName, room: u32) -> (bool, u32) {
-    let cores = evacuate::fixed_cores(view, vm);
-    (cores > room, cores)
+fn move_cost(view: &View<'_>, vm: &VmName, free_cores: u32) -> (bool, u32) {
+    let cores = evacuate::non_checkpointable_cores(view, vm);
+    (cores > free_cores, cores)
 }
 
 /// Next changes for the VMs that are out, given what was observed of each.
 #[must_use]
 pub fn advance(
     view: &View<'_>,
-    rooms: &mut Rooms<'_>,
-    observed: &BTreeMap<VmName, Observed>,
+    capacity: &mut Capacity<'_>,
+    observed: &BTreeMap<VmName, Observation>,
 ) -> Vec<Change> {
     let mut changes = Vec::new();
     for (name, vm) in view.state.vms.iter().filter(|(_, vm)| vm.status.wave().is_some()) {
-        let seen = observed.get(name).copied().unwrap_or_default();
-        changes.extend(advance_vm(view, rooms, name, &vm.status, seen));
+        let observation = observed.get(name).copied().unwrap_or_default();
+        changes.extend(advance_vm(view, capacity, name, &vm.status, observation));
     }
     changes
 }
 
 fn advance_vm(
     view: &View<'_>,
-    rooms: &mut Rooms<'_>,
+    capacity: &mut Capacity<'_>,
     name: &VmName,
     phase: &vm::Phase,
-    seen: Observed,
+    observation: Observation,
 ) -> Vec<Change> {
     let step = |step| vec![Change::Step { vm: name.clone(), step }];
     match phase {
         vm::Phase::Draining { wave } if is_cancelled(view.state, wave) => step(Step::Undrain),
         vm::Phase::Draining { wave } => {
-            let changes = evacuate::vm(view, rooms, name, wave);
-            let ready = changes.is_empty() && seen.daemons_done && seen.worker_idle;
+            let changes = evacuate::vacate(view, capacity, name, wave);
+            let ready = changes.is_empty() && observation.daemons_done && observation.worker_idle;
             if ready { step(Step::Reboot) } else { changes }
         }
-        vm::Phase::Rebooting { .. } if seen.rebooted => step(Step::Return),
+        vm::Phase::Rebooting { .. } if observation.rebooted => step(Step::Return),
         _ => Vec::new(),
     }
 }
@@ -174,26 +174,26 @@
 
 /// Why `vm` does not go on; none when it is not due, or can go on.
 #[must_use]
-pub fn obstacle(state: &State, vm: &VmName, seen: Observed) -> Option<Obstacle> {
+pub fn obstacle(state: &State, vm: &VmName, observation: Observation) -> Option<Obstacle> {
     let stored = state.vms.get(vm)?;
     match &stored.status {
-        vm::Phase::Draining { .. } if !seen.daemons_done => Some(Obstacle::DaemonsNotDone),
-        vm::Phase::Draining { .. } if !seen.worker_idle => Some(Obstacle::WorkerBusy),
-        vm::Phase::Rebooting { .. } if !seen.rebooted => Some(Obstacle::Rebooting),
+        vm::Phase::Draining { .. } if !observation.daemons_done => Some(Obstacle::DaemonsNotDone),
+        vm::Phase::Draining { .. } if !observation.worker_idle => Some(Obstacle::WorkerBusy),
+        vm::Phase::Rebooting { .. } if !observation.rebooted => Some(Obstacle::Rebooting),
         vm::Phase::Serving => {
             let mut open = state.waves.values().filter(|wave| !wave.status.phase.is_final());
             let wave = open.find(|wave| wave.status.due().any(|due| due == vm))?;
-            start_obstacle(state, wave, &stored.spec.pool)
+            drain_obstacle(state, wave, &stored.spec.pool)
         }
         _ => None,
     }
 }
 
-fn start_obstacle(state: &State, wave: &Wave, pool: &PoolName) -> Option<Obstacle> {
+fn drain_obstacle(state: &State, wave: &Wave, pool: &PoolName) -> Option<Obstacle> {
     if let wave::Phase::Paused { cause } = wave.status.phase {
         return Some(Obstacle::Paused { cause });
     }
-    if let Canary::Out(vm) = canary(state, wave, pool) {
+    if let Canary::InMaintenance(vm) = canary(state, wave, pool) {
         return Some(Obstacle::Canary { vm });
     }
     let spec = &state.pools.get(pool)?.spec;
--- a/crates/crosspath_route/src/claim.rs
+++ b/crates/crosspath_route/src/claim.rs
@@ -133,7 +133,7 @@
 pub struct Table {
     bounds: Bounds,
     claims: BTreeMap<Key, Claim>,
-    order: VecDeque<Key>,
+    eviction_order: VecDeque<Key>,
     answer_bytes: usize,
 }
 
@@ -141,44 +141,44 @@
     /// Makes an empty table.
     #[must_use]
     pub fn new(bounds: Bounds) -> Self {
-        Self { bounds, claims: BTreeMap::new(), order: VecDeque::new(), answer_bytes: 0 }
+        Self { bounds, claims: BTreeMap::new(), eviction_order: VecDeque::new(), answer_bytes: 0 }
     }
 
-    /// Claims a key at `now`, for a request that ends within `left`, for an owner that knows every
+    /// Claims a key at `now`, for a request that ends within `remaining`, for an owner that knows every
     /// claim on keys made after `since`.
     pub fn claim(
         &mut self,
         request: &Request,
         nonce: Nonce,
-        left: Duration,
-        since: Wall,
+        remaining: Duration,
+        complete_since: Wall,
         now: Wall,
     ) -> Verdict {
-        self.forget(now);
+        self.evict_expired(now);
         if let Some(claim) = self.claims.get(&request.key) {
             let again = claim.nonce == nonce && claim.request == *request;
             if again && claim.phase == Phase::Running {
                 return Verdict::Granted;
             }
-            return verdict(claim, request, now);
+            return verdict_on_repeat(claim, request, now);
         }
-        if let Some(answer) = self.refusal(request.key, since, now) {
+        if let Some(answer) = self.refusal(request.key, complete_since, now) {
             return Verdict::Final(answer);
         }
-        let due = now.after(left);
+        let due = now.after(remaining);
         let claim = Claim { request: request.clone(), nonce, due, phase: Phase::Running };
         self.insert(request.key, claim);
         Verdict::Granted
     }
 
-    fn refusal(&self, key: Key, since: Wall, now: Wall) -> Option<Answer> {
+    fn refusal(&self, key: Key, complete_since: Wall, now: Wall) -> Option<Answer> {
         let Bounds { keys, retention, skew, .. } = self.bounds;
         let created = key.created();
         match () {
             () if now > created.after(retention) => Some(Answer::Unknown(Unknown::KeyExpired)),
             // The time in the key and the time of the take-over are read on two clocks, and the
             // earlier owner took keys up to one skew ahead of its own.
-            () if created <= since.after(skew * 2) => {
+            () if created <= complete_since.after(skew * 2) => {
                 Some(Answer::Unknown(Unknown::KeyBeforeOwner))
             }
             // From here on no owner can have granted the key: "not run" is certain.
@@ -215,12 +215,12 @@
     #[must_use]
     pub fn look_up(&self, key: Key, caller: &CallerName, now: Wall) -> Option<Verdict> {
         let claim = self.claims.get(&key)?;
-        (claim.request.caller == *caller).then(|| ended(claim, now))
+        (claim.request.caller == *caller).then(|| current_verdict(claim, now))
     }
 
     /// Claims on keys that `matches`, to be handed to another owner.
     #[must_use]
-    pub fn select(&self, matches: impl Fn(&Key) -> bool) -> Vec<Claim> {
+    pub fn claims_where(&self, matches: impl Fn(&Key) -> bool) -> Vec<Claim> {
         let claims = self.claims.iter().filter(|(key, _)| matches(key));
         claims.map(|(_, claim)| claim.clone()).collect()
     }
@@ -238,7 +238,7 @@
     /// Forgets every key, as when the daemon's ownership has ended.
     pub fn clear(&mut self) {
         self.claims.clear();
-        self.order.clear();
+        self.eviction_order.clear();
         self.answer_bytes = 0;
     }
 
@@ -257,33 +257,33 @@
     fn insert(&mut self, key: Key, claim: Claim) {
         self.answer_bytes += claim.answer_bytes();
         self.claims.insert(key, claim);
-        self.order.push_back(key);
+        self.eviction_order.push_back(key);
     }
 
     /// Forgets keys that are refused for their age anyway. They stand about in the order of their
     /// creation; one that is out of order stays until those before it go.
-    fn forget(&mut self, now: Wall) {
+    fn evict_expired(&mut self, now: Wall) {
         let kept_for = self.bounds.retention + self.bounds.skew;
-        while let Some(key) = self.order.front() {
+        while let Some(key) = self.eviction_order.front() {
             if now <= key.created().after(kept_for) {
                 return;
             }
-            let gone = self.claims.remove(key);
-            self.answer_bytes -= gone.map_or(0, |gone| gone.answer_bytes());
-            self.order.pop_front();
+            let evicted = self.claims.remove(key);
+            self.answer_bytes -= evicted.map_or(0, |evicted| evicted.answer_bytes());
+            self.eviction_order.pop_front();
         }
     }
 }
 
-fn verdict(claim: &Claim, request: &Request, now: Wall) -> Verdict {
+fn verdict_on_repeat(claim: &Claim, request: &Request, now: Wall) -> Verdict {
     let same_caller = claim.request.caller == request.caller;
     if !same_caller || claim.request.digest != request.digest {
         return Verdict::Final(Answer::KeyMismatch);
     }
-    ended(claim, now)
+    current_verdict(claim, now)
 }
 
-fn ended(claim: &Claim, now: Wall) -> Verdict {
+fn current_verdict(claim: &Claim, now: Wall) -> Verdict {
     match &claim.phase {
         Phase::Running if now > claim.due => Verdict::Final(Answer::Unknown(Unknown::OutcomeLost)),
         Phase::Running => Verdict::Final(Answer::Unknown(Unknown::InProgress)),
--- a/crates/crosspath_route/src/dispatch.rs
+++ b/crates/crosspath_route/src/dispatch.rs
@@ -16,8 +16,8 @@
 use rand::{Rng, RngExt as _};
 
 use crate::answer::{Final, NotRun};
-use crate::line::Line;
-use crate::outlier::{Health, MAX_OUT_DIVISOR};
+use crate::fair_queue::FairQueue;
+use crate::outlier::{Health, MAX_EJECTED_DIVISOR};
 
 const SLOW_START: Duration = Duration::from_secs(2);
 const SMOOTHING: f64 = 0.1;
@@ -40,7 +40,7 @@
 
 /// A request for a slot.
 #[derive(Debug, Clone)]
-pub struct Ask {
+pub struct Request {
     /// Its ticket.
     pub ticket: Ticket,
     /// Who sent it.
@@ -53,7 +53,7 @@
 
 /// Answer to a request for a slot.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Offer {
+pub enum Admission {
     /// It has a slot of this VM.
     Assigned(VmName),
     /// It waits; a [`Grant`] follows, or its ticket expires.
@@ -75,7 +75,7 @@
 
 /// How the use of a slot ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Use {
+pub enum Completion {
     /// The upstream answered after this time.
     Answered(Duration),
     /// The upstream failed.
@@ -102,28 +102,28 @@
     slots: u32,
     local: bool,
     active: bool,
-    since: Monotonic,
+    active_since: Monotonic,
     in_flight: u32,
     health: Health,
 }
 
 impl Backend {
-    fn usable(&self, now: Monotonic) -> u32 {
-        let age = now.since(self.since);
+    fn usable_slots(&self, now: Monotonic) -> u32 {
+        let age = now.since(self.active_since);
         if age >= SLOW_START || !self.active {
             return self.slots * u32::from(self.active);
         }
-        let part = age.as_secs_f64() / SLOW_START.as_secs_f64();
+        let fraction = age.as_secs_f64() / SLOW_START.as_secs_f64();
         // A part of a few slots; the first one is free at once.
-        ((f64::from(self.slots) * part).ceil() as u32).clamp(1.min(self.slots), self.slots)
+        ((f64::from(self.slots) * fraction).ceil() as u32).clamp(1.min(self.slots), self.slots)
     }
 
     fn is_free(&self, now: Monotonic) -> bool {
-        self.in_flight < self.usable(now)
+        self.in_flight < self.usable_slots(now)
     }
 
     fn load(&self) -> f64 {
-        f64::from(self.in_flight + self.health.weight() + 1) / f64::from(self.slots.max(1))
+        f64::from(self.in_flight + self.health.load_penalty() + 1) / f64::from(self.slots.max(1))
     }
 }
 
@@ -132,11 +132,11 @@
 pub struct Dispatch {
     bounds: Bounds,
     backends: BTreeMap<VmName, Backend>,
-    urgent: Line,
-    batch: Line,
+    urgent: FairQueue,
+    batch: FairQueue,
     batch_in_flight: u32,
     grants_since_batch: u32,
-    service: Option<Duration>,
+    service_time: Option<Duration>,
 }
 
 impl Dispatch {
@@ -146,11 +146,11 @@
         Self {
             bounds,
             backends: BTreeMap::new(),
-            urgent: Line::default(),
-            batch: Line::default(),
+            urgent: FairQueue::default(),
+            batch: FairQueue::default(),
             batch_in_flight: 0,
             grants_since_batch: 0,
-            service: None,
+            service_time: None,
         }
     }
 
@@ -165,23 +165,25 @@
         for backend in self.backends.values_mut() {
             backend.active = false;
         }
-        let first = self.backends.is_empty();
+        let pool_was_empty = self.backends.is_empty();
         for target in targets {
-            let warm = if first { Monotonic(0) } else { now };
+            let newcomer_since = if pool_was_empty { Monotonic(0) } else { now };
             let known = self.backends.get(&target.vm);
-            let since = known.filter(|known| known.slots > 0).map_or(warm, |known| known.since);
+            let active_since = known
+                .filter(|known| known.slots > 0)
+                .map_or(newcomer_since, |known| known.active_since);
             let backend = self.backends.entry(target.vm.clone()).or_insert_with(|| Backend {
                 slots: 0,
                 local: target.local,
                 active: false,
-                since,
+                active_since,
                 in_flight: 0,
                 health: Health::default(),
             });
             backend.slots = target.slots;
             backend.local = target.local;
             backend.active = true;
-            backend.since = since;
+            backend.active_since = active_since;
         }
         for backend in self.backends.values_mut().filter(|backend| !backend.active) {
             backend.slots = 0;
@@ -206,48 +208,48 @@
     }
 
     /// Asks for a slot at `now`.
-    pub fn offer(&mut self, ask: Ask, now: Monotonic, rng: &mut impl Rng) -> Offer {
-        if let Some(refusal) = self.refusal(&ask, now) {
-            return Offer::Refused(refusal);
+    pub fn admit(&mut self, request: Request, now: Monotonic, rng: &mut impl Rng) -> Admission {
+        if let Some(refusal) = self.refusal(&request, now) {
+            return Admission::Refused(refusal);
         }
-        let skips_none = self.waiting(ask.class) == 0;
-        let starts = skips_none && self.may_start(ask.class);
-        let chosen = starts.then(|| self.choose(now, rng)).flatten();
+        let queue_is_empty = self.waiting(request.class) == 0;
+        let starts = queue_is_empty && self.may_start(request.class);
+        let chosen = starts.then(|| self.select_vm(now, rng)).flatten();
         if let Some(vm) = chosen {
-            self.start(&vm, ask.class);
-            return Offer::Assigned(vm);
+            self.start(&vm, request.class);
+            return Admission::Assigned(vm);
         }
-        match ask.class {
-            Class::Urgent => self.urgent.push(ask),
-            Class::Batch => self.batch.push(ask),
+        match request.class {
+            Class::Urgent => self.urgent.push(request),
+            Class::Batch => self.batch.push(request),
         }
-        Offer::Waiting
+        Admission::Waiting
     }
 
-    fn refusal(&self, ask: &Ask, now: Monotonic) -> Option<Final> {
+    fn refusal(&self, request: &Request, now: Monotonic) -> Option<Final> {
         let slots = self.slots();
         if slots == 0 {
             return Some(Final::not_run(NotRun::NoUpstream, MIN_RETRY_AFTER));
         }
         let waiting = self.urgent.len() + self.batch.len();
-        let wait = self.wait(ask, slots);
+        let wait = self.expected_wait(request, slots);
         let retry_after = wait.max(MIN_RETRY_AFTER);
         if waiting >= self.bounds.queue {
             return Some(Final::not_run(NotRun::QueueFull, retry_after));
         }
-        let due = now.after(wait + self.service.unwrap_or_default());
-        (due >= ask.deadline).then(|| Final::not_run(NotRun::TooLate, retry_after))
+        let due = now.after(wait + self.service_time.unwrap_or_default());
+        (due >= request.deadline).then(|| Final::not_run(NotRun::TooLate, retry_after))
     }
 
     /// How long the request is expected to wait.
-    fn wait(&self, ask: &Ask, slots: u32) -> Duration {
+    fn expected_wait(&self, request: &Request, slots: u32) -> Duration {
         let urgent = self.urgent.len();
-        let (ahead, slots) = match ask.class {
-            Class::Urgent => (self.urgent.ahead_of(&ask.caller), slots),
-            Class::Batch => (urgent + self.batch.ahead_of(&ask.caller), self.batch_ceiling()),
+        let (ahead, slots) = match request.class {
+            Class::Urgent => (self.urgent.ahead_of(&request.caller), slots),
+            Class::Batch => (urgent + self.batch.ahead_of(&request.caller), self.batch_ceiling()),
         };
         let rounds = ahead as f64 / f64::from(slots.max(1));
-        self.service.unwrap_or_default().mul_f64(rounds)
+        self.service_time.unwrap_or_default().mul_f64(rounds)
     }
 
     /// Says how the use of a slot ended; the slot may go to requests that wait.
@@ -255,46 +257,46 @@
         &mut self,
         vm: &VmName,
         class: Class,
-        end: Use,
+        end: Completion,
         now: Monotonic,
         rng: &mut impl Rng,
     ) -> Vec<Grant> {
         self.batch_in_flight -= u32::from(class == Class::Batch).min(self.batch_in_flight);
-        let may_go_out = self.may_go_out(now);
+        let may_eject = self.may_eject(now);
         if let Some(backend) = self.backends.get_mut(vm) {
             backend.in_flight = backend.in_flight.saturating_sub(1);
             match end {
-                Use::Answered(_) => backend.health.succeeded(),
-                Use::Failed => backend.health.failed(may_go_out, now),
-                Use::Refused => backend.health.refused(now),
-                Use::Abandoned => {}
+                Completion::Answered(_) => backend.health.record_success(),
+                Completion::Failed => backend.health.record_failure(may_eject, now),
+                Completion::Refused => backend.health.record_refusal(now),
+                Completion::Abandoned => {}
             }
             let gone = !backend.active && backend.in_flight == 0;
             if gone {
                 self.backends.remove(vm);
             }
         }
-        if let Use::Answered(time) = end {
-            self.learn(time);
+        if let Completion::Answered(time) = end {
+            self.record_service_time(time);
         }
         self.grant(now, rng)
     }
 
-    fn learn(&mut self, time: Duration) {
-        let known = self.service.unwrap_or(time);
-        self.service = Some(known.mul_f64(1.0 - SMOOTHING) + time.mul_f64(SMOOTHING));
+    fn record_service_time(&mut self, time: Duration) {
+        let known = self.service_time.unwrap_or(time);
+        self.service_time = Some(known.mul_f64(1.0 - SMOOTHING) + time.mul_f64(SMOOTHING));
     }
 
     /// Takes a request out that no longer waits for its slot.
     pub fn cancel(&mut self, ticket: Ticket) {
-        self.urgent.remove(|ask| ask.ticket == ticket);
-        self.batch.remove(|ask| ask.ticket == ticket);
+        self.urgent.remove(|request| request.ticket == ticket);
+        self.batch.remove(|request| request.ticket == ticket);
     }
 
     /// Takes out the requests whose deadline has come.
     pub fn expire(&mut self, now: Monotonic) -> Vec<Ticket> {
-        let mut expired = self.urgent.expired(now);
-        expired.extend(self.batch.expired(now));
+        let mut expired = self.urgent.remove_expired(now);
+        expired.extend(self.batch.remove_expired(now));
         expired
     }
 
@@ -302,16 +304,16 @@
     pub fn grant(&mut self, now: Monotonic, rng: &mut impl Rng) -> Vec<Grant> {
         let mut grants = Vec::new();
         while let Some(class) = self.next_class() {
-            let Some(vm) = self.choose(now, rng) else {
+            let Some(vm) = self.select_vm(now, rng) else {
                 break;
             };
-            let line = match class {
+            let queue = match class {
                 Class::Urgent => &mut self.urgent,
                 Class::Batch => &mut self.batch,
             };
-            let Some(ask) = line.pop() else { break };
+            let Some(request) = queue.pop() else { break };
             self.start(&vm, class);
-            grants.push(Grant { ticket: ask.ticket, vm, class });
+            grants.push(Grant { ticket: request.ticket, vm, class });
         }
         grants
     }
@@ -352,15 +354,15 @@
         }
     }
 
-    fn may_go_out(&self, now: Monotonic) -> bool {
+    fn may_eject(&self, now: Monotonic) -> bool {
         let active = self.backends.values().filter(|backend| backend.active);
-        let out = active.clone().filter(|backend| backend.health.is_out(now)).count();
-        (out + 1) * MAX_OUT_DIVISOR <= active.count()
+        let ejected = active.clone().filter(|backend| backend.health.is_ejected(now)).count();
+        (ejected + 1) * MAX_EJECTED_DIVISOR <= active.count()
     }
 
-    fn choose(&self, now: Monotonic, rng: &mut impl Rng) -> Option<VmName> {
+    fn select_vm(&self, now: Monotonic, rng: &mut impl Rng) -> Option<VmName> {
         let free = || self.backends.iter().filter(|(_, backend)| backend.is_free(now));
-        let healthy = || free().filter(|(_, backend)| !backend.health.is_out(now));
+        let healthy = || free().filter(|(_, backend)| !backend.health.is_ejected(now));
         let local: Vec<_> = healthy().filter(|(_, backend)| backend.local).collect();
         if !local.is_empty() {
             return Some(better_of_two(&local, rng));
--- a/crates/crosspath_route/src/line.rs
+++ b/crates/crosspath_route/src/fair_queue.rs
@@ -5,17 +5,17 @@
 use crosspath_state::name::CallerName;
 use crosspath_state::time::Monotonic;
 
-use crate::dispatch::{Ask, Ticket};
+use crate::dispatch::{Request, Ticket};
 
 /// One queue for each caller, served in turn.
 #[derive(Debug, Default)]
-pub(crate) struct Line {
-    queues: BTreeMap<CallerName, VecDeque<Ask>>,
-    turns: VecDeque<CallerName>,
+pub(crate) struct FairQueue {
+    queues: BTreeMap<CallerName, VecDeque<Request>>,
+    rotation: VecDeque<CallerName>,
     len: usize,
 }
 
-impl Line {
+impl FairQueue {
     pub(crate) fn len(&self) -> usize {
         self.len
     }
@@ -26,45 +26,45 @@
         self.queues.values().map(|queue| queue.len().min(own + 1)).sum::<usize>().min(self.len)
     }
 
-    pub(crate) fn push(&mut self, ask: Ask) {
-        let queue = self.queues.entry(ask.caller.clone()).or_default();
+    pub(crate) fn push(&mut self, request: Request) {
+        let queue = self.queues.entry(request.caller.clone()).or_default();
         if queue.is_empty() {
-            self.turns.push_back(ask.caller.clone());
+            self.rotation.push_back(request.caller.clone());
         }
-        queue.push_back(ask);
+        queue.push_back(request);
         self.len += 1;
     }
 
-    pub(crate) fn pop(&mut self) -> Option<Ask> {
-        let caller = self.turns.pop_front()?;
+    pub(crate) fn pop(&mut self) -> Option<Request> {
+        let caller = self.rotation.pop_front()?;
         let queue = self.queues.get_mut(&caller)?;
-        let ask = queue.pop_front()?;
+        let request = queue.pop_front()?;
         self.len -= 1;
         if queue.is_empty() {
             self.queues.remove(&caller);
         } else {
-            self.turns.push_back(caller);
+            self.rotation.push_back(caller);
         }
-        Some(ask)
+        Some(request)
     }
 
     /// Takes out those that `matches`.
-    pub(crate) fn remove(&mut self, matches: impl Fn(&Ask) -> bool) -> Vec<Ticket> {
+    pub(crate) fn remove(&mut self, matches: impl Fn(&Request) -> bool) -> Vec<Ticket> {
         let mut removed = Vec::new();
         for queue in self.queues.values_mut() {
-            queue.retain(|ask| {
-                let gone = matches(ask);
-                removed.extend(gone.then_some(ask.ticket));
+            queue.retain(|request| {
+                let gone = matches(request);
+                removed.extend(gone.then_some(request.ticket));
                 !gone
             });
         }
         self.len -= removed.len();
         self.queues.retain(|_, queue| !queue.is_empty());
-        self.turns.retain(|caller| self.queues.contains_key(caller));
+        self.rotation.retain(|caller| self.queues.contains_key(caller));
         removed
     }
 
-    pub(crate) fn expired(&mut self, now: Monotonic) -> Vec<Ticket> {
-        self.remove(|ask| ask.deadline <= now)
+    pub(crate) fn remove_expired(&mut self, now: Monotonic) -> Vec<Ticket> {
+        self.remove(|request| request.deadline <= now)
     }
 }
--- a/crates/crosspath_route/src/lib.rs
+++ b/crates/crosspath_route/src/lib.rs
@@ -3,16 +3,16 @@
 //! - [`dispatch`] decides which request gets which slot of which VM, and which are refused.
 //! - [`split`] divides a VM's slots between the daemons.
 //! - [`outlier`] takes VMs out of the choice by evidence.
-//! - [`verdict`] says what follows from an attempt that failed.
+//! - [`retry`] says what follows from an attempt that failed.
 //! - [`key`] and [`claim`] keep a payment with a key from running twice.
 //! - [`answer`] is the set of final answers that are not the upstream's own.
 
 pub mod answer;
 pub mod claim;
 pub mod dispatch;
+mod fair_queue;
 pub mod key;
-mod line;
 pub mod outlier;
 pub mod quota;
+pub mod retry;
 pub mod split;
-pub mod verdict;
--- a/crates/crosspath_route/src/outlier.rs
+++ b/crates/crosspath_route/src/outlier.rs
@@ -9,55 +9,55 @@
 use crosspath_state::time::Monotonic;
 
 /// Failures in a row that take a VM out.
-pub const FAILURES: u32 = 3;
+pub const EJECTION_THRESHOLD: u32 = 3;
 
 /// One VM out of this many may be out at one time, at least.
-pub const MAX_OUT_DIVISOR: usize = 3;
+pub const MAX_EJECTED_DIVISOR: usize = 3;
 
-const REFUSED_OUT: Duration = Duration::from_secs(2);
-const FIRST_OUT: Duration = Duration::from_secs(1);
+const REFUSAL_EJECTION: Duration = Duration::from_secs(2);
+const BASE_EJECTION: Duration = Duration::from_secs(1);
 const MAX_DOUBLINGS: u32 = 5;
-const MAX_WEIGHT: u32 = 8;
+const MAX_LOAD_PENALTY: u32 = 8;
 
 /// What is known of one VM.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Health {
-    in_a_row: u32,
-    times_out: u32,
-    out_until: Option<Monotonic>,
+    consecutive_failures: u32,
+    ejections: u32,
+    ejected_until: Option<Monotonic>,
 }
 
 impl Health {
     /// Notes an answer.
-    pub fn succeeded(&mut self) {
+    pub fn record_success(&mut self) {
         *self = Self::default();
     }
 
-    /// Notes a failure; `may_go_out` says whether the pool can spare the VM.
-    pub fn failed(&mut self, may_go_out: bool, now: Monotonic) {
-        self.in_a_row += 1;
-        if self.in_a_row < FAILURES || !may_go_out || self.is_out(now) {
+    /// Notes a failure; `may_eject` says whether the pool can spare the VM.
+    pub fn record_failure(&mut self, may_eject: bool, now: Monotonic) {
+        self.consecutive_failures += 1;
+        if self.consecutive_failures < EJECTION_THRESHOLD || !may_eject || self.is_ejected(now) {
             return;
         }
-        let doublings = self.times_out.min(MAX_DOUBLINGS);
-        self.out_until = Some(now.after(FIRST_OUT * 2_u32.pow(doublings)));
-        self.times_out += 1;
+        let doublings = self.ejections.min(MAX_DOUBLINGS);
+        self.ejected_until = Some(now.after(BASE_EJECTION * 2_u32.pow(doublings)));
+        self.ejections += 1;
     }
 
     /// Notes that the VM itself says it takes no requests: it is leaving, whatever the pool has left.
-    pub fn refused(&mut self, now: Monotonic) {
-        self.out_until = Some(now.after(REFUSED_OUT));
+    pub fn record_refusal(&mut self, now: Monotonic) {
+        self.ejected_until = Some(now.after(REFUSAL_EJECTION));
     }
 
     /// Whether the VM is out at `now`.
     #[must_use]
-    pub fn is_out(&self, now: Monotonic) -> bool {
-        self.out_until.is_some_and(|until| now < until)
+    pub fn is_ejected(&self, now: Monotonic) -> bool {
+        self.ejected_until.is_some_and(|until| now < until)
     }
 
     /// Requests in flight that its failures count for.
     #[must_use]
-    pub fn weight(&self) -> u32 {
-        self.in_a_row.min(MAX_WEIGHT)
+    pub fn load_penalty(&self) -> u32 {
+        self.consecutive_failures.min(MAX_LOAD_PENALTY)
     }
 }
--- a/crates/crosspath_route/src/quota.rs
+++ b/crates/crosspath_route/src/quota.rs
@@ -13,7 +13,7 @@
 impl Quota {
     /// Counts one more request unless the caller has `max` already; 0 is no limit.
     #[must_use]
-    pub fn enter(&mut self, caller: &CallerName, max: u32) -> bool {
+    pub fn try_acquire(&mut self, caller: &CallerName, max: u32) -> bool {
         let count = self.in_flight.entry(caller.clone()).or_default();
         let free = max == 0 || *count < max;
         *count += u32::from(free);
@@ -21,7 +21,7 @@
     }
 
     /// Counts one request less.
-    pub fn leave(&mut self, caller: &CallerName) {
+    pub fn release(&mut self, caller: &CallerName) {
         if let Some(count) = self.in_flight.get_mut(caller) {
             *count = count.saturating_sub(1);
             if *count == 0 {
--- a/crates/crosspath_route/src/verdict.rs
+++ b/crates/crosspath_route/src/retry.rs
@@ -24,7 +24,7 @@
     /// The connection broke after the request may have been sent.
     Broken,
     /// No answer came in time.
-    Late,
+    Timeout,
 }
 
 impl Failure {
@@ -35,24 +35,24 @@
     }
 }
 
-/// What is known after an attempt failed.
+/// State of a request after a failed attempt.
 #[derive(Debug, Clone, Copy)]
-pub struct Known {
+pub struct FailedAttempt {
     /// How the attempt failed.
     pub failure: Failure,
     /// Whether an earlier attempt of the request may have been run.
-    pub maybe_run: bool,
+    pub may_have_run: bool,
     /// Whether the request may run more than once.
-    pub repeatable: bool,
+    pub idempotent: bool,
     /// Attempts so far.
     pub attempts: u32,
     /// Time until the deadline.
-    pub left: Duration,
+    pub remaining: Duration,
 }
 
 /// What to do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Decision {
     /// Try another upstream.
     Retry,
     /// Answer at once.
@@ -60,16 +60,16 @@
 }
 
 /// Decides after a failed attempt; draws on the budget when it says to retry.
-pub fn decide(known: Known, budget: &mut Budget) -> Verdict {
-    let safe = known.failure.certainly_not_run() || known.repeatable;
-    let timely = known.attempts < MAX_ATTEMPTS && !known.left.is_zero();
-    if safe && timely && budget.draw() {
-        return Verdict::Retry;
+pub fn decide(attempt: FailedAttempt, budget: &mut Budget) -> Decision {
+    let safe = attempt.failure.certainly_not_run() || attempt.idempotent;
+    let has_time = attempt.attempts < MAX_ATTEMPTS && !attempt.remaining.is_zero();
+    if safe && has_time && budget.try_spend() {
+        return Decision::Retry;
     }
-    let maybe_run = known.maybe_run || !known.failure.certainly_not_run();
-    Verdict::Final(match (maybe_run, known.failure) {
+    let may_have_run = attempt.may_have_run || !attempt.failure.certainly_not_run();
+    Decision::Final(match (may_have_run, attempt.failure) {
         (false, _) => Final::not_run(NotRun::UpstreamRefused, Duration::from_secs(1)),
-        (true, Failure::Late) => Final::unknown(Unknown::UpstreamLate),
+        (true, Failure::Timeout) => Final::unknown(Unknown::UpstreamLate),
         (true, _) => Final::unknown(Unknown::UpstreamCut),
     })
 }
@@ -77,25 +77,25 @@
 /// Bounds retries to a share of the requests, so that they cannot become a storm.
 #[derive(Debug)]
 pub struct Budget {
-    percent: u32,
+    balance_percent: u32,
 }
 
 impl Default for Budget {
     fn default() -> Self {
-        Self { percent: BUDGET_MAX }
+        Self { balance_percent: BUDGET_MAX }
     }
 }
 
 impl Budget {
     /// Notes a new request, which pays for a fifth of a retry.
     pub fn deposit(&mut self) {
-        self.percent = (self.percent + BUDGET_PER_REQUEST).min(BUDGET_MAX);
+        self.balance_percent = (self.balance_percent + BUDGET_PER_REQUEST).min(BUDGET_MAX);
     }
 
-    fn draw(&mut self) -> bool {
-        let enough = self.percent >= BUDGET_PER_RETRY;
+    fn try_spend(&mut self) -> bool {
+        let enough = self.balance_percent >= BUDGET_PER_RETRY;
         if enough {
-            self.percent -= BUDGET_PER_RETRY;
+            self.balance_percent -= BUDGET_PER_RETRY;
         }
         enough
     }
--- a/crates/crosspath_route/src/split.rs
+++ b/crates/crosspath_route/src/split.rs
@@ -11,23 +11,23 @@
 
 /// This daemon's place among all daemons of the settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Place {
+pub struct Position {
     /// From 0, in name order.
     pub index: u32,
     /// How many daemons there are.
     pub daemons: u32,
 }
 
-impl Place {
+impl Position {
     /// This daemon's part of `total` slots (or connections) of `vm`.
     #[must_use]
-    pub fn part(self, vm: &VmName, total: u32) -> u32 {
+    pub fn share(self, vm: &VmName, total: u32) -> u32 {
         let mut hasher = SipHasher13::new();
         hasher.write(vm.as_str().as_bytes());
         let daemons = u64::from(self.daemons.max(1));
-        let turn = hasher.finish() % daemons;
-        let position = (u64::from(self.index) + turn) % daemons;
+        let rotation = hasher.finish() % daemons;
+        let rotated = (u64::from(self.index) + rotation) % daemons;
         let remainder = u64::from(total) % daemons;
-        total / self.daemons.max(1) + u32::from(position < remainder)
+        total / self.daemons.max(1) + u32::from(rotated < remainder)
     }
 }
--- a/crates/crosspath_route/tests/route/claim.rs
+++ b/crates/crosspath_route/tests/route/claim.rs
@@ -19,8 +19,8 @@
     retention: Duration::from_millis(10_000),
     skew: Duration::from_millis(SKEW_MS),
 };
-const ANY: Nonce = Nonce(0);
-const LEFT: Duration = Duration::from_millis(500);
+const ANY_NONCE: Nonce = Nonce(0);
+const REMAINING: Duration = Duration::from_millis(500);
 
 fn key_at(ms: u64) -> Key {
     let nanos = u32::try_from(ms % 1_000).expect("small") * 1_000_000;
@@ -40,35 +40,35 @@
 #[derive(Debug, Clone)]
 enum Event {
     /// Time passes, on every clock.
-    Pass(u64),
+    Advance(u64),
     /// A caller, whose clock is off by up to the skew, makes a key.
-    Make { off: u64 },
+    CreateKey { offset_ms: u64 },
     /// A key is claimed, perhaps again.
-    Claim { place: usize },
+    Claim { index: usize },
     /// A granted request ends, certainly not run or not.
-    End { place: usize, not_run: bool },
+    End { index: usize, not_run: bool },
     /// The owner is lost with its claims, and another, whose clock is off, takes over.
-    TakeOver { off: u64 },
+    TakeOver { offset_ms: u64 },
     /// The owner hands its claims over.
-    HandOver { off: u64 },
+    HandOver { offset_ms: u64 },
 }
 
 fn any_event() -> impl Strategy<Value = Event> {
-    let off = || 0..SKEW_MS;
+    let offset_ms = || 0..SKEW_MS;
     prop_oneof![
-        5 => (1..200_u64).prop_map(Event::Pass),
-        1 => Just(Event::Pass(4_000)),
-        6 => off().prop_map(|off| Event::Make { off }),
-        10 => (0..30_usize).prop_map(|place| Event::Claim { place }),
-        4 => (0..30_usize, any::<bool>()).prop_map(|(place, not_run)| Event::End { place, not_run }),
-        1 => off().prop_map(|off| Event::TakeOver { off }),
-        1 => off().prop_map(|off| Event::HandOver { off }),
+        5 => (1..200_u64).prop_map(Event::Advance),
+        1 => Just(Event::Advance(4_000)),
+        6 => offset_ms().prop_map(|offset_ms| Event::CreateKey { offset_ms }),
+        10 => (0..30_usize).prop_map(|index| Event::Claim { index }),
+        4 => (0..30_usize, any::<bool>()).prop_map(|(index, not_run)| Event::End { index, not_run }),
+        1 => offset_ms().prop_map(|offset_ms| Event::TakeOver { offset_ms }),
+        1 => offset_ms().prop_map(|offset_ms| Event::HandOver { offset_ms }),
     ]
 }
 
 /// What became of a key in the world outside.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Fate {
+enum Execution {
     /// Granted, and may be running or have run.
     MayHaveRun,
     /// Never granted, or ended as certainly not run.
@@ -76,39 +76,43 @@
 }
 
 fn run(events: &[Event]) -> (u32, u32) {
-    let (mut now, mut off, mut since) = (1_000_000_u64, 0_u64, Wall(900_000));
+    let (mut now, mut offset_ms, mut since) = (1_000_000_u64, 0_u64, Wall(900_000));
     let mut table = Table::new(BOUNDS);
     let mut keys: Vec<Key> = Vec::new();
-    let mut fates: BTreeMap<Key, Fate> = BTreeMap::new();
+    let mut executions: BTreeMap<Key, Execution> = BTreeMap::new();
     let (mut granted, mut unknown, mut nonce) = (0, 0, 0);
     for event in events {
-        let clock = Wall(now + off);
+        let clock = Wall(now + offset_ms);
         match *event {
-            Event::Pass(ms) => now += ms,
-            Event::Make { off } => keys.push(key_at(now + off)),
-            Event::Claim { place } => {
-                let Some(key) = keys.get(keys.len().wrapping_sub(place + 1)).copied() else {
+            Event::Advance(ms) => now += ms,
+            Event::CreateKey { offset_ms } => keys.push(key_at(now + offset_ms)),
+            Event::Claim { index } => {
+                let Some(key) = keys.get(keys.len().wrapping_sub(index + 1)).copied() else {
                     continue;
                 };
-                let fate = fates.get(&key).copied().unwrap_or(Fate::NotRun);
+                let execution = executions.get(&key).copied().unwrap_or(Execution::NotRun);
                 nonce += 1;
-                match table.claim(&request(key), Nonce(nonce), LEFT, since, clock) {
+                match table.claim(&request(key), Nonce(nonce), REMAINING, since, clock) {
                     Verdict::Granted => {
-                        assert_eq!(fate, Fate::NotRun, "granted twice");
-                        fates.insert(key, Fate::MayHaveRun);
+                        assert_eq!(execution, Execution::NotRun, "granted twice");
+                        executions.insert(key, Execution::MayHaveRun);
                         granted += 1;
                     }
                     Verdict::Final(Answer::NotRun(reason)) => {
-                        assert_eq!(fate, Fate::NotRun, "'not run' ({reason:?}) but granted");
+                        assert_eq!(
+                            execution,
+                            Execution::NotRun,
+                            "'not run' ({reason:?}) but granted"
+                        );
                     }
                     _ => unknown += 1,
                 }
             }
-            Event::End { place, not_run } => {
-                let Some(key) = keys.get(keys.len().wrapping_sub(place + 1)).copied() else {
+            Event::End { index, not_run } => {
+                let Some(key) = keys.get(keys.len().wrapping_sub(index + 1)).copied() else {
                     continue;
                 };
-                if fates.get(&key) != Some(&Fate::MayHaveRun) {
+                if executions.get(&key) != Some(&Execution::MayHaveRun) {
                     continue;
                 }
                 if not_run && table.look_up(key, &request(key).caller, clock).is_some() {
@@ -120,21 +124,21 @@
                         )))
                     );
                     if open {
-                        fates.insert(key, Fate::NotRun);
+                        executions.insert(key, Execution::NotRun);
                         table.settle(&request(key), Outcome::NotRun);
                     }
                 } else {
                     table.settle(&request(key), answered());
                 }
             }
-            Event::TakeOver { off: next } => {
-                off = next;
+            Event::TakeOver { offset_ms: next } => {
+                offset_ms = next;
                 table = Table::new(BOUNDS);
-                since = Wall(now + off);
+                since = Wall(now + offset_ms);
             }
-            Event::HandOver { off: next } => {
-                off = next;
-                let claims = table.select(|_| true);
+            Event::HandOver { offset_ms: next } => {
+                offset_ms = next;
+                let claims = table.claims_where(|_| true);
                 table = Table::new(BOUNDS);
                 table.take_over(claims);
             }
@@ -156,7 +160,7 @@
 }
 
 #[test]
-fn made_up_histories_grant_and_refuse() {
+fn generated_histories_cover_grants_and_refusals() {
     use proptest::strategy::ValueTree as _;
     let mut runner = proptest::test_runner::TestRunner::deterministic();
     let strategy = prop::collection::vec(any_event(), 120);
@@ -170,56 +174,60 @@
 }
 
 #[test]
-fn a_full_table_refuses_before_anything_is_sent() {
+fn full_table_refuses_new_keys() {
     let mut table = Table::new(Bounds { keys: 2, ..BOUNDS });
     let (since, now) = (Wall(0), Wall(1_000_000));
     for _ in 0..2 {
-        let verdict = table.claim(&request(key_at(now.0)), ANY, LEFT, since, now);
+        let verdict = table.claim(&request(key_at(now.0)), ANY_NONCE, REMAINING, since, now);
         assert_eq!(verdict, Verdict::Granted);
     }
-    let full = table.claim(&request(key_at(now.0)), ANY, LEFT, since, now);
+    let full = table.claim(&request(key_at(now.0)), ANY_NONCE, REMAINING, since, now);
     assert_eq!(full, Verdict::Final(Answer::NotRun(NotRun::KeysFull)));
     // Room comes back when keys are too old to be taken anyway.
     let later = Wall(now.0 + 20_000);
-    assert_eq!(table.claim(&request(key_at(later.0)), ANY, LEFT, since, later), Verdict::Granted);
+    assert_eq!(
+        table.claim(&request(key_at(later.0)), ANY_NONCE, REMAINING, since, later),
+        Verdict::Granted
+    );
     assert_eq!(table.len(), 1);
 }
 
 #[test]
-fn keys_from_the_future_and_from_long_ago_are_refused() {
+fn future_and_expired_keys_are_refused() {
     let mut table = Table::new(BOUNDS);
     let now = Wall(1_000_000);
-    let ahead = table.claim(&request(key_at(now.0 + SKEW_MS + 1)), ANY, LEFT, Wall(0), now);
+    let ahead =
+        table.claim(&request(key_at(now.0 + SKEW_MS + 1)), ANY_NONCE, REMAINING, Wall(0), now);
     assert_eq!(ahead, Verdict::Final(Answer::NotRun(NotRun::KeyFromFuture)));
-    let old = table.claim(&request(key_at(now.0 - 10_001)), ANY, LEFT, Wall(0), now);
+    let old = table.claim(&request(key_at(now.0 - 10_001)), ANY_NONCE, REMAINING, Wall(0), now);
     assert_eq!(old, Verdict::Final(Answer::Unknown(Unknown::KeyExpired)));
     assert!(Key::parse("not a key").is_err());
     assert!(Key::parse(&Uuid::nil().to_string()).is_err());
 }
 
 #[test]
-fn a_claim_whose_answer_was_lost_can_be_made_again() {
+fn claim_can_be_repeated_with_the_same_nonce() {
     let mut table = Table::new(BOUNDS);
     let (since, now) = (Wall(0), Wall(1_000_000));
     let request = request(key_at(now.0));
-    let mut claim = |nonce| table.claim(&request, Nonce(nonce), LEFT, since, now);
+    let mut claim = |nonce| table.claim(&request, Nonce(nonce), REMAINING, since, now);
     assert_eq!(claim(1), Verdict::Granted);
     assert_eq!(claim(1), Verdict::Granted);
     assert_eq!(claim(2), Verdict::Final(Answer::Unknown(Unknown::InProgress)));
     table.settle(&request, answered());
-    let ended = table.claim(&request, Nonce(1), LEFT, since, now);
+    let ended = table.claim(&request, Nonce(1), REMAINING, since, now);
     assert!(matches!(ended, Verdict::Answered(_)), "{ended:?}");
 }
 
 #[test]
-fn answers_are_kept_within_bounds_in_bytes() {
+fn recorded_answers_stay_within_the_byte_limit() {
     let mut table = Table::new(Bounds { answer_bytes: 10, ..BOUNDS });
     let (since, now) = (Wall(0), Wall(1_000_000));
     let mut end = |now: Wall| {
         let request = request(key_at(now.0));
-        assert_eq!(table.claim(&request, ANY, LEFT, since, now), Verdict::Granted);
+        assert_eq!(table.claim(&request, ANY_NONCE, REMAINING, since, now), Verdict::Granted);
         table.settle(&request, answered());
-        table.claim(&request, Nonce(9), LEFT, since, now)
+        table.claim(&request, Nonce(9), REMAINING, since, now)
     };
     let kept = |verdict: &Verdict| matches!(verdict, Verdict::Answered(_));
     // Four bytes each: the third would be too much, and is known by its status only.
--- a/crates/crosspath_route/tests/route/dispatch.rs
+++ b/crates/crosspath_route/tests/route/dispatch.rs
@@ -4,7 +4,9 @@
 use std::time::Duration;
 
 use crosspath_route::answer::{Answer, NotRun};
-use crosspath_route::dispatch::{Ask, Bounds, Dispatch, Grant, Offer, Target, Ticket, Use};
+use crosspath_route::dispatch::{
+    Admission, Bounds, Completion, Dispatch, Grant, Request, Target, Ticket,
+};
 use crosspath_state::job::Class;
 use crosspath_state::name::{CallerName, VmName};
 use crosspath_state::time::Monotonic;
@@ -75,51 +77,51 @@
         *self.served.entry(class).or_default() += 1;
     }
 
-    fn ask(&mut self, from: u8, class: Class, within: u64) -> Offer {
+    fn request(&mut self, from: u8, class: Class, within: u64) -> Admission {
         self.tickets += 1;
         let ticket = Ticket(self.tickets);
         let deadline = self.now().after(Duration::from_millis(within));
-        let ask = Ask { ticket, caller: caller(from), class, deadline };
-        let offer = self.dispatch.offer(ask, self.now(), &mut self.rng);
-        match &offer {
-            Offer::Assigned(vm) => self.start(vm.clone(), class),
-            Offer::Waiting => drop(self.waiting.insert(ticket, class)),
-            Offer::Refused(_) => {}
+        let request = Request { ticket, caller: caller(from), class, deadline };
+        let admission = self.dispatch.admit(request, self.now(), &mut self.rng);
+        match &admission {
+            Admission::Assigned(vm) => self.start(vm.clone(), class),
+            Admission::Waiting => drop(self.waiting.insert(ticket, class)),
+            Admission::Refused(_) => {}
         }
-        offer
+        admission
     }
 
-    fn end(&mut self, place: usize, end: Use) {
+    fn end(&mut self, index: usize, end: Completion) {
         if self.running.is_empty() {
             return;
         }
-        let (vm, class) = self.running.swap_remove(place % self.running.len());
+        let (vm, class) = self.running.swap_remove(index % self.running.len());
         let grants = self.dispatch.release(&vm, class, end, self.now(), &mut self.rng);
         self.granted(grants);
     }
 
-    fn on(&self, vm: &VmName) -> u32 {
+    fn running_on(&self, vm: &VmName) -> u32 {
         u32::try_from(self.running.iter().filter(|(on, _)| on == vm).count()).expect("small")
     }
 }
 
 #[derive(Debug, Clone)]
 enum Event {
-    Pass(u64),
-    Ask { from: u8, batch: bool, within: u64 },
-    End { place: usize, how: u8 },
-    Cancel { place: usize },
+    Advance(u64),
+    Request { from: u8, batch: bool, within: u64 },
+    End { index: usize, how: u8 },
+    Cancel { index: usize },
     Expire,
     Targets { vms: Vec<u8> },
 }
 
 fn any_event() -> impl Strategy<Value = Event> {
     prop_oneof![
-        3 => (1..300_u64).prop_map(Event::Pass),
+        3 => (1..300_u64).prop_map(Event::Advance),
         12 => (0..4_u8, any::<bool>(), 1..2_000_u64)
-            .prop_map(|(from, batch, within)| Event::Ask { from, batch, within }),
-        8 => (0..64_usize, 0..4_u8).prop_map(|(place, how)| Event::End { place, how }),
-        1 => (0..16_usize).prop_map(|place| Event::Cancel { place }),
+            .prop_map(|(from, batch, within)| Event::Request { from, batch, within }),
+        8 => (0..64_usize, 0..4_u8).prop_map(|(index, how)| Event::End { index, how }),
+        1 => (0..16_usize).prop_map(|index| Event::Cancel { index }),
         1 => Just(Event::Expire),
         1 => prop::collection::vec(0..5_u8, 0..5).prop_map(|vms| Event::Targets { vms }),
     ]
@@ -139,29 +141,29 @@
         let mut pool = Pool::new(&targets(4, SLOTS));
         let mut active: BTreeSet<VmName> = (0..4).map(vm).collect();
         for event in events {
-            let before: BTreeMap<_, _> = (0..5).map(|n| (vm(n), pool.on(&vm(n)))).collect();
+            let before: BTreeMap<_, _> = (0..5).map(|n| (vm(n), pool.running_on(&vm(n)))).collect();
             match event {
-                Event::Pass(ms) => pool.now += ms,
-                Event::Ask { from, batch, within } => {
+                Event::Advance(ms) => pool.now += ms,
+                Event::Request { from, batch, within } => {
                     let class = if batch { Class::Batch } else { Class::Urgent };
-                    let offer = pool.ask(from, class, within);
+                    let admission = pool.request(from, class, within);
                     if active.is_empty() {
-                        let refused = matches!(offer, Offer::Refused(answer)
+                        let refused = matches!(admission, Admission::Refused(answer)
                             if answer.answer == Answer::NotRun(NotRun::NoUpstream));
                         prop_assert!(refused);
                     }
                 }
-                Event::End { place, how } => {
+                Event::End { index, how } => {
                     let ends = [
-                        Use::Answered(Duration::from_millis(20)),
-                        Use::Failed,
-                        Use::Refused,
-                        Use::Abandoned,
+                        Completion::Answered(Duration::from_millis(20)),
+                        Completion::Failed,
+                        Completion::Refused,
+                        Completion::Abandoned,
                     ];
-                    pool.end(place, ends[usize::from(how)]);
+                    pool.end(index, ends[usize::from(how)]);
                 }
-                Event::Cancel { place } => {
-                    let ticket = pool.waiting.keys().nth(place).copied();
+                Event::Cancel { index } => {
+                    let ticket = pool.waiting.keys().nth(index).copied();
                     if let Some(ticket) = ticket {
                         pool.dispatch.cancel(ticket);
                         pool.waiting.remove(&ticket);
@@ -182,7 +184,7 @@
             }
             for number in 0..5 {
                 let vm = vm(number);
-                let on = pool.on(&vm);
+                let on = pool.running_on(&vm);
                 prop_assert!(on <= SLOTS, "{vm} runs {on}");
                 prop_assert!(active.contains(&vm) || on <= before[&vm], "{vm} left and got more");
                 prop_assert_eq!(pool.dispatch.in_flight(&vm), on);
@@ -197,13 +199,13 @@
 fn served_under_load(rounds: usize) -> BTreeMap<Class, u32> {
     let mut pool = Pool::new(&targets(4, 2));
     for _ in 0..8 {
-        pool.ask(0, Class::Urgent, 60_000);
+        pool.request(0, Class::Urgent, 60_000);
     }
     pool.served.clear();
     for round in 0..rounds {
-        pool.ask(1, Class::Batch, 60_000);
-        pool.ask(0, Class::Urgent, 60_000);
-        pool.end(round, Use::Answered(Duration::from_millis(5)));
+        pool.request(1, Class::Batch, 60_000);
+        pool.request(0, Class::Urgent, 60_000);
+        pool.end(round, Completion::Answered(Duration::from_millis(5)));
     }
     pool.served
 }
@@ -219,60 +221,64 @@
 fn batch_leaves_slots_for_urgent() {
     let mut pool = Pool::new(&targets(4, 2));
     for _ in 0..20 {
-        pool.ask(1, Class::Batch, 60_000);
+        pool.request(1, Class::Batch, 60_000);
     }
     assert_eq!(pool.running.len(), 6);
-    assert!(matches!(pool.ask(0, Class::Urgent, 60_000), Offer::Assigned(_)));
+    assert!(matches!(pool.request(0, Class::Urgent, 60_000), Admission::Assigned(_)));
 }
 
 #[test]
-fn one_caller_does_not_crowd_out_another() {
+fn callers_are_served_in_turn() {
     let mut pool = Pool::new(&targets(1, 1));
-    pool.ask(0, Class::Urgent, 60_000);
+    pool.request(0, Class::Urgent, 60_000);
     for _ in 0..20 {
-        pool.ask(1, Class::Urgent, 60_000);
+        pool.request(1, Class::Urgent, 60_000);
     }
-    pool.ask(2, Class::Urgent, 60_000);
+    pool.request(2, Class::Urgent, 60_000);
     let last = Ticket(pool.tickets);
-    pool.end(0, Use::Answered(Duration::from_millis(5)));
-    pool.end(0, Use::Answered(Duration::from_millis(5)));
+    pool.end(0, Completion::Answered(Duration::from_millis(5)));
+    pool.end(0, Completion::Answered(Duration::from_millis(5)));
     assert!(!pool.waiting.contains_key(&last), "served second, not after twenty");
 }
 
 #[test]
-fn what_cannot_be_answered_in_time_is_refused_at_once() {
+fn requests_that_would_miss_their_deadline_are_refused_on_arrival() {
     let mut pool = Pool::new(&targets(1, 1));
-    pool.ask(0, Class::Urgent, 60_000);
-    pool.end(0, Use::Answered(Duration::from_millis(100)));
+    pool.request(0, Class::Urgent, 60_000);
+    pool.end(0, Completion::Answered(Duration::from_millis(100)));
     for _ in 0..10 {
-        pool.ask(0, Class::Urgent, 60_000);
+        pool.request(0, Class::Urgent, 60_000);
     }
-    let late = pool.ask(0, Class::Urgent, 500);
-    let Offer::Refused(answer) = late else { panic!("{late:?}") };
+    let late = pool.request(0, Class::Urgent, 500);
+    let Admission::Refused(answer) = late else { panic!("{late:?}") };
     assert_eq!(answer.answer, Answer::NotRun(NotRun::TooLate));
     assert!(answer.retry_after >= Some(Duration::from_millis(900)), "{answer:?}");
-    assert_eq!(pool.ask(0, Class::Urgent, 5_000), Offer::Waiting);
+    assert_eq!(pool.request(0, Class::Urgent, 5_000), Admission::Waiting);
 }
 
 /// Failing quickly attracts no work, and failing together empties no pool.
 #[test]
-fn outliers_go_out_and_a_floor_stays() {
+fn outliers_are_ejected_down_to_a_floor() {
     let mut pool = Pool::new(&targets(6, 4));
-    let bad = vm(0);
-    let mut on_bad = 0;
+    let failing = vm(0);
+    let mut on_failing = 0;
     for _ in 0..300 {
         pool.now += 10;
-        pool.ask(0, Class::Urgent, 60_000);
+        pool.request(0, Class::Urgent, 60_000);
         let (on, _) = pool.running.last().cloned().expect("assigned");
-        on_bad += u32::from(on == bad);
-        let end = if on == bad { Use::Failed } else { Use::Answered(Duration::from_millis(5)) };
+        on_failing += u32::from(on == failing);
+        let end = if on == failing {
+            Completion::Failed
+        } else {
+            Completion::Answered(Duration::from_millis(5))
+        };
         pool.end(pool.running.len() - 1, end);
     }
-    assert!(on_bad <= 15, "{on_bad} of 300 went to the bad one");
+    assert!(on_failing <= 15, "{on_failing} of 300 went to the failing one");
     for _ in 0..100 {
         pool.now += 1;
-        let offer = pool.ask(0, Class::Urgent, 60_000);
-        assert!(matches!(offer, Offer::Assigned(_)), "{offer:?}");
-        pool.end(0, Use::Failed);
+        let admission = pool.request(0, Class::Urgent, 60_000);
+        assert!(matches!(admission, Admission::Assigned(_)), "{admission:?}");
+        pool.end(0, Completion::Failed);
     }
 }
--- a/crates/crosspath_route/tests/route/main.rs
+++ b/crates/crosspath_route/tests/route/main.rs
@@ -2,5 +2,5 @@
 
 mod claim;
 mod dispatch;
+mod retry;
 mod split;
-mod verdict;
--- a/crates/crosspath_route/tests/route/split.rs
+++ b/crates/crosspath_route/tests/route/split.rs
@@ -1,6 +1,6 @@
-//! The parts of a VM's slots.
+//! The shares of a VM's slots.
 
-use crosspath_route::split::Place;
+use crosspath_route::split::Position;
 use crosspath_state::name::VmName;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -12,13 +12,13 @@
 
     /// Whoever is cut off from whom, the daemons together never use more than there is.
     #[test]
-    fn the_parts_add_up_to_the_whole(vm in "[a-z]{1,8}", daemons in 1..60_u32, total in 0..300_u32) {
+    fn shares_add_up_to_the_total(vm in "[a-z]{1,8}", daemons in 1..60_u32, total in 0..300_u32) {
         let vm = VmName::new(&vm).expect("a name");
-        let parts = (0..daemons).map(|index| Place { index, daemons }.part(&vm, total));
-        let parts: Vec<u32> = parts.collect();
-        prop_assert_eq!(parts.iter().sum::<u32>(), total);
-        let spread = parts.iter().max().copied().unwrap_or_default()
-            - parts.iter().min().copied().unwrap_or_default();
+        let shares = (0..daemons).map(|index| Position { index, daemons }.share(&vm, total));
+        let shares: Vec<u32> = shares.collect();
+        prop_assert_eq!(shares.iter().sum::<u32>(), total);
+        let spread = shares.iter().max().copied().unwrap_or_default()
+            - shares.iter().min().copied().unwrap_or_default();
         prop_assert!(spread <= 1);
     }
 }
@@ -30,7 +30,7 @@
     for number in 0..600 {
         let vm = VmName::new(&format!("vm-{number}")).expect("a name");
         for (index, got) in (0..).zip(&mut got) {
-            *got += Place { index, daemons: 6 }.part(&vm, 8);
+            *got += Position { index, daemons: 6 }.share(&vm, 8);
         }
     }
     assert_eq!(got.iter().sum::<u32>(), 4_800);
--- a/crates/crosspath_upstream/src/body.rs
+++ b/crates/crosspath_upstream/src/body.rs
@@ -9,12 +9,12 @@
 use snafu::Snafu;
 use tokio::time::{Instant, Sleep};
 
-use crate::Idle;
+use crate::IdlePool;
 use crate::connection::Connection;
 
 /// A body that ended before it was whole.
 #[derive(Debug, Snafu)]
-pub enum CutShort {
+pub enum BodyError {
     /// The connection broke.
     #[snafu(display("the upstream's answer was cut short"))]
     Broken {
@@ -23,66 +23,66 @@
     },
     /// The deadline came.
     #[snafu(display("the upstream's answer was not whole in time"))]
-    Late,
+    Timeout,
 }
 
 /// The body; its connection is kept for the next request only once it is whole.
 #[derive(Debug)]
-pub struct Streamed {
+pub struct StreamingBody {
     body: Incoming,
     connection: Option<Connection>,
-    idle: Arc<Idle>,
+    idle: Arc<IdlePool>,
     deadline: Pin<Box<Sleep>>,
 }
 
-impl Streamed {
+impl StreamingBody {
     pub(crate) fn new(
         body: Incoming,
         connection: Connection,
-        idle: Arc<Idle>,
+        idle: Arc<IdlePool>,
         deadline: Instant,
     ) -> Self {
         let deadline = Box::pin(tokio::time::sleep_until(deadline));
-        let mut streamed = Self { body, connection: Some(connection), idle, deadline };
-        if streamed.body.is_end_stream() {
-            streamed.keep_connection();
+        let mut streaming = Self { body, connection: Some(connection), idle, deadline };
+        if streaming.body.is_end_stream() {
+            streaming.release_connection();
         }
-        streamed
+        streaming
     }
 
-    fn keep_connection(&mut self) {
+    fn release_connection(&mut self) {
         if let Some(connection) = self.connection.take() {
-            self.idle.keep(connection);
+            self.idle.release(connection);
         }
     }
 }
 
-impl Body for Streamed {
+impl Body for StreamingBody {
     type Data = Bytes;
-    type Error = CutShort;
+    type Error = BodyError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, CutShort>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         match Pin::new(&mut self.body).poll_frame(context) {
             Poll::Ready(Some(Ok(frame))) => {
                 if self.body.is_end_stream() {
-                    self.keep_connection();
+                    self.release_connection();
                 }
                 Poll::Ready(Some(Ok(frame)))
             }
             Poll::Ready(Some(Err(source))) => {
                 self.connection = None;
-                Poll::Ready(Some(Err(CutShort::Broken { source })))
+                Poll::Ready(Some(Err(BodyError::Broken { source })))
             }
             Poll::Ready(None) => {
-                self.keep_connection();
+                self.release_connection();
                 Poll::Ready(None)
             }
             Poll::Pending => match self.deadline.as_mut().poll(context) {
                 Poll::Ready(()) if self.connection.take().is_some() => {
-                    Poll::Ready(Some(Err(CutShort::Late)))
+                    Poll::Ready(Some(Err(BodyError::Timeout)))
                 }
                 _ => Poll::Pending,
             },
--- a/crates/crosspath_upstream/src/connection.rs
+++ b/crates/crosspath_upstream/src/connection.rs
@@ -27,9 +27,9 @@
 }
 
 /// What became of a request.
-pub(crate) enum Sent {
+pub(crate) enum SendResult {
     Answered(Response<Incoming>),
-    Not(Box<Request<Full<Bytes>>>),
+    NotSent(Box<Request<Full<Bytes>>>),
     Broken,
 }
 
@@ -65,13 +65,13 @@
         self.sender.is_ready() && !self.sender.is_closed()
     }
 
-    pub(crate) async fn send(&mut self, request: Request<Full<Bytes>>) -> Sent {
+    pub(crate) async fn send(&mut self, request: Request<Full<Bytes>>) -> SendResult {
         match self.sender.try_send_request(request).await {
-            Ok(answer) => Sent::Answered(answer),
+            Ok(answer) => SendResult::Answered(answer),
             // The library gives a request back only if it wrote none of it.
             Err(mut error) => match error.take_message() {
-                Some(request) => Sent::Not(Box::new(request)),
-                None => Sent::Broken,
+                Some(request) => SendResult::NotSent(Box::new(request)),
+                None => SendResult::Broken,
             },
         }
     }
--- a/crates/crosspath_upstream/src/lib.rs
+++ b/crates/crosspath_upstream/src/lib.rs
@@ -16,8 +16,8 @@
 use http_body_util::Full;
 use tokio::time::Instant;
 
-pub use body::Streamed;
-use connection::{Connection, Sent};
+pub use body::StreamingBody;
+use connection::{Connection, SendResult};
 
 /// Idle connections kept for each upstream.
 pub const MAX_IDLE: usize = 8;
@@ -33,17 +33,17 @@
     Broken,
     /// No answer came in time.
     #[snafu(display("no answer in time"))]
-    Late,
+    Timeout,
 }
 
 /// Idle connections by upstream.
 #[derive(Debug, Default)]
-pub(crate) struct Idle {
+pub(crate) struct IdlePool {
     connections: Mutex<HashMap<SocketAddr, Vec<Connection>>>,
 }
 
-impl Idle {
-    fn take(&self, address: SocketAddr) -> Option<Connection> {
+impl IdlePool {
+    fn acquire(&self, address: SocketAddr) -> Option<Connection> {
         let mut connections = self.connections.lock().unwrap_or_else(PoisonError::into_inner);
         let idle = connections.get_mut(&address)?;
         while let Some(connection) = idle.pop() {
@@ -54,7 +54,7 @@
         None
     }
 
-    pub(crate) fn keep(&self, connection: Connection) {
+    pub(crate) fn release(&self, connection: Connection) {
         let mut connections = self.connections.lock().unwrap_or_else(PoisonError::into_inner);
         let idle = connections.entry(connection.address()).or_default();
         if idle.len() < MAX_IDLE {
@@ -71,7 +71,7 @@
 /// A client of all upstreams.
 #[derive(Debug, Clone, Default)]
 pub struct Upstreams {
-    idle: Arc<Idle>,
+    idle: Arc<IdlePool>,
 }
 
 impl Upstreams {
@@ -85,8 +85,8 @@
         address: SocketAddr,
         request: Request<Full<Bytes>>,
         deadline: Instant,
-    ) -> Result<Response<Streamed>, Failure> {
-        let request = match self.idle.take(address) {
+    ) -> Result<Response<StreamingBody>, Failure> {
+        let request = match self.idle.acquire(address) {
             None => request,
             Some(connection) => match self.exchange(connection, request, deadline).await {
                 Ok(answer) => return Ok(answer),
@@ -107,16 +107,16 @@
         mut connection: Connection,
         request: Request<Full<Bytes>>,
         deadline: Instant,
-    ) -> Result<Response<Streamed>, (Failure, Option<Box<Request<Full<Bytes>>>>)> {
+    ) -> Result<Response<StreamingBody>, (Failure, Option<Box<Request<Full<Bytes>>>>)> {
         let sent = tokio::time::timeout_at(deadline, connection.send(request)).await;
         match sent {
-            Ok(Sent::Answered(answer)) => {
+            Ok(SendResult::Answered(answer)) => {
                 let idle = Arc::clone(&self.idle);
-                Ok(answer.map(|body| Streamed::new(body, connection, idle, deadline)))
+                Ok(answer.map(|body| StreamingBody::new(body, connection, idle, deadline)))
             }
-            Ok(Sent::Not(request)) => Err((Failure::NotSent, Some(request))),
-            Ok(Sent::Broken) => Err((Failure::Broken, None)),
-            Err(_) => Err((Failure::Late, None)),
+            Ok(SendResult::NotSent(request)) => Err((Failure::NotSent, Some(request))),
+            Ok(SendResult::Broken) => Err((Failure::Broken, None)),
+            Err(_) => Err((Failure::Timeout, None)),
         }
     }
 
--- a/crates/crosspath_worker/src/http.rs
+++ b/crates/crosspath_worker/src/http.rs
@@ -7,7 +7,7 @@
 use crosspath_http::client::{self, Client, Method};
 use crosspath_state::name::{JobName, VmName};
 
-use crate::{Error, JobState, Report, Ticket, Worker};
+use crate::{Error, JobState, RebootId, Report, Worker};
 
 /// Workers and pools of the platform at one address.
 #[derive(Debug, Clone)]
@@ -22,7 +22,7 @@
         Self { client: Client::new(address, timeout) }
     }
 
-    async fn order(
+    async fn put(
         &self,
         vm: &VmName,
         path: &str,
@@ -30,11 +30,11 @@
     ) -> Result<(), Error> {
         let path = format!("/workers/{vm}/{path}");
         let answer = self.client.call::<()>(Method::PUT, &path, Some(body)).await;
-        answer.map_err(|error| failed(vm, error))
+        answer.map_err(|error| call_error(vm, error))
     }
 }
 
-fn failed(vm: &VmName, error: client::Error) -> Error {
+fn call_error(vm: &VmName, error: client::Error) -> Error {
     let vm = vm.clone();
     match error {
         client::Error::Status { status, body, .. } if status.is_client_error() => {
@@ -49,18 +49,18 @@
     async fn report(&self, vm: &VmName) -> Result<Report, Error> {
         let path = format!("/workers/{vm}");
         let answer = self.client.call(Method::GET, &path, None::<&()>).await;
-        answer.map_err(|error| failed(vm, error))
+        answer.map_err(|error| call_error(vm, error))
     }
 
     async fn set_drained(&self, vm: &VmName, drained: bool) -> Result<(), Error> {
-        self.order(vm, "drained", &drained).await
+        self.put(vm, "drained", &drained).await
     }
 
-    async fn reboot(&self, vm: &VmName, ticket: &Ticket) -> Result<(), Error> {
-        self.order(vm, "reboot", ticket).await
+    async fn reboot(&self, vm: &VmName, id: &RebootId) -> Result<(), Error> {
+        self.put(vm, "reboot", id).await
     }
 
     async fn set_job(&self, vm: &VmName, job: &JobName, state: JobState) -> Result<(), Error> {
-        self.order(vm, &format!("jobs/{job}"), &state).await
+        self.put(vm, &format!("jobs/{job}"), &state).await
     }
 }
--- a/crates/crosspath_worker/src/lib.rs
+++ b/crates/crosspath_worker/src/lib.rs
@@ -32,7 +32,7 @@
 }
 
 /// Marks one reboot: wave, VM and the revision at which it began to drain.
-pub type Ticket = String;
+pub type RebootId = String;
 
 /// What a worker says of itself.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -44,7 +44,7 @@
     /// Requests it runs.
     pub in_flight: u32,
     /// The last reboot that was ordered.
-    pub reboot: Option<Ticket>,
+    pub reboot: Option<RebootId>,
     /// Jobs it holds.
     pub jobs: Vec<JobReport>,
 }
@@ -94,7 +94,7 @@
     /// # Errors
     ///
     /// [`Error`].
-    async fn reboot(&self, vm: &VmName, ticket: &Ticket) -> Result<(), Error>;
+    async fn reboot(&self, vm: &VmName, id: &RebootId) -> Result<(), Error>;
 
     /// Brings a job on a VM into a state.
     ///
--- a/crates/crosspathd/src/api.rs
+++ b/crates/crosspathd/src/api.rs
@@ -6,7 +6,7 @@
 use async_trait::async_trait;
 use crosspath_operator::model::{DaemonStatus, Explanation, Outcome, Resource, Status};
 use crosspath_operator::{CommitError, Handler};
-use crosspath_plan::wave::Observed;
+use crosspath_plan::wave::Observation;
 use crosspath_plan::{place, wave};
 use crosspath_state::State;
 use crosspath_state::name::{DaemonName, JobName, VmName};
@@ -128,7 +128,7 @@
 }
 
 /// What this daemon can tell of a VM without asking the platform.
-fn observed(core: &Core, state: &State, vm: &VmName) -> Observed {
+fn observed(core: &Core, state: &State, vm: &VmName) -> Observation {
     let daemons_done = peers::undrained_members(core, state, vm).is_empty();
-    Observed { daemons_done, ..Observed::default() }
+    Observation { daemons_done, ..Observation::default() }
 }
--- a/crates/crosspathd/src/daemon.rs
+++ b/crates/crosspathd/src/daemon.rs
@@ -143,7 +143,8 @@
     let (stop, handler) = (core.stage.subscribe(), Arc::new(Api(Arc::clone(core))));
     let serving = operator::serve(operators, limits.clone(), bounds, stop, access, handler);
     drop(tokio::spawn(serving));
-    let bounds = crosspath_caller::Bounds { body_bytes: settings.limits.body_bytes, body_timeout };
+    let bounds =
+        crosspath_caller::BodyLimits { body_bytes: settings.limits.body_bytes, body_timeout };
     let handler = Arc::new(CallerHandler(Arc::new(Gateway::new(Arc::clone(core)))));
     let stop = core.stage.subscribe();
     tokio::spawn(crosspath_caller::serve(callers, limits, bounds, stop, handler))
--- a/crates/crosspathd/src/driver.rs
+++ b/crates/crosspathd/src/driver.rs
@@ -7,11 +7,11 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use crosspath_plan::wave::Observed;
+use crosspath_plan::wave::Observation;
 use crosspath_state::name::{VmName, WaveName};
 use crosspath_state::record::{Change, Revision};
 use crosspath_state::{State, Stored, vm};
-use crosspath_worker::{JobState, Report, Ticket};
+use crosspath_worker::{JobState, RebootId, Report};
 use futures::StreamExt as _;
 use futures::future::join_all;
 use futures::stream;
@@ -105,7 +105,7 @@
 type Vm = Stored<vm::Spec, vm::Phase>;
 
 /// Looks at every VM that is out, and gives the orders that its phase calls for.
-async fn observe(core: &Core, state: &State) -> BTreeMap<VmName, Observed> {
+async fn observe(core: &Core, state: &State) -> BTreeMap<VmName, Observation> {
     let in_wave = state.vms.iter().filter(|(_, vm)| vm.status.wave().is_some());
     let polls = in_wave.map(|(name, vm)| async move {
         let observed = observe_vm(core, state, name, vm).await;
@@ -114,28 +114,28 @@
     join_all(polls).await.into_iter().collect()
 }
 
-async fn observe_vm(core: &Core, state: &State, name: &VmName, vm: &Vm) -> Observed {
+async fn observe_vm(core: &Core, state: &State, name: &VmName, vm: &Vm) -> Observation {
     let daemons_done = peers::undrained_members(core, state, name).is_empty();
     let Ok(report) = core.worker.report(name).await else {
-        return Observed { daemons_done, ..Observed::default() };
+        return Observation { daemons_done, ..Observation::default() };
     };
     match &vm.status {
         vm::Phase::Draining { wave } if is_cancelled(state, wave) => {
             ensure_drained(core, name, &report, false).await;
-            Observed { daemons_done, ..Observed::default() }
+            Observation { daemons_done, ..Observation::default() }
         }
         vm::Phase::Draining { .. } => {
             if daemons_done {
                 ensure_drained(core, name, &report, true).await;
             }
-            Observed { daemons_done, worker_idle: is_idle(&report), rebooted: false }
+            Observation { daemons_done, worker_idle: is_idle(&report), rebooted: false }
         }
         vm::Phase::Rebooting { wave } => {
             let rebooted =
                 ensure_rebooted(core, name, &reboot_ticket(state, wave, name), &report).await;
-            Observed { daemons_done, worker_idle: false, rebooted }
+            Observation { daemons_done, worker_idle: false, rebooted }
         }
-        vm::Phase::Serving | vm::Phase::Failed { .. } => Observed::default(),
+        vm::Phase::Serving | vm::Phase::Failed { .. } => Observation::default(),
     }
 }
 
@@ -157,13 +157,13 @@
 }
 
 /// One reboot of a VM for each wave, whatever else changes meanwhile.
-fn reboot_ticket(state: &State, wave: &WaveName, vm: &VmName) -> Ticket {
+fn reboot_ticket(state: &State, wave: &WaveName, vm: &VmName) -> RebootId {
     let declared_at = state.waves.get(wave).map(|wave| wave.status.declared_at);
     format!("{wave}@{}:{vm}", declared_at.unwrap_or_default())
 }
 
 /// Orders the reboot if it was not ordered yet; whether it is over and the VM takes requests.
-async fn ensure_rebooted(core: &Core, vm: &VmName, ticket: &Ticket, report: &Report) -> bool {
+async fn ensure_rebooted(core: &Core, vm: &VmName, ticket: &RebootId, report: &Report) -> bool {
     if report.reboot.as_ref() != Some(ticket) {
         if is_idle(report) && core.is_planner() {
             let result = core.worker.reboot(vm, ticket).await;
--- a/crates/crosspathd/src/gateway.rs
+++ b/crates/crosspathd/src/gateway.rs
@@ -11,7 +11,7 @@
 use crosspath_route::claim::{Outcome, Request};
 use crosspath_route::key::Key;
 use crosspath_route::quota::Quota;
-use crosspath_route::verdict::Budget;
+use crosspath_route::retry::Budget;
 use crosspath_settings::token::Hash;
 use crosspath_state::job::Class;
 use crosspath_state::name::{CallerName, ServiceName};
@@ -43,7 +43,7 @@
 
 impl Drop for InFlight {
     fn drop(&mut self) {
-        self.gateway.quota.lock().unwrap_or_else(PoisonError::into_inner).leave(&self.caller);
+        self.gateway.quota.lock().unwrap_or_else(PoisonError::into_inner).release(&self.caller);
         let latency = clock::monotonic().since(self.started);
         self.gateway.core.metrics.end_request(self.class, &self.caller, latency);
     }
@@ -56,7 +56,8 @@
 
     fn admit(self: &Arc<Self>, caller: &CallerName, class: Class) -> Option<InFlight> {
         let max = self.core.state().callers.get(caller).map_or(0, |c| c.spec.max_in_flight);
-        let admitted = self.quota.lock().unwrap_or_else(PoisonError::into_inner).enter(caller, max);
+        let admitted =
+            self.quota.lock().unwrap_or_else(PoisonError::into_inner).try_acquire(caller, max);
         if !admitted {
             return None;
         }
@@ -164,7 +165,7 @@
         }
     }
 
-    fn rejected(&self, rejection: &Rejection) {
+    fn count_rejected(&self, rejection: &Rejection) {
         self.0.core.metrics.count_rejection(rejection.reason());
     }
 }
--- a/crates/crosspathd/src/gateway/attempt.rs
+++ b/crates/crosspathd/src/gateway/attempt.rs
@@ -11,11 +11,11 @@
 use crosspath_http::body::{self, BoxError};
 use crosspath_route::answer::{Final, NotRun, Unknown};
 use crosspath_route::claim::{Outcome, Recorded};
-use crosspath_route::dispatch::Use;
-use crosspath_route::verdict::{self, Failure, Known, Verdict};
+use crosspath_route::dispatch::Completion;
+use crosspath_route::retry::{self, Decision, FailedAttempt, Failure};
 use crosspath_state::resource::Service;
 use crosspath_state::time::Monotonic;
-use crosspath_upstream::{self as upstream, Streamed};
+use crosspath_upstream::{self as upstream, StreamingBody};
 use http::{HeaderValue, Request, Response, StatusCode, header};
 use http_body_util::{BodyExt as _, Full, Limited};
 use hyper::body::Frame;
@@ -41,7 +41,7 @@
 
 /// An upstream's answer and the slot that it still uses.
 struct UpstreamResponse {
-    response: Response<Streamed>,
+    response: Response<StreamingBody>,
     slot: Slot,
     sent_at: Monotonic,
 }
@@ -68,11 +68,11 @@
         };
         let (head, streamed) = response.into_parts();
         let Ok(whole) = Limited::new(streamed, MAX_KEYED_RESPONSE_BYTES).collect().await else {
-            slot.set_outcome(Use::Failed);
+            slot.set_outcome(Completion::Failed);
             let reason = Unknown::UpstreamCut;
             return (Reply::Final(Final::unknown(reason)), Outcome::Unknown(reason));
         };
-        slot.set_outcome(Use::Answered(clock::monotonic().since(sent_at)));
+        slot.set_outcome(Completion::Answered(clock::monotonic().since(sent_at)));
         let bytes = whole.to_bytes();
         let outcome = recorded_outcome(&head, &bytes, max_recorded_bytes);
         (
@@ -83,26 +83,27 @@
 
     async fn send_until_final(&self) -> Result<UpstreamResponse, Final> {
         self.budget().deposit();
-        let mut maybe_run = false;
+        let mut may_have_run = false;
         for attempts in 1.. {
-            let slot = self.slot().await.map_err(|refusal| refusal_after(refusal, maybe_run))?;
+            let slot = self.slot().await.map_err(|refusal| refusal_after(refusal, may_have_run))?;
             let failure = match self.attempt(slot).await {
                 Ok(upstream_response) => return Ok(upstream_response),
                 Err(failure) => failure,
             };
-            let left = self.deadline.since(clock::monotonic());
-            let repeatable = self.service.repeatable;
-            let known = Known { failure, maybe_run, repeatable, attempts, left };
-            maybe_run |= !failure.certainly_not_run();
-            match verdict::decide(known, &mut self.budget()) {
-                Verdict::Retry => self.gateway.core.metrics.count_retry(),
-                Verdict::Final(answer) => return Err(answer),
+            let remaining = self.deadline.since(clock::monotonic());
+            let idempotent = self.service.repeatable;
+            let failed_attempt =
+                FailedAttempt { failure, may_have_run, idempotent, attempts, remaining };
+            may_have_run |= !failure.certainly_not_run();
+            match retry::decide(failed_attempt, &mut self.budget()) {
+                Decision::Retry => self.gateway.core.metrics.count_retry(),
+                Decision::Final(answer) => return Err(answer),
             }
         }
         Err(Final::not_run(NotRun::UpstreamRefused, Duration::from_secs(1)))
     }
 
-    fn budget(&self) -> std::sync::MutexGuard<'_, verdict::Budget> {
+    fn budget(&self) -> std::sync::MutexGuard<'_, retry::Budget> {
         self.gateway.budget.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -133,17 +134,17 @@
         };
         match core.upstreams.send(address, request, Instant::now() + left).await {
             Ok(response) if is_refusal(&response) => {
-                slot.set_outcome(Use::Refused);
+                slot.set_outcome(Completion::Refused);
                 core.upstreams.close_idle(address);
                 Err(Failure::Refused)
             }
             Ok(response) => Ok(UpstreamResponse { response, slot, sent_at }),
             Err(failure) => {
-                slot.set_outcome(Use::Failed);
+                slot.set_outcome(Completion::Failed);
                 Err(match failure {
                     upstream::Failure::NotSent => Failure::NotSent,
                     upstream::Failure::Broken => Failure::Broken,
-                    upstream::Failure::Late => Failure::Late,
+                    upstream::Failure::Timeout => Failure::Timeout,
                 })
             }
         }
@@ -169,11 +170,11 @@
 }
 
 /// A refusal of a further attempt must not deny what an earlier one may have done.
-fn refusal_after(refusal: Final, maybe_run: bool) -> Final {
-    if maybe_run { Final::unknown(Unknown::UpstreamCut) } else { refusal }
+fn refusal_after(refusal: Final, may_have_run: bool) -> Final {
+    if may_have_run { Final::unknown(Unknown::UpstreamCut) } else { refusal }
 }
 
-fn is_refusal(response: &Response<Streamed>) -> bool {
+fn is_refusal(response: &Response<StreamingBody>) -> bool {
     response.status() == StatusCode::SERVICE_UNAVAILABLE && response.headers().contains_key(NOT_RUN)
 }
 
@@ -198,13 +199,13 @@
 
 /// An answer on its way to the caller; its slot is free when it is whole, or given up.
 struct ForwardedBody {
-    inner: Streamed,
+    inner: StreamingBody,
     slot: Slot,
     sent_at: Monotonic,
 }
 
 impl ForwardedBody {
-    fn new(inner: Streamed, slot: Slot, sent_at: Monotonic) -> Self {
+    fn new(inner: StreamingBody, slot: Slot, sent_at: Monotonic) -> Self {
         let mut body = Self { inner, slot, sent_at };
         if hyper::body::Body::is_end_stream(&body.inner) {
             body.record_completion();
@@ -214,7 +215,7 @@
 
     fn record_completion(&mut self) {
         let time = clock::monotonic().since(self.sent_at);
-        self.slot.set_outcome(Use::Answered(time));
+        self.slot.set_outcome(Completion::Answered(time));
     }
 }
 
@@ -235,7 +236,7 @@
                 Poll::Ready(Some(Ok(frame)))
             }
             Poll::Ready(Some(Err(error))) => {
-                self.slot.set_outcome(Use::Failed);
+                self.slot.set_outcome(Completion::Failed);
                 Poll::Ready(Some(Err(error.into())))
             }
             Poll::Ready(None) => {
--- a/crates/crosspathd/src/handover.rs
+++ b/crates/crosspathd/src/handover.rs
@@ -21,7 +21,7 @@
     };
     let moving: BTreeSet<u16> = partitions.iter().copied().collect();
     core.freeze(&moving);
-    let claims = core.claims().select(|key| moving.contains(&key.partition()));
+    let claims = core.claims().claims_where(|key| moving.contains(&key.partition()));
     let count = claims.len();
     let accepted = link.take_over(Transfer { to: to.clone(), claims }).await;
     if accepted != Ok(true) {
--- a/crates/crosspathd/src/membership.rs
+++ b/crates/crosspathd/src/membership.rs
@@ -61,13 +61,13 @@
         return;
     };
     let sent_at = clock::monotonic();
-    let answer = link.beat(peers::own_heartbeat(&core)).await;
+    let answer = link.heartbeat(peers::own_heartbeat(&core)).await;
     core.metrics.count_heartbeat(if answer.is_ok() { "answered" } else { "unanswered" });
     let Ok(answer) = answer else { return };
     if let Some(promise) = answer.promise() {
         core.leases().holder.promised(core.terms(), &peer, sent_at, promise);
     }
-    peers::record_heartbeat(&core, answer.beat);
+    peers::record_heartbeat(&core, answer.heartbeat);
 }
 
 /// While VMs drain, tells the planner at once what changes in flight here on them.
--- a/crates/crosspathd/src/peers.rs
+++ b/crates/crosspathd/src/peers.rs
@@ -4,7 +4,9 @@
 use std::time::Duration;
 
 use async_trait::async_trait;
-use crosspath_peer::{Beat, BeatAnswer, Claim, Handler, LookUp, Settle, StateCopy, Transfer};
+use crosspath_peer::{
+    Claim, Handler, Heartbeat, HeartbeatReply, LookUp, Settle, StateCopy, Transfer,
+};
 use crosspath_route::claim::Verdict;
 use crosspath_state::State;
 use crosspath_state::name::{DaemonName, VmName};
@@ -35,10 +37,10 @@
 }
 
 /// This daemon's own heartbeat.
-pub(crate) fn own_heartbeat(core: &Core) -> Beat {
+pub(crate) fn own_heartbeat(core: &Core) -> Heartbeat {
     // Read first: what is in flight then is at least as new as the revision says.
     let applied = core.state().applied;
-    Beat {
+    Heartbeat {
         from: core.own_writer(),
         applied,
         in_flight: core.draining_in_flight(),
@@ -47,7 +49,7 @@
 }
 
 /// Notes a peer's heartbeat; one from an earlier life, or overtaken, is dropped.
-pub(crate) fn record_heartbeat(core: &Core, beat: Beat) {
+pub(crate) fn record_heartbeat(core: &Core, beat: Heartbeat) {
     let reported = PeerState {
         applied: beat.applied,
         in_flight: beat.in_flight,
@@ -87,7 +89,7 @@
 
 #[async_trait]
 impl Handler for PeerHandler {
-    async fn beat(&self, beat: Beat) -> BeatAnswer {
+    async fn heartbeat(&self, beat: Heartbeat) -> HeartbeatReply {
         let core = &*self.0;
         let member = beat.from.clone();
         record_heartbeat(core, beat);
@@ -95,7 +97,7 @@
         let (state, terms, now) = (core.state(), core.terms(), clock::monotonic());
         let promise = core.leases().guardian.promise(terms, &state, &member, valid, now);
         let millis = |span: Duration| u64::try_from(span.as_millis()).unwrap_or_default();
-        BeatAnswer { beat: own_heartbeat(core), promise_ms: promise.map(millis) }
+        HeartbeatReply { heartbeat: own_heartbeat(core), promise_ms: promise.map(millis) }
     }
 
     async fn claim(&self, claim: Claim) -> Verdict {
--- a/crates/crosspathd/src/pools.rs
+++ b/crates/crosspathd/src/pools.rs
@@ -6,8 +6,10 @@
 use std::time::Duration;
 
 use crosspath_route::answer::{Final, NotRun};
-use crosspath_route::dispatch::{Ask, Bounds, Dispatch, Grant, Offer, Target, Ticket, Use};
-use crosspath_route::split::Place;
+use crosspath_route::dispatch::{
+    Admission, Bounds, Completion, Dispatch, Grant, Request, Target, Ticket,
+};
+use crosspath_route::split::Position;
 use crosspath_settings::Settings;
 use crosspath_state::State;
 use crosspath_state::job::Class;
@@ -22,7 +24,7 @@
 pub(crate) struct Pools {
     pools: RwLock<BTreeMap<PoolName, Arc<Pool>>>,
     bounds: Bounds,
-    place: Place,
+    place: Position,
     data_centre: DataCentre,
     tickets: AtomicU64,
 }
@@ -44,7 +46,7 @@
     pool: Arc<Pool>,
     vm: VmName,
     class: Class,
-    outcome: Use,
+    outcome: Completion,
 }
 
 impl Slot {
@@ -53,7 +55,7 @@
     }
 
     /// Says how the use ended; without a word it counts as abandoned.
-    pub(crate) fn set_outcome(&mut self, outcome: Use) {
+    pub(crate) fn set_outcome(&mut self, outcome: Completion) {
         self.outcome = outcome;
     }
 }
@@ -104,16 +106,16 @@
         ticket: Ticket,
     ) -> Result<Acquisition, Final> {
         let (class, deadline) = (request.class, request.deadline);
-        let ask = Ask { ticket, caller: request.caller.clone(), class, deadline };
+        let request = Request { ticket, caller: request.caller.clone(), class, deadline };
         let mut queue = self.lock();
-        match queue.dispatch.offer(ask, clock::monotonic(), &mut rand::rng()) {
-            Offer::Assigned(vm) => {
+        match queue.dispatch.admit(request, clock::monotonic(), &mut rand::rng()) {
+            Admission::Assigned(vm) => {
                 drop(queue);
                 let pool = Arc::clone(self);
-                Ok(Acquisition::Assigned(Slot { pool, vm, class, outcome: Use::Abandoned }))
+                Ok(Acquisition::Assigned(Slot { pool, vm, class, outcome: Completion::Abandoned }))
             }
-            Offer::Refused(refusal) => Err(refusal),
-            Offer::Waiting => {
+            Admission::Refused(refusal) => Err(refusal),
+            Admission::Waiting => {
                 let (waiter, granted) = oneshot::channel();
                 queue.waiters.insert(ticket, waiter);
                 Ok(Acquisition::Waiting(granted))
@@ -126,7 +128,8 @@
         for grant in grants {
             let waiter = self.lock().waiters.remove(&grant.ticket);
             let pool = Arc::clone(self);
-            let slot = Slot { pool, vm: grant.vm, class: grant.class, outcome: Use::Abandoned };
+            let slot =
+                Slot { pool, vm: grant.vm, class: grant.class, outcome: Completion::Abandoned };
             match waiter {
                 Some(waiter) => drop(waiter.send(slot)),
                 None => drop(slot),
@@ -153,7 +156,7 @@
             batch_floor_every: limits.batch_floor_every,
         };
         let before = settings.peers.iter().filter(|peer| peer.name < settings.name).count();
-        let place = Place {
+        let place = Position {
             index: u32::try_from(before).unwrap_or(u32::MAX),
             daemons: u32::try_from(settings.peers.len() + 1).unwrap_or(u32::MAX),
         };
@@ -196,7 +199,7 @@
             let targets = serving.map(|(vm, stored)| {
                 let total = stored.spec.slots.min(stored.spec.connections);
                 let local = stored.spec.data_centre == self.data_centre;
-                Target { vm: vm.clone(), slots: self.place.part(vm, total), local }
+                Target { vm: vm.clone(), slots: self.place.share(vm, total), local }
             });
             let targets: Vec<_> = targets.collect();
             let pool = self.pool_or_new(name);
