--- a/crates/crosspath_fleet/src/donor.rs
+++ b/crates/crosspath_fleet/src/donor.rs
@@ -8,7 +8,7 @@
 
 use crate::index::Index;
 
-/// Preference for giving a VM away: the lowest rank is taken first.
+/// Order in which VMs are moved to other pools: the lowest rank is taken first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank<'a> {
     /// Such a VM is taken later: while it is idle, its maintenance can start at once.
--- a/crates/crosspath_fleet/src/planner.rs
+++ b/crates/crosspath_fleet/src/planner.rs
@@ -32,7 +32,7 @@
 pub struct Settings {
     /// Cost of a VM in a serving pool per second, in the unit of `vm_move`.
     pub vm_second: f64,
-    /// Cost of moving a VM from one pool to another.
+    /// Cost of moving a VM from one pool to another, in the unit of `vm_second`.
     pub vm_move: f64,
     /// Orders per second that the platform accepts from all slices together.
     pub orders_per_s: f64,
@@ -58,9 +58,9 @@
     /// Reports of the pools whose owners answered in this round, made while
     /// [`Planner::vms_to_vacate`] was in force.
     pub pools: BTreeMap<Arc<str>, report::Pool>,
-    /// Pools that run tasks.
+    /// Names of the pools that run tasks, which the spare pool does not.
     pub serving: Vec<Arc<str>>,
-    /// The pool of VMs that run nothing; none if there is no such pool.
+    /// Name of the spare pool, whose VMs run nothing; none if there is no such pool.
     pub spare: Option<Arc<str>>,
     /// Waves that are not completed, each with the time at which it was first seen.
     pub waves: Vec<(Arc<Wave>, Duration)>,
@@ -92,7 +92,7 @@
 /// Result of a planning round.
 #[derive(Debug, Clone, Default)]
 pub struct Plan {
-    /// Orders to send, by VM.
+    /// Orders to send now, each with the name of its VM. Includes repeats of unanswered orders.
     pub orders: Vec<(Arc<str>, Order)>,
     /// Waves of which no VM is left to maintain.
     pub completed: Vec<u64>,
@@ -109,10 +109,14 @@
     pub(crate) settings: Settings,
     pub(crate) intents: BTreeMap<Arc<str>, Intent>,
     pub(crate) demands: BTreeMap<Arc<str>, Demand>,
+    /// Time since which each vacant VM has been reported as vacant.
     pub(crate) idle_since: BTreeMap<Arc<str>, Duration>,
     /// VMs that have been maintained, by wave.
     pub(crate) maintained: BTreeMap<u64, BTreeSet<Arc<str>>>,
+    /// VMs that must not be ordered before some time.
     pub(crate) cooldown_until: BTreeMap<Arc<str>, Duration>,
+    /// VMs with an order that the platform rejected as impossible; they are no longer selected to
+    /// fill deficits.
     pub(crate) immovable: BTreeSet<Arc<str>>,
     /// Time of the last log lines on the pools.
     pub(crate) logged_at: Duration,
--- a/crates/crosspath_fleet/tests/fleet/moves.rs
+++ b/crates/crosspath_fleet/tests/fleet/moves.rs
@@ -1,4 +1,5 @@
-//! Pool sizes follow demand, and VMs without work move to the spare pool.
+//! Pool sizes follow demand, and VMs without work move to the spare pool. Guards against pools that
+//! stay too small, and against moves that the demand does not justify.
 
 use std::time::Duration;
 
--- a/crates/crosspath_http/src/body.rs
+++ b/crates/crosspath_http/src/body.rs
@@ -13,7 +13,7 @@
 /// Error of a body that is streamed through.
 pub type BoxError = Box<dyn std::error::Error + Send + Sync>;
 
-/// Body of a response.
+/// Body of a response, either complete in memory or streamed.
 pub type Body = UnsyncBoxBody<Bytes, BoxError>;
 
 /// Request body that could not be read.
@@ -22,7 +22,7 @@
     /// The body exceeds the size limit.
     #[snafu(display("body is larger than {limit} bytes"))]
     TooLarge {
-        /// Maximum size in bytes.
+        /// Maximum size in bytes that was allowed for the body.
         limit: u64,
     },
     /// The body did not arrive within the time limit.
--- a/crates/crosspath_http/src/client.rs
+++ b/crates/crosspath_http/src/client.rs
@@ -41,21 +41,21 @@
     /// The request was never sent and had no effect.
     #[snafu(display("{address} could not be reached"))]
     NotSent {
-        /// Address of the server.
+        /// Address of the server that was not reached.
         address: SocketAddr,
     },
     /// No response came. The request may have taken effect or may still do so.
     #[snafu(display("{address} did not answer"))]
     NoAnswer {
-        /// Address of the server.
+        /// Address of the server that did not answer.
         address: SocketAddr,
     },
     /// The status of the response is not a success.
     #[snafu(display("{address} answered {status}: {body}"))]
     Status {
-        /// Address of the server.
+        /// Address of the server that sent the response.
         address: SocketAddr,
-        /// Status of the response.
+        /// Status of the response, outside the range 200 to 299.
         status: StatusCode,
         /// Body of the response; invalid UTF-8 is replaced.
         body: String,
@@ -63,7 +63,7 @@
     /// The body of a successful response cannot be decoded.
     #[snafu(display("invalid response from {address}: {source}"))]
     Malformed {
-        /// Address of the server.
+        /// Address of the server that sent the response.
         address: SocketAddr,
         /// Error of the JSON decoder.
         source: serde_json::Error,
@@ -89,9 +89,9 @@
 /// Response with any status.
 #[derive(Debug)]
 pub struct Response {
-    /// Status and headers.
+    /// Status, which may be an error, and headers.
     pub head: http::response::Parts,
-    /// Complete body.
+    /// Complete body; empty if the server sent none.
     pub body: Bytes,
 }
 
@@ -129,7 +129,7 @@
         Self { token: Some(token.into()), ..self }
     }
 
-    /// Address of the server.
+    /// Address of the server that the client was created for.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
--- a/crates/crosspath_http/src/connection.rs
+++ b/crates/crosspath_http/src/connection.rs
@@ -62,7 +62,7 @@
 }
 
 impl Connection {
-    /// Connects to `address`.
+    /// Connects to `address`. Which process is at the other end is unknown until it answers.
     pub(crate) async fn open(connector: HttpConnector, address: SocketAddr) -> Result<Self, Error> {
         let uri: Uri =
             format!("http://{address}/").parse().expect("socket address is a valid URI authority");
--- a/crates/crosspath_http/src/server.rs
+++ b/crates/crosspath_http/src/server.rs
@@ -25,7 +25,7 @@
 /// Maximum number of headers of an HTTP/1 request.
 const MAX_HEADERS: usize = 100;
 
-/// Limits of one listener.
+/// Limits that a listener enforces on connections and request heads.
 #[derive(Debug, Clone)]
 pub struct Limits {
     /// Maximum number of concurrent connections.
@@ -49,7 +49,7 @@
 /// Progress of a planned shutdown. Later stages compare greater.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
-    /// Accepts connections.
+    /// Accepts connections and serves their requests.
     #[default]
     Serving,
     /// Accepts no connections and finishes the requests in flight.
--- a/crates/crosspath_http/tests/http/latency.rs
+++ b/crates/crosspath_http/tests/http/latency.rs
@@ -1,4 +1,6 @@
-//! Hedging delay derived from the response times of a server.
+//! Hedging delay derived from the response times of a server. Guards against a delay so short that
+//! requests are sent again to a server that is merely slow, and against one that stays long once
+//! the server is fast again.
 
 use std::time::Duration;
 
--- a/crates/crosspath_node/src/evacuation.rs
+++ b/crates/crosspath_node/src/evacuation.rs
@@ -53,7 +53,7 @@
         Self { known, newest: Evacuated::default() }
     }
 
-    /// Latest known state.
+    /// State as of the highest log position that is known, from the log or from a peer.
     #[must_use]
     pub fn newest(&self) -> Evacuated {
         self.newest.clone()
--- a/crates/crosspath_node/src/fleet.rs
+++ b/crates/crosspath_node/src/fleet.rs
@@ -161,6 +161,7 @@
     total
 }
 
+/// Owner of the fleet's shard, for one term of ownership.
 #[derive(Debug)]
 struct Owner {
     node: Arc<Node>,
@@ -272,7 +273,7 @@
         open.cloned().collect()
     }
 
-    /// Tells the owners of pools which VMs to vacate, and collects their reports.
+    /// Sends the owners of pools the VMs to vacate, and collects their reports.
     async fn poll_pools(&mut self) {
         let map = self.node.map();
         let mut requests = Vec::new();
--- a/crates/crosspath_node/src/map.rs
+++ b/crates/crosspath_node/src/map.rs
@@ -69,7 +69,7 @@
     }
 }
 
-/// The map as read so far.
+/// Shard map, as far as its records have been applied; empty at first.
 #[derive(Debug, Clone, Default)]
 pub struct Map {
     /// Number of slices of each pool; 0 until it is known.
--- a/crates/crosspath_node/src/membership.rs
+++ b/crates/crosspath_node/src/membership.rs
@@ -34,8 +34,8 @@
 const OUTAGE_JOIN_TIMEOUT: Duration = Duration::from_millis(250);
 /// Time by which this daemon considers its membership expired earlier than the group does.
 const EXPIRY_MARGIN: Duration = Duration::from_millis(50);
-/// Time for which this daemon goes on acting as owner after the others confirmed an outage. After
-/// it returns, the store assigns no shard to another daemon before a member's TTL has passed.
+/// Time for which this daemon goes on acting as owner after the others confirmed an outage. A store
+/// that returns from an outage assigns no shard to another daemon before a member's TTL has passed.
 const OUTAGE_LEASE: Duration = Duration::from_millis(900);
 /// Interval between reads of the holders of shards, besides the reads after each change of the
 /// group.
@@ -126,7 +126,7 @@
                 });
                 let changed = membership.generation != generation;
                 self.generation = membership.generation;
-                // The next join tells the group that shards assigned to others are free.
+                // The next join informs the group that the shards released here are free.
                 if apply_membership(&node, &membership) {
                     pause = Duration::ZERO;
                 }
@@ -149,7 +149,8 @@
         }
     }
 
-    /// Reads the holders of shards, then waits until the next read is due or a holder is in doubt.
+    /// Reads the holders of shards, then waits until the next read is due or a holder may be
+    /// outdated.
     async fn follow_holders(&mut self) {
         let reading = refresh_holders(Arc::clone(&self.node));
         let read = tokio::time::timeout(CALL_TIMEOUT, reading).await;
@@ -178,8 +179,8 @@
     }
 }
 
-/// Ends ownership of shards that are no longer assigned to this daemon, before the next join tells
-/// the group so, and begins ownership of new ones. Returns whether any shard was released.
+/// Ends ownership of shards that are no longer assigned to this daemon, before the next join
+/// informs the group, and begins ownership of new ones. Returns whether any shard was released.
 fn apply_membership(node: &Arc<Node>, membership: &Membership) -> bool {
     let assigned: BTreeSet<u32> = membership.shards.iter().copied().collect();
     let pool_slices = node.map().by_shard();
--- a/crates/crosspath_node/src/node.rs
+++ b/crates/crosspath_node/src/node.rs
@@ -69,7 +69,9 @@
     pub(crate) peers: Peers,
     pub(crate) appenders: Appenders,
     pub(crate) metrics: Metrics,
+    /// Stage of the callers' listener.
     pub(crate) stage: watch::Sender<Stage>,
+    /// Whether a planned shutdown has begun, from which on this daemon acts as owner of nothing.
     pub(crate) stopping: watch::Sender<bool>,
     /// Stage of the listeners for peers, the balancer and metrics. It stays [`Stage::Serving`],
     /// since these are answered until the process exits.
@@ -78,16 +80,19 @@
     pub(crate) routing_changed: Notify,
     /// Notified when the group has assigned a shard to this daemon.
     pub(crate) ownership_changed: Notify,
+    /// Routing table of the newest configuration; `None` until one has been read.
     table: Mutex<Option<Arc<Table>>>,
     operator_log: Mutex<OperatorLogTimes>,
     evacuations: Mutex<Evacuations>,
     directory: Mutex<Directory>,
+    /// Maintenance waves by number, each with the time at which it was first seen.
     waves: Mutex<BTreeMap<u64, (Arc<Wave>, Duration)>>,
     map: Mutex<Arc<Map>>,
     /// Holder of each shard; `None` until that has been read.
     holders: Mutex<Option<HashMap<u32, Member>>>,
     /// Notified when a holder does not answer, answers that it is not the owner, or is unknown.
     pub(crate) holders_stale: Notify,
+    /// Shards that are assigned to this daemon, by number.
     owned: Mutex<BTreeMap<u32, Handle>>,
     /// Leases known in each shard that this daemon has released.
     handovers: Mutex<HashMap<u32, Handover>>,
@@ -206,6 +211,7 @@
         lock(&self.directory)
     }
 
+    /// Locks the maintenance waves, which are kept with the time at which each was first seen.
     pub(crate) fn waves(&self) -> MutexGuard<'_, BTreeMap<u64, (Arc<Wave>, Duration)>> {
         lock(&self.waves)
     }
--- a/crates/crosspath_node/src/order.rs
+++ b/crates/crosspath_node/src/order.rs
@@ -46,6 +46,8 @@
         }
     }
 
+    /// Sends a start, with a lease deadline computed just before. A start that is late, or that
+    /// this daemon may no longer order, is not sent and is reported as not having reached the worker.
     pub(crate) async fn start(self, mut start: Start) {
         let answer = self.try_start(&mut start).await;
         let worker = Arc::clone(&self.watch.target.id);
@@ -78,6 +80,7 @@
         self.events.send(Event::StopAnswered { worker, task, run, answer }).ok();
     }
 
+    /// Polls the worker once, without extending its leases.
     pub(crate) async fn poll(self) {
         let sent = clock::now();
         let acknowledged = self.watch.acknowledged();
@@ -94,6 +97,7 @@
         }
     }
 
+    /// Limits a run to `percent` of its speed. A failure is only logged.
     pub(crate) async fn throttle(self, task: TaskId, run: u64, percent: u32) {
         let target = &self.watch.target;
         let answer = self.node.runner.throttle(target, task, run, percent, self.token).await;
--- a/crates/crosspath_node/src/pending.rs
+++ b/crates/crosspath_node/src/pending.rs
@@ -29,7 +29,7 @@
 /// What is known about whether a record was stored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// The record is stored.
+    /// The record is stored: the store has accepted an append of it.
     Kept,
     /// The record is not stored: its job's identifier belongs to another customer's job.
     Taken,
@@ -44,7 +44,7 @@
 /// Sender's side of a queued record.
 #[derive(Debug)]
 pub struct Pending {
-    /// Record to append.
+    /// Record to append, the same in each attempt.
     pub record: NewRecord,
     deadlines: Deadlines,
     /// Whether some attempt got no answer, so that the record may be stored.
--- a/crates/crosspath_node/src/rpc.rs
+++ b/crates/crosspath_node/src/rpc.rs
@@ -86,7 +86,8 @@
     Handover { shard: u32, epoch: u64 },
 }
 
-/// Reply to a [`Request`].
+/// Reply to a [`Request`]. [`Reply::NotOwner`] takes the place of the requested data if the daemon
+/// cannot provide it.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Reply {
@@ -116,14 +117,14 @@
     /// The owner has received the notification.
     #[serde(rename = "heard")]
     Acknowledged,
-    /// No answer confirms the append. `certain` if the records are not stored for certain.
+    /// The append is not confirmed. `certain` says that the records are certainly not stored.
     NotAppended {
         #[serde(rename = "surely")]
         certain: bool,
     },
     /// The records were withdrawn before they were sent, since the store is slow.
     Unsent,
-    /// Time since the store last answered the daemon.
+    /// Time in ms since the store last answered the daemon.
     #[serde(rename = "store")]
     StoreStatus { answered_ms_ago: u64 },
     /// Member text of the daemon, which identifies its current incarnation.
--- a/crates/crosspath_node/src/settings.rs
+++ b/crates/crosspath_node/src/settings.rs
@@ -62,7 +62,7 @@
     64.0
 }
 
-/// Default of `cores`, by which the VM counts as a large one.
+/// Default of `cores`, with which the VM counts as large: its daemon is always a candidate.
 fn one_core() -> f64 {
     1.0
 }
--- a/crates/crosspath_node/src/shard.rs
+++ b/crates/crosspath_node/src/shard.rs
@@ -117,6 +117,7 @@
         known.is_some_and(|known| !known.belongs_to(&accepted.requester()))
     }
 
+    /// Number of a queue's jobs that are queued; `None` while the shard is being taken over.
     pub(crate) fn queued_jobs(&self, queue: &str) -> Option<u64> {
         scheduler(&self.scheduler).as_ref().map(|scheduler| scheduler.queued_jobs(queue))
     }
@@ -126,6 +127,8 @@
         scheduler(&self.scheduler).as_ref().is_some_and(Scheduler::lacks_workers)
     }
 
+    /// Sets the VMs that are to become vacant, and reports the state of the pool slice. `None`
+    /// while the shard is being taken over.
     pub(crate) fn report(&self, vacate: BTreeSet<Arc<str>>) -> Option<report::Pool> {
         let mut shared = scheduler(&self.scheduler);
         let scheduler = shared.as_mut()?;
@@ -172,7 +175,7 @@
     sequence: u64,
     terms: Terms,
     watches: HashMap<Arc<str>, Arc<Watch>>,
-    /// Append in flight.
+    /// Task of the latest commit; aborted, if still in flight, when the ownership ends.
     commit: Option<AbortOnDrop>,
 }
 
--- a/crates/crosspath_node/src/watch.rs
+++ b/crates/crosspath_node/src/watch.rs
@@ -23,14 +23,14 @@
 const UNSTORED_PAUSE: Duration = Duration::from_millis(200);
 /// Pause after a failed poll.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
-/// Maximum number of concurrent starts to one worker, since each has a connection of its own.
+/// Maximum number of concurrent start orders to one worker. Each has a connection of its own.
 const MAX_CONCURRENT_STARTS: usize = 2;
 
 /// State of one worker that its polls share with the shard's owner.
 #[derive(Debug)]
 pub(crate) struct Watch {
     pub(crate) target: Target,
-    /// Limits the starts in flight.
+    /// Limits the start orders in flight.
     pub(crate) start_slots: Semaphore,
     clock: Mutex<Clock>,
     acknowledged: AtomicU64,
@@ -51,6 +51,7 @@
         }
     }
 
+    /// Deadline of a lease of the given length, as a reading of the worker's clock in ms.
     pub(crate) fn deadline_ms(&self, now: Duration, length: Duration) -> u64 {
         self.clock.lock().unwrap_or_else(PoisonError::into_inner).deadline_ms(now, length)
     }
@@ -72,6 +73,7 @@
         self.acknowledged.load(Ordering::Relaxed)
     }
 
+    /// Ends the polls: the one in flight is the last, and its reply is discarded.
     pub(crate) fn end(&self) {
         self.ended.store(true, Ordering::Relaxed);
         self.stored.notify_one();
@@ -91,7 +93,7 @@
     events: mpsc::UnboundedSender<Event>,
 ) {
     let mut is_failing = false;
-    // The first poll does not wait, so that it tells at once what runs on the worker.
+    // The first poll does not wait, so that it shows at once what runs on the worker.
     let mut is_first = true;
     let mut last_ended = 0;
     while !watch.has_ended() {
--- a/crates/crosspath_node/src/workers.rs
+++ b/crates/crosspath_node/src/workers.rs
@@ -90,6 +90,7 @@
     }
 }
 
+/// State of the loop that follows the worker list.
 #[derive(Debug)]
 struct Follower {
     node: Arc<Node>,
--- a/crates/crosspath_node/tests/node/appends.rs
+++ b/crates/crosspath_node/tests/node/appends.rs
@@ -1,4 +1,6 @@
-//! Routes by which callers' records are appended, with two daemons on one log in memory.
+//! Routes by which callers' records are appended, with two daemons on one log in memory. Guards
+//! against daemons that each append for themselves, against submissions that fail because the log
+//! refuses only the owner, and against retries that delay a refusal while the log is down.
 
 use crosspath_border::ingress::Submitted;
 
@@ -57,8 +59,11 @@
     let before = owner.refused_appends() + other.refused_appends();
     let answer = other.submit(50).await;
     assert!(matches!(answer, Submitted::NotTaken { .. }), "{answer:?}");
-    let tries = owner.refused_appends() + other.refused_appends() - before;
-    assert!(tries <= 4, "{tries} refused appends for a submission that should be refused at once");
+    let attempts = owner.refused_appends() + other.refused_appends() - before;
+    assert!(
+        attempts <= 4,
+        "{attempts} refused appends for a submission that should be refused at once"
+    );
     for daemon in [&owner, &other] {
         daemon.set_log_down(false);
     }
--- a/crates/crosspath_node/tests/node/candidacy.rs
+++ b/crates/crosspath_node/tests/node/candidacy.rs
@@ -1,4 +1,6 @@
 //! Which daemons are candidates for ownership, by the size of their VM and of the owners' VMs.
+//! Guards against shards without an owner when large VMs are lost, and against shards that move
+//! back and forth or to small VMs without need.
 
 use std::time::Duration;
 
--- a/crates/crosspath_node/tests/node/clock.rs
+++ b/crates/crosspath_node/tests/node/clock.rs
@@ -1,4 +1,5 @@
-//! Elapsed time across suspensions of the machine.
+//! Elapsed time across suspensions of the machine. Guards against a daemon that resumes and
+//! considers its membership as recent as before the suspension.
 
 use std::time::Duration;
 
--- a/crates/crosspath_node/tests/node/handover.rs
+++ b/crates/crosspath_node/tests/node/handover.rs
@@ -1,4 +1,5 @@
-//! Cooldowns of VMs after a change of the fleet's owner.
+//! Cooldowns of VMs after a change of the fleet's owner. Guards against orders of two owners for
+//! one VM in short succession, and against cooldowns that last longer than necessary.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/crosspath_node/tests/node/main.rs
+++ b/crates/crosspath_node/tests/node/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the daemon and its modules.
+//! Tests of the daemon: its modules by themselves, and several daemons on one log in memory.
 
 mod appends;
 mod candidacy;
--- a/crates/crosspath_node/tests/node/map.rs
+++ b/crates/crosspath_node/tests/node/map.rs
@@ -1,4 +1,5 @@
-//! Assignment of pool slices to shards.
+//! Assignment of pool slices to shards. Guards against jobs that are searched in the wrong shard
+//! after the map has grown, and against slices that are loaded unevenly.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
--- a/crates/crosspath_node/tests/node/pending.rs
+++ b/crates/crosspath_node/tests/node/pending.rs
@@ -1,4 +1,5 @@
-//! Which outcome of a record its caller is told, and when.
+//! Outcome of a record and the time at which its caller receives it. Guards against reporting a
+//! record as not stored that is sent later, and against answers after the caller's deadline.
 
 use std::time::Duration;
 
--- a/crates/crosspath_node/tests/node/reachability.rs
+++ b/crates/crosspath_node/tests/node/reachability.rs
@@ -1,4 +1,5 @@
-//! Tells a slow store, which still answers, from one that is silent or down.
+//! Guards against treating a slow store, which still answers, as silent or down, and against
+//! failing to notice a store that is.
 
 use std::time::Duration;
 
--- a/crates/crosspath_node/tests/node/workers.rs
+++ b/crates/crosspath_node/tests/node/workers.rs
@@ -1,4 +1,5 @@
-//! The worker list: two daemons read it and send changes to the owners of pool slices.
+//! The worker list: two daemons read it and send changes to the owners of pool slices. Guards
+//! against updates that leave out workers, and against every daemon reading the list.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
