--- a/crates/crosspath_border/src/store.rs
+++ b/crates/crosspath_border/src/store.rs
@@ -18,7 +18,7 @@
 pub enum Topic {
     /// Records of jobs; one partition per shard.
     Shards,
-    /// Assignment of shards to pools.
+    /// Assignment of shards to slices of pools.
     ShardMap,
     /// Records written by operators.
     Operators,
--- a/crates/crosspath_quota/src/lib.rs
+++ b/crates/crosspath_quota/src/lib.rs
@@ -2,9 +2,10 @@
 //! allotments.
 //!
 //! A customer's maximum applies to all workers together, but its tasks are started by the owners of
-//! many shards. Therefore one daemon, the owner of the fleet, runs a [`Ledger`] that records each
-//! shard's allotment of each maximum. Each shard owner has an [`Allowance`] and starts nothing
-//! beyond it. The allotments of a customer never exceed its maximum by more than one task.
+//! many shards. Therefore one daemon, the owner of the fleet (the one that also orders moves and
+//! maintenance of VMs), runs a [`Ledger`] that records each shard's allotment of each maximum. Each
+//! shard owner has an [`Allowance`] and starts nothing beyond it. The allotments of a customer
+//! never exceed its maximum by more than one task.
 //!
 //! A shard sends requests often, and each request is complete: it states what the shard keeps (what
 //! runs or may run) and what it demands on top. From the moment of the request until the answer,
--- a/crates/crosspath_schedule/src/lib.rs
+++ b/crates/crosspath_schedule/src/lib.rs
@@ -1,9 +1,10 @@
 //! The scheduler of one shard: a state machine that takes events and returns actions.
 //!
-//! A shard holds the jobs and workers of a pool. Its single owner passes [`Event`]s to the
-//! [`Scheduler`] (records of the log, replies of workers, changes of the worker list) and carries
-//! out the [`Action`]s that it returns. Nothing here does I/O or reads a clock: `now` is always the
-//! time since the process started.
+//! A shard holds the jobs and workers of one slice of a pool; in a small deployment a slice is a
+//! whole pool. The single owner of the shard passes [`Event`]s to the [`Scheduler`] (records of the
+//! log, replies of workers, changes of the worker list) and carries out the [`Action`]s that it
+//! returns. Nothing here does I/O or reads a clock: `now` is always the time since the process
+//! started.
 //!
 //! [`job::Task`] and `worker::Worker` keep the state that prevents a task from running twice. A
 //! task gets a second run only if its step allows speculative copies. A run that may exist on a
--- a/crates/crosspath_schedule/src/losses.rs
+++ b/crates/crosspath_schedule/src/losses.rs
@@ -54,7 +54,7 @@
 /// Probation of a run: if polls have listed it for this long, its start did not crash the worker.
 /// Longer than finite tasks take on sound workers, and longer than three polls.
 const PROBATION: Duration = Duration::from_secs(3);
-/// Maximum share of a pool's workers that run an isolated task or are reserved for one.
+/// Maximum fraction of the shard's workers that run an isolated task or are reserved for one.
 const MAX_ISOLATING_SHARE: f64 = 0.25;
 
 /// What became known of a worker incarnation that may have had unreported runs.
--- a/crates/crosspath_schedule/src/place.rs
+++ b/crates/crosspath_schedule/src/place.rs
@@ -13,8 +13,8 @@
 use crate::scheduler::Scheduler;
 use crate::worker::{QUARANTINE_THRESHOLD, Worker};
 
-/// Maximum share of a pool's workers that may be quarantined for what they did to earlier runs:
-/// failures, refused starts and stalls. If more workers qualify, none is quarantined.
+/// Maximum fraction of the shard's workers that may be quarantined for what they did to earlier
+/// runs: failures, refused starts and stalls. If more workers qualify, none is quarantined.
 const MAX_QUARANTINED_SHARE: f64 = 0.34;
 /// Number of consecutive tasks without a fitting worker after which a round of placement ends.
 const MAX_CONSECUTIVE_UNPLACED: usize = 96;
@@ -338,7 +338,7 @@
 
     /// Decides whether workers are quarantined at all: not if more than [`MAX_QUARANTINED_SHARE`]
     /// would be. This is computed once per round of placement, because its cost would grow with the
-    /// square of the pool's size if it were computed for each worker.
+    /// square of the number of workers if it were computed for each worker.
     pub(crate) fn update_quarantine(&mut self, now: Duration) {
         let quarantined =
             self.workers.values().filter(|other| other.suspicion_at(now) >= QUARANTINE_THRESHOLD);
--- a/crates/crosspath_schedule/src/report.rs
+++ b/crates/crosspath_schedule/src/report.rs
@@ -8,7 +8,7 @@
 use crate::scheduler::Scheduler;
 use crate::worker::Worker;
 
-/// VM of the pool, with the load of its worker.
+/// VM of the shard, with the load of its worker.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vm {
     /// Name of the VM that the worker runs on.
@@ -31,7 +31,7 @@
     pub confirmed: bool,
 }
 
-/// Load and VMs of a pool, as far as the shard owner knows them.
+/// Load and VMs of a shard, which holds one slice of a pool, as far as the shard owner knows them.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pool {
     /// Processor time reserved by runs, in thousandths of a core.
--- a/crates/crosspath_schedule/tests/schedule/cancelled.rs
+++ b/crates/crosspath_schedule/tests/schedule/cancelled.rs
@@ -57,7 +57,7 @@
     assert!(is_stopped(&mut harness, &start));
 }
 
-/// The first owner is gone for good before the cancellation, so the order to stop the run must come
+/// The first owner has ended before the cancellation, so the order to stop the run must come
 /// from the next owner.
 #[test]
 fn a_new_owner_stops_a_late_start_of_the_previous_owner() {
