--- a/crates/crosspath_bench/src/baseline.rs
+++ b/crates/crosspath_bench/src/baseline.rs
@@ -59,11 +59,11 @@
 fn drain_batches(state: &State) -> Vec<Change> {
     let busy_pools: BTreeSet<&PoolName> = in_maintenance(state).map(|vm| &vm.spec.pool).collect();
     let mut changes = Vec::new();
-    for (name, wave) in state.waves.iter().filter(|(_, w)| !w.status.phase.is_final()) {
+    for (name, wave) in state.waves.iter().filter(|(_, w)| !w.status.phase.is_terminal()) {
         for pool in wave.spec.pools.iter().filter(|pool| !busy_pools.contains(pool)) {
             let Some(spec) = state.pools.get(pool) else { continue };
             let batch_size = spec.spec.max_unavailable.saturating_sub(spec.spec.reserve) as usize;
-            let due = wave.status.due().filter(|vm| {
+            let due = wave.status.remaining().filter(|vm| {
                 let vm = state.vms.get(*vm);
                 vm.is_some_and(|vm| vm.spec.pool == *pool && vm.status.takes_work())
             });
@@ -123,14 +123,15 @@
 fn drain_within_budget(state: &State) -> Vec<Change> {
     let mut used_budget: BTreeMap<PoolName, usize> = BTreeMap::new();
     let mut changes = Vec::new();
-    for (wave_name, wave) in state.waves.iter().filter(|(_, w)| !w.status.phase.is_final()) {
-        for vm in wave.status.due() {
+    for (wave_name, wave) in state.waves.iter().filter(|(_, w)| !w.status.phase.is_terminal()) {
+        for vm in wave.status.remaining() {
             let Some(stored) = state.vms.get(vm).filter(|vm| vm.status.takes_work()) else {
                 continue;
             };
             let pool = &stored.spec.pool;
             let Some(spec) = state.pools.get(pool) else { continue };
-            let budget = crosspath_state::budget::Usage::of(state, pool).free(&spec.spec) as usize;
+            let budget = crosspath_state::budget::Usage::of(state, pool)
+                .allowed_disruptions(&spec.spec) as usize;
             let used = used_budget.entry(pool.clone()).or_default();
             if *used < budget {
                 *used += 1;
--- a/crates/crosspath_bench/src/counts.rs
+++ b/crates/crosspath_bench/src/counts.rs
@@ -92,7 +92,7 @@
         let fleet = fleet::generate(Size::scaled_to(workers), SEED);
         let daemon = "entry-1".parse().expect("a valid name");
         let writer = Writer { daemon, incarnation: Incarnation(1) };
-        let chunks = snapshot::cut(&fleet.state, &writer);
+        let chunks = snapshot::split(&fleet.state, &writer);
         let state_bytes: usize = chunks.iter().map(|chunk| chunk.data.len()).sum();
         let appends = chunks.len();
         let snapshot_bytes: usize =
--- a/crates/crosspath_bench/src/wave.rs
+++ b/crates/crosspath_bench/src/wave.rs
@@ -105,7 +105,7 @@
     while simulation.step(strategy) {}
     let state = &simulation.fleet.state;
     let moves: u32 = state.jobs.values().map(|job| job.status.moves).sum();
-    let finished = state.waves.values().all(|wave| wave.status.phase.is_final());
+    let finished = state.waves.values().all(|wave| wave.status.phase.is_terminal());
     Outcome {
         finished,
         time_over_bound: simulation.now.as_secs_f64() / bound.as_secs_f64(),
@@ -150,7 +150,7 @@
             || self.fleet.state.vms != before.vms
             || self.fleet.state.jobs != before.jobs
         {
-            return self.fleet.state.waves.values().any(|wave| !wave.status.phase.is_final());
+            return self.fleet.state.waves.values().any(|wave| !wave.status.phase.is_terminal());
         }
         self.advance()
     }
--- a/crates/crosspath_log/src/http.rs
+++ b/crates/crosspath_log/src/http.rs
@@ -43,8 +43,8 @@
 impl Log for HttpLog {
     async fn append(&self, data: String) -> Result<Revision, AppendError> {
         let body = Append { data };
-        let answer = self.client.call::<Appended>(Method::POST, "/log", Some(&body)).await;
-        match answer {
+        let response = self.client.call::<Appended>(Method::POST, "/log", Some(&body)).await;
+        match response {
             Ok(appended) => Ok(appended.offset),
             Err(Error::NotSent { .. }) => Err(AppendError::NotAppended),
             Err(Error::Status { status, .. }) if is_refusal(status) => {
@@ -57,9 +57,9 @@
     async fn read(&self, after: Revision, wait: Duration) -> Result<Page, ReadError> {
         let path = format!("/log?after={after}&wait_ms={}", wait.as_millis());
         let timeout = self.timeout + wait;
-        let answer =
+        let response =
             self.client.call_within::<Page>(Method::GET, &path, None::<&()>, timeout).await;
-        let page = match answer {
+        let page = match response {
             Ok(page) => page,
             Err(_) => return Err(ReadError::Unavailable),
         };
--- a/crates/crosspath_plan/src/wave.rs
+++ b/crates/crosspath_plan/src/wave.rs
@@ -83,7 +83,7 @@
         return Vec::new();
     };
     let usage = Usage::of(state, pool);
-    let free = usage.free(spec) as usize;
+    let free = usage.allowed_disruptions(spec) as usize;
     let free = match canary(state, wave, pool) {
         Canary::Passed => free,
         Canary::Pending => free.min(1),
@@ -181,8 +181,8 @@
         vm::Phase::Draining { .. } if !observation.worker_idle => Some(Obstacle::WorkerBusy),
         vm::Phase::Rebooting { .. } if !observation.rebooted => Some(Obstacle::Rebooting),
         vm::Phase::Serving => {
-            let mut open = state.waves.values().filter(|wave| !wave.status.phase.is_final());
-            let wave = open.find(|wave| wave.status.due().any(|due| due == vm))?;
+            let mut open = state.waves.values().filter(|wave| !wave.status.phase.is_terminal());
+            let wave = open.find(|wave| wave.status.remaining().any(|due| due == vm))?;
             drain_obstacle(state, wave, &stored.spec.pool)
         }
         _ => None,
@@ -199,6 +199,6 @@
     let spec = &state.pools.get(pool)?.spec;
     let usage = Usage::of(state, pool);
     let (max_unavailable, reserve) = (spec.max_unavailable, spec.reserve);
-    let blocked = usage.free(spec) == 0;
+    let blocked = usage.allowed_disruptions(spec) == 0;
     blocked.then(|| Obstacle::Budget { pool: pool.clone(), usage, max_unavailable, reserve })
 }
--- a/crates/crosspath_state/src/fold.rs
+++ b/crates/crosspath_state/src/apply.rs
@@ -58,27 +58,27 @@
         let writer = &batch.id.writer;
         let write = LastWrite { incarnation: writer.incarnation, sequence: batch.id.sequence };
         let last = self.writers.get(&writer.daemon);
-        let newer = last.is_none_or(|last| is_newer(*last, write));
-        if !newer {
+        let is_new = last.is_none_or(|last| is_newer(*last, write));
+        if !is_new {
             return Applied::Dropped;
         }
         self.writers.insert(writer.daemon.clone(), write);
         let context = Context { offset, writer, written_at: batch.written_at };
         let verdicts = batch.changes.iter();
-        let verdicts = verdicts.map(|change| self.change(&context, change).map(|()| offset));
+        let verdicts = verdicts.map(|change| self.apply_change(&context, change).map(|()| offset));
         Applied::Batch(verdicts.collect())
     }
 
-    fn change(&mut self, context: &Context<'_>, change: &Change) -> Result<(), Conflict> {
+    fn apply_change(&mut self, context: &Context<'_>, change: &Change) -> Result<(), Conflict> {
         match change {
             Change::Put { id, spec, expected } => self.put(context, id, spec, *expected),
             Change::Delete { id, expected } => self.delete(id, *expected),
-            Change::Step { vm, step } => self.step(context, vm, step),
-            Change::Failure { vm, seen_at } => self.failure(context, vm, *seen_at),
-            Change::Recovery { vm } => self.recovery(context, vm),
-            Change::Steer { wave, phase } => self.steer(context, wave, phase),
-            Change::Job { job, action } => self.job(context, job, action),
-            Change::Member(membership) => self.membership(context, membership),
+            Change::Step { vm, step } => self.apply_step(context, vm, step),
+            Change::Failure { vm, seen_at } => self.record_failure(context, vm, *seen_at),
+            Change::Recovery { vm } => self.record_recovery(context, vm),
+            Change::Steer { wave, phase } => self.set_wave_phase(context, wave, phase),
+            Change::Job { job, action } => self.apply_job_action(context, job, action),
+            Change::Member(membership) => self.apply_membership(context, membership),
         }
     }
 }
--- a/crates/crosspath_state/src/fold/jobs.rs
+++ b/crates/crosspath_state/src/apply/jobs.rs
@@ -16,14 +16,14 @@
 
 /// What the jobs of a VM take together.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct Held {
+pub(super) struct Allocation {
     cores: u32,
     memory_mb: u64,
     accelerators: u32,
 }
 
-impl Held {
-    fn with(self, job: &Spec) -> Self {
+impl Allocation {
+    fn plus(self, job: &Spec) -> Self {
         Self {
             cores: self.cores.saturating_add(job.cores),
             memory_mb: self.memory_mb.saturating_add(job.memory_mb),
@@ -32,7 +32,7 @@
     }
 
     /// What `vm` has too little of, if anything.
-    pub(super) fn short_of(self, vm: &vm::Spec) -> Option<&'static str> {
+    pub(super) fn shortage_on(self, vm: &vm::Spec) -> Option<&'static str> {
         match () {
             () if self.cores > vm.cores => Some("cores"),
             () if self.memory_mb > vm.memory_mb => Some("memory"),
@@ -44,11 +44,12 @@
 
 impl State {
     /// What the jobs on a VM take.
-    pub(super) fn held(&self, vm: &VmName) -> Held {
-        self.jobs_on(vm).fold(Held::default(), |held, (_, job)| held.with(&job.spec))
+    pub(super) fn allocation_on(&self, vm: &VmName) -> Allocation {
+        self.jobs_on(vm)
+            .fold(Allocation::default(), |allocation, (_, job)| allocation.plus(&job.spec))
     }
 
-    pub(super) fn job(
+    pub(super) fn apply_job_action(
         &mut self,
         context: &Context<'_>,
         name: &JobName,
@@ -75,7 +76,7 @@
         let moves = before.moves;
         let next = match (action, &before.phase) {
             (JobAction::Place { vm }, phase) if phase.vm() != Some(vm) => {
-                self.check_place(name, &job.spec, vm)?;
+                self.check_placement(name, &job.spec, vm)?;
                 let moves = moves + u32::from(phase.vm().is_some());
                 Status { phase: Phase::Running { vm: vm.clone() }, moves }
             }
@@ -83,7 +84,7 @@
                 Status { phase: Phase::Suspended { vm: vm.clone() }, moves }
             }
             (JobAction::Resume, Phase::Suspended { vm }) => {
-                self.check_takes_work(vm)?;
+                self.check_vm_takes_work(vm)?;
                 Status { phase: Phase::Running { vm: vm.clone() }, moves }
             }
             (JobAction::Unplace, Phase::Running { .. } | Phase::Suspended { .. }) => {
@@ -94,7 +95,7 @@
         Ok(next)
     }
 
-    fn check_takes_work(&self, name: &VmName) -> Result<(), Conflict> {
+    fn check_vm_takes_work(&self, name: &VmName) -> Result<(), Conflict> {
         let phase = self.vms.get(name).map(|vm| &vm.status);
         let takes_work = phase.is_some_and(crate::vm::Phase::takes_work);
         let phase = format!("{phase:?}");
@@ -102,15 +103,21 @@
         Ok(())
     }
 
-    fn check_place(&self, name: &JobName, spec: &Spec, vm_name: &VmName) -> Result<(), Conflict> {
-        self.check_takes_work(vm_name)?;
+    fn check_placement(
+        &self,
+        name: &JobName,
+        spec: &Spec,
+        vm_name: &VmName,
+    ) -> Result<(), Conflict> {
+        self.check_vm_takes_work(vm_name)?;
         let vm = self.vms.get(vm_name).map(|vm| &vm.spec);
         let vm = vm.filter(|vm| vm.pool == spec.pool);
         let vm = vm.context(OtherPoolSnafu { vm: vm_name.clone(), job: name.clone() })?;
         let others = self.jobs_on(vm_name).filter(|(job, _)| *job != name);
-        let held = others.fold(Held::default(), |held, (_, job)| held.with(&job.spec));
-        let short = held.with(spec).short_of(vm);
-        if let Some(what) = short {
+        let allocation =
+            others.fold(Allocation::default(), |allocation, (_, job)| allocation.plus(&job.spec));
+        let shortage = allocation.plus(spec).shortage_on(vm);
+        if let Some(what) = shortage {
             return NoRoomSnafu { vm: vm_name.clone(), job: name.clone(), what }.fail();
         }
         self.check_quota(name, spec)
--- a/crates/crosspath_state/src/fold/members.rs
+++ b/crates/crosspath_state/src/apply/members.rs
@@ -12,7 +12,7 @@
 use crate::time::Wall;
 
 impl State {
-    pub(super) fn membership(
+    pub(super) fn apply_membership(
         &mut self,
         context: &Context<'_>,
         change: &Membership,
@@ -52,10 +52,10 @@
         if self.partitions.is_empty() {
             self.partitions = (0..partition::COUNT).map(|_| ownership.clone()).collect();
         }
-        self.reassign(daemon, daemon, context.written_at);
+        self.reassign_partitions(daemon, daemon, context.written_at);
     }
 
-    fn reassign(&mut self, from: &DaemonName, to: &DaemonName, since: Wall) {
+    fn reassign_partitions(&mut self, from: &DaemonName, to: &DaemonName, since: Wall) {
         for ownership in self.partitions.iter_mut().filter(|own| own.owner == *from) {
             *ownership = Ownership { owner: to.clone(), since };
         }
@@ -78,23 +78,23 @@
         let guard = member.and_then(|member| member.guard.as_ref());
         let member = evicted.daemon.clone();
         ensure!(guard == Some(daemon), NotGuardSnafu { daemon: daemon.clone(), member });
-        self.remove(&evicted.daemon, Some(daemon), context.written_at);
+        self.remove_member(&evicted.daemon, Some(daemon), context.written_at);
         Ok(())
     }
 
     /// Takes a member out; its partitions and the members it guarded go to `heir`.
-    fn remove(&mut self, daemon: &DaemonName, heir: Option<&DaemonName>, since: Wall) {
+    fn remove_member(&mut self, daemon: &DaemonName, successor: Option<&DaemonName>, since: Wall) {
         self.members.remove(daemon);
         let guarded = self.members.iter().filter(|(_, other)| other.guard.as_ref() == Some(daemon));
         let guarded: Vec<_> = guarded.map(|(name, _)| name.clone()).collect();
         for name in guarded {
             if let Some(member) = self.members.get_mut(&name) {
-                member.guard = heir.filter(|heir| **heir != name).cloned();
+                member.guard = successor.filter(|successor| **successor != name).cloned();
                 member.inherited = true;
             }
         }
-        match heir {
-            Some(heir) => self.reassign(daemon, heir, since),
+        match successor {
+            Some(successor) => self.reassign_partitions(daemon, successor, since),
             None => self.partitions.clear(),
         }
     }
@@ -124,7 +124,7 @@
     fn leave(&mut self, context: &Context<'_>) {
         let daemon = &context.writer.daemon;
         let guard = self.members.get(daemon).and_then(|member| member.guard.clone());
-        let heir = guard.or_else(|| self.members.keys().find(|name| *name != daemon).cloned());
-        self.remove(daemon, heir.as_ref(), context.written_at);
+        let successor = guard.or_else(|| self.members.keys().find(|name| *name != daemon).cloned());
+        self.remove_member(daemon, successor.as_ref(), context.written_at);
     }
 }
--- a/crates/crosspath_state/src/fold/resources.rs
+++ b/crates/crosspath_state/src/apply/resources.rs
@@ -17,7 +17,7 @@
 use crate::{job, vm, wave};
 
 /// The name of a resource of a known kind; the rules for names are the same for all.
-fn typed<N: std::str::FromStr>(id: &Id) -> Result<N, Conflict> {
+fn parse_name<N: std::str::FromStr>(id: &Id) -> Result<N, Conflict> {
     id.name.as_str().parse().ok().context(KindMismatchSnafu { id: id.clone() })
 }
 
@@ -38,37 +38,37 @@
         self.check_references(id, spec)?;
         let revision = context.offset;
         match spec {
-            Spec::Pool(spec) => self.put_pool(revision, typed(id)?, spec),
+            Spec::Pool(spec) => self.put_pool(revision, parse_name(id)?, spec),
             Spec::Service(spec) => {
                 let stored = Stored { revision, spec: spec.clone(), status: () };
-                self.services.insert(typed::<ServiceName>(id)?, stored);
+                self.services.insert(parse_name::<ServiceName>(id)?, stored);
                 Ok(())
             }
             Spec::Team(spec) => {
                 let stored = Stored { revision, spec: spec.clone(), status: () };
-                self.teams.insert(typed::<TeamName>(id)?, stored);
+                self.teams.insert(parse_name::<TeamName>(id)?, stored);
                 Ok(())
             }
             Spec::Caller(spec) => {
                 let stored = Stored { revision, spec: spec.clone(), status: () };
-                self.callers.insert(typed::<CallerName>(id)?, stored);
+                self.callers.insert(parse_name::<CallerName>(id)?, stored);
                 Ok(())
             }
-            Spec::Vm(spec) => self.put_vm(revision, typed(id)?, spec),
-            Spec::Job(spec) => self.put_job(revision, typed(id)?, spec, id),
-            Spec::Wave(spec) => self.put_wave(revision, typed(id)?, spec, id),
+            Spec::Vm(spec) => self.put_vm(revision, parse_name(id)?, spec),
+            Spec::Job(spec) => self.put_job(revision, parse_name(id)?, spec, id),
+            Spec::Wave(spec) => self.put_wave(revision, parse_name(id)?, spec, id),
         }
     }
 
     fn check_expected(&self, id: &Id, expected: Option<Expected>) -> Result<(), Conflict> {
         let current = self.revision(id);
-        let met = match expected {
+        let matches = match expected {
             None => true,
             Some(Expected::Absent) => current.is_none(),
             Some(Expected::At(revision)) => current == Some(revision),
         };
         let current = current.unwrap_or_default();
-        ensure!(met, StaleSnafu { id: id.clone(), current });
+        ensure!(matches, StaleSnafu { id: id.clone(), current });
         Ok(())
     }
 
@@ -113,7 +113,7 @@
             self.check_removal(&name, before)?;
             self.check_arrival(&before.status, &spec.pool)?;
         }
-        self.check_shrink(&name, spec)?;
+        self.check_capacity(&name, spec)?;
         let status = before.map(|before| before.status.clone()).unwrap_or_default();
         self.vms.insert(name, Stored { revision, spec: spec.clone(), status });
         Ok(())
@@ -149,11 +149,11 @@
     }
 
     /// A VM never gets smaller than the jobs that it holds.
-    fn check_shrink(&self, name: &VmName, spec: &vm::Spec) -> Result<(), Conflict> {
-        let held = self.held(name);
-        let short = held.short_of(spec);
+    fn check_capacity(&self, name: &VmName, spec: &vm::Spec) -> Result<(), Conflict> {
+        let allocation = self.allocation_on(name);
+        let shortage = allocation.shortage_on(spec);
         let job = self.jobs_on(name).next().map(|(job, _)| job.clone());
-        match (short, job) {
+        match (shortage, job) {
             (Some(what), Some(job)) => NoRoomSnafu { vm: name.clone(), job, what }.fail(),
             _ => Ok(()),
         }
@@ -192,7 +192,7 @@
                 before.status.clone()
             }
             None => {
-                self.check_overlap(spec)?;
+                self.check_wave_overlap(spec)?;
                 self.new_wave(revision, spec)
             }
         };
@@ -200,9 +200,9 @@
         Ok(())
     }
 
-    fn check_overlap(&self, spec: &wave::Spec) -> Result<(), Conflict> {
-        let open = self.waves.iter().filter(|(_, wave)| !wave.status.phase.is_final());
-        for (wave, other) in open {
+    fn check_wave_overlap(&self, spec: &wave::Spec) -> Result<(), Conflict> {
+        let unfinished = self.waves.iter().filter(|(_, wave)| !wave.status.phase.is_terminal());
+        for (wave, other) in unfinished {
             let shared = spec.pools.iter().find(|pool| other.spec.pools.contains(pool));
             if let Some(pool) = shared {
                 return WaveOverlapSnafu { pool: pool.clone(), wave: wave.clone() }.fail();
@@ -216,24 +216,24 @@
         let targets = targets.filter(|(_, vm)| spec.pools.contains(&vm.spec.pool));
         let targets: imbl::OrdSet<_> = targets.map(|(name, _)| name.clone()).collect();
         let mut status = wave::Status { targets, declared_at, ..wave::Status::default() };
-        status.settle();
+        status.complete_if_finished();
         status
     }
 
     pub(super) fn delete(&mut self, id: &Id, expected: Option<Expected>) -> Result<(), Conflict> {
         self.check_expected(id, expected)?;
         ensure!(self.revision(id).is_some(), NotFoundSnafu { id: id.clone() });
-        if let Some(by) = self.user_of(id) {
+        if let Some(by) = self.find_user_of(id) {
             return StillUsedSnafu { id: id.clone(), by }.fail();
         }
         match id.kind {
-            Kind::Pool => drop(self.pools.remove(&typed::<PoolName>(id)?)),
-            Kind::Service => drop(self.services.remove(&typed::<ServiceName>(id)?)),
-            Kind::Team => drop(self.teams.remove(&typed::<TeamName>(id)?)),
-            Kind::Caller => drop(self.callers.remove(&typed::<CallerName>(id)?)),
-            Kind::Vm => self.delete_vm(&typed(id)?)?,
-            Kind::Job => drop(self.jobs.remove(&typed::<JobName>(id)?)),
-            Kind::Wave => drop(self.waves.remove(&typed::<WaveName>(id)?)),
+            Kind::Pool => drop(self.pools.remove(&parse_name::<PoolName>(id)?)),
+            Kind::Service => drop(self.services.remove(&parse_name::<ServiceName>(id)?)),
+            Kind::Team => drop(self.teams.remove(&parse_name::<TeamName>(id)?)),
+            Kind::Caller => drop(self.callers.remove(&parse_name::<CallerName>(id)?)),
+            Kind::Vm => self.delete_vm(&parse_name(id)?)?,
+            Kind::Job => drop(self.jobs.remove(&parse_name::<JobName>(id)?)),
+            Kind::Wave => drop(self.waves.remove(&parse_name::<WaveName>(id)?)),
         }
         Ok(())
     }
@@ -245,14 +245,14 @@
         self.vms.remove(name);
         self.update_waves(|wave| {
             wave.status.targets.remove(name);
-            wave.status.settle();
+            wave.status.complete_if_finished();
         });
         Ok(())
     }
 
-    fn user_of(&self, of: &Id) -> Option<Id> {
+    fn find_user_of(&self, of: &Id) -> Option<Id> {
         match of.kind {
-            Kind::Pool => self.user_of_pool(of.name.as_str()),
+            Kind::Pool => self.find_user_of_pool(of.name.as_str()),
             Kind::Team => {
                 let job = self.jobs.iter().find(|(_, j)| j.spec.team.as_str() == of.name.as_str());
                 job.map(|(name, _)| id(Kind::Job, name.as_str()))
@@ -267,7 +267,7 @@
         }
     }
 
-    fn user_of_pool(&self, pool: &str) -> Option<Id> {
+    fn find_user_of_pool(&self, pool: &str) -> Option<Id> {
         let vm = self.vms.iter().find(|(_, vm)| vm.spec.pool.as_str() == pool);
         let service = self.services.iter().find(|(_, service)| service.spec.pool.as_str() == pool);
         let job = self.jobs.iter().find(|(_, job)| job.spec.pool.as_str() == pool);
--- a/crates/crosspath_state/src/fold/steps.rs
+++ b/crates/crosspath_state/src/apply/steps.rs
@@ -27,28 +27,28 @@
 }
 
 impl State {
-    fn vm(&self, name: &VmName) -> Result<&Vm, Conflict> {
+    fn find_vm(&self, name: &VmName) -> Result<&Vm, Conflict> {
         self.vms.get(name).context(not_found(Kind::Vm, name.as_str()))
     }
 
-    fn wave(&self, name: &WaveName) -> Result<&Wave, Conflict> {
+    fn find_wave(&self, name: &WaveName) -> Result<&Wave, Conflict> {
         self.waves.get(name).context(not_found(Kind::Wave, name.as_str()))
     }
 
-    fn set_phase(&mut self, context: &Context<'_>, name: &VmName, phase: vm::Phase) {
+    fn set_vm_phase(&mut self, context: &Context<'_>, name: &VmName, phase: vm::Phase) {
         if let Some(vm) = self.vms.get_mut(name) {
             vm.revision = context.offset;
             vm.status = phase;
         }
     }
 
-    pub(super) fn step(
+    pub(super) fn apply_step(
         &mut self,
         context: &Context<'_>,
         name: &VmName,
         step: &Step,
     ) -> Result<(), Conflict> {
-        let vm = self.vm(name)?;
+        let vm = self.find_vm(name)?;
         let next = match (step, &vm.status) {
             (Step::Drain { wave }, vm::Phase::Serving) => {
                 self.check_drain(name, vm, wave)?;
@@ -56,32 +56,32 @@
             }
             (Step::Undrain, vm::Phase::Draining { .. }) => vm::Phase::Serving,
             (Step::Reboot, vm::Phase::Draining { wave }) => {
-                self.check_idle(name)?;
+                self.check_no_running_job(name)?;
                 vm::Phase::Rebooting { wave: wave.clone() }
             }
             (Step::Return, vm::Phase::Rebooting { wave }) => {
                 let wave = wave.clone();
-                self.serviced(context, &wave, name);
+                self.mark_serviced(context, &wave, name);
                 vm::Phase::Serving
             }
             (_, phase) => return wrong_phase(name, phase),
         };
-        self.set_phase(context, name, next);
+        self.set_vm_phase(context, name, next);
         Ok(())
     }
 
     fn check_drain(&self, name: &VmName, vm: &Vm, wave: &WaveName) -> Result<(), Conflict> {
-        let status = &self.wave(wave)?.status;
+        let status = &self.find_wave(wave)?.status;
         let running = status.phase == wave::Phase::Running;
-        let due = status.targets.contains(name) && !status.serviced.contains(name);
-        ensure!(running && due, NotInWaveSnafu { wave: wave.clone(), vm: name.clone() });
+        let is_pending = status.targets.contains(name) && !status.serviced.contains(name);
+        ensure!(running && is_pending, NotInWaveSnafu { wave: wave.clone(), vm: name.clone() });
         let pool = &vm.spec.pool;
         let spec = &self.pools.get(pool).context(not_found(Kind::Pool, pool.as_str()))?.spec;
-        budget::check_step(pool, spec, Usage::of(self, pool))
+        budget::check_disruption(pool, spec, Usage::of(self, pool))
     }
 
     /// A reboot would end a running job; a suspended one waits for it.
-    fn check_idle(&self, name: &VmName) -> Result<(), Conflict> {
+    fn check_no_running_job(&self, name: &VmName) -> Result<(), Conflict> {
         let mut jobs = self.jobs_on(name);
         let running = jobs.find(|(_, job)| matches!(job.status.phase, job::Phase::Running { .. }));
         match running {
@@ -90,34 +90,34 @@
         }
     }
 
-    fn serviced(&mut self, context: &Context<'_>, wave: &WaveName, vm: &VmName) {
+    fn mark_serviced(&mut self, context: &Context<'_>, wave: &WaveName, vm: &VmName) {
         if let Some(wave) = self.waves.get_mut(wave) {
             wave.revision = context.offset;
             wave.status.serviced.insert(vm.clone());
             wave.status.failed.remove(vm);
-            wave.status.settle();
+            wave.status.complete_if_finished();
         }
     }
 
-    pub(super) fn failure(
+    pub(super) fn record_failure(
         &mut self,
         context: &Context<'_>,
         name: &VmName,
         seen_at: Wall,
     ) -> Result<(), Conflict> {
-        let vm = self.vm(name)?;
+        let vm = self.find_vm(name)?;
         if matches!(vm.status, vm::Phase::Failed { .. }) {
             return wrong_phase(name, &vm.status);
         }
-        self.set_phase(context, name, vm::Phase::Failed { seen_at });
-        self.lose_jobs(context, name);
+        self.set_vm_phase(context, name, vm::Phase::Failed { seen_at });
+        self.requeue_jobs(context, name);
         self.count_failure(context, name);
         Ok(())
     }
 
-    fn lose_jobs(&mut self, context: &Context<'_>, vm: &VmName) {
-        let lost: Vec<_> = self.jobs_on(vm).map(|(name, _)| name.clone()).collect();
-        for name in lost {
+    fn requeue_jobs(&mut self, context: &Context<'_>, vm: &VmName) {
+        let requeued: Vec<_> = self.jobs_on(vm).map(|(name, _)| name.clone()).collect();
+        for name in requeued {
             if let Some(job) = self.jobs.get_mut(&name) {
                 job.revision = context.offset;
                 job.status.phase = job::Phase::Pending;
@@ -127,7 +127,7 @@
 
     fn count_failure(&mut self, context: &Context<'_>, vm: &VmName) {
         self.update_waves(|wave| {
-            if wave.status.phase.is_final() || !wave.status.targets.contains(vm) {
+            if wave.status.phase.is_terminal() || !wave.status.targets.contains(vm) {
                 return;
             }
             wave.revision = context.offset;
@@ -138,7 +138,7 @@
                 let cause = wave::Cause::CorrelatedFailures;
                 wave.status.phase = wave::Phase::Paused { cause };
             }
-            wave.status.settle();
+            wave.status.complete_if_finished();
         });
     }
 
@@ -152,35 +152,35 @@
         }
     }
 
-    pub(super) fn recovery(
+    pub(super) fn record_recovery(
         &mut self,
         context: &Context<'_>,
         name: &VmName,
     ) -> Result<(), Conflict> {
-        let vm = self.vm(name)?;
+        let vm = self.find_vm(name)?;
         if !matches!(vm.status, vm::Phase::Failed { .. }) {
             return wrong_phase(name, &vm.status);
         }
-        self.set_phase(context, name, vm::Phase::Serving);
+        self.set_vm_phase(context, name, vm::Phase::Serving);
         self.update_waves(|wave| {
             wave.status.failed.remove(name);
         });
         Ok(())
     }
 
-    pub(super) fn steer(
+    pub(super) fn set_wave_phase(
         &mut self,
         context: &Context<'_>,
         name: &WaveName,
         phase: &wave::Phase,
     ) -> Result<(), Conflict> {
-        let finished = self.wave(name)?.status.phase.is_final();
+        let finished = self.find_wave(name)?.status.phase.is_terminal();
         let allowed = !finished && *phase != wave::Phase::Done;
         ensure!(allowed, WaveFinishedSnafu { wave: name.clone() });
         if let Some(wave) = self.waves.get_mut(name) {
             wave.revision = context.offset;
             wave.status.phase = phase.clone();
-            wave.status.settle();
+            wave.status.complete_if_finished();
         }
         Ok(())
     }
--- a/crates/crosspath_state/src/budget.rs
+++ b/crates/crosspath_state/src/budget.rs
@@ -48,7 +48,7 @@
 
     /// VMs that voluntary steps may still take out.
     #[must_use]
-    pub fn free(self, pool: &Pool) -> u32 {
+    pub fn allowed_disruptions(self, pool: &Pool) -> u32 {
         pool.max_unavailable.saturating_sub(self.voluntary + self.withheld(pool))
     }
 
@@ -58,7 +58,7 @@
 }
 
 /// Checks that one more VM of the pool may be taken out.
-pub(crate) fn check_step(name: &PoolName, pool: &Pool, usage: Usage) -> Result<(), Conflict> {
+pub(crate) fn check_disruption(name: &PoolName, pool: &Pool, usage: Usage) -> Result<(), Conflict> {
     let voluntary = usage.voluntary + 1;
     check_limit(name, pool, Usage { voluntary, ..usage })
 }
--- a/crates/crosspath_state/src/lease.rs
+++ b/crates/crosspath_state/src/lease.rs
@@ -35,46 +35,46 @@
 
 impl Terms {
     /// How long the member counts on a promise of `span`.
-    fn held(self, span: Duration) -> Duration {
-        scale(span, MILLION - u64::from(self.drift_ppm))
+    fn shortened_by_drift(self, duration: Duration) -> Duration {
+        scale(duration, MILLION - u64::from(self.drift_ppm))
     }
 
     /// How long the guard waits after a promise of `span`.
-    fn waited(self, span: Duration) -> Duration {
-        scale(span, MILLION + u64::from(self.drift_ppm))
+    fn lengthened_by_drift(self, duration: Duration) -> Duration {
+        scale(duration, MILLION + u64::from(self.drift_ppm))
     }
 }
 
-fn scale(span: Duration, ppm: u64) -> Duration {
-    let millis = u64::try_from(span.as_millis()).unwrap_or(u64::MAX);
+fn scale(duration: Duration, ppm: u64) -> Duration {
+    let millis = u64::try_from(duration.as_millis()).unwrap_or(u64::MAX);
     Duration::from_millis(millis.saturating_mul(ppm) / MILLION)
 }
 
 /// The member's side: promises that this daemon got.
 #[derive(Debug, Default)]
 pub struct Holder {
-    until: BTreeMap<DaemonName, Monotonic>,
-    naming: Option<DaemonName>,
+    valid_until: BTreeMap<DaemonName, Monotonic>,
+    pending_guard: Option<DaemonName>,
 }
 
 impl Holder {
     /// Notes a promise of `span` from `guard`, asked for at `asked_at`.
-    pub fn promised(
+    pub fn record_grant(
         &mut self,
         terms: Terms,
         guard: &DaemonName,
-        asked_at: Monotonic,
-        span: Duration,
+        requested_at: Monotonic,
+        duration: Duration,
     ) {
-        let until = asked_at.after(terms.held(span));
-        let entry = self.until.entry(guard.clone()).or_insert(until);
+        let until = requested_at.after(terms.shortened_by_drift(duration));
+        let entry = self.valid_until.entry(guard.clone()).or_insert(until);
         *entry = until.max(*entry);
     }
 
     /// Notes that a record that names `guard` is on its way; until it is settled, the promise of
     /// that guard is needed too.
-    pub fn naming(&mut self, guard: Option<DaemonName>) {
-        self.naming = guard;
+    pub fn set_pending_guard(&mut self, guard: Option<DaemonName>) {
+        self.pending_guard = guard;
     }
 
     /// Whether this daemon may act as the member `own` at `now`.
@@ -85,39 +85,39 @@
         }
         let member = state.members.get(&own.daemon);
         let guard = member.and_then(|member| member.guard.as_ref());
-        let mut needed = guard.into_iter().chain(self.naming.as_ref());
-        needed.all(|guard| self.until.get(guard).is_some_and(|until| now < *until))
+        let mut needed = guard.into_iter().chain(self.pending_guard.as_ref());
+        needed.all(|guard| self.valid_until.get(guard).is_some_and(|until| now < *until))
     }
 }
 
 /// Since when this daemon guards a member, and whether another one did before.
 #[derive(Debug, Clone, Copy)]
-struct Duty {
+struct Assignment {
     since: Monotonic,
     inherited: bool,
 }
 
-impl Duty {
+impl Assignment {
     /// When no promise can be left that was given before this daemon's own.
-    fn clear_at(self, terms: Terms) -> Monotonic {
-        let earlier = if self.inherited { terms.tenure } else { Duration::ZERO };
-        self.since.after(terms.waited(earlier + terms.lease))
+    fn earlier_leases_expired_at(self, terms: Terms) -> Monotonic {
+        let previous_tenure = if self.inherited { terms.tenure } else { Duration::ZERO };
+        self.since.after(terms.lengthened_by_drift(previous_tenure + terms.lease))
     }
 }
 
 /// The guard's side: promises that this daemon gave, and whom it may evict.
 #[derive(Debug, Default)]
-pub struct Guardian {
+pub struct Grantor {
     last_valid: Option<Monotonic>,
     was_valid: bool,
     /// Evicts nobody before this: heartbeats may have been missed here, not there.
-    not_before: Monotonic,
-    given: BTreeMap<Writer, Monotonic>,
-    duties: BTreeMap<Writer, Duty>,
+    no_eviction_before: Monotonic,
+    granted_until: BTreeMap<Writer, Monotonic>,
+    assignments: BTreeMap<Writer, Assignment>,
     evicting: BTreeSet<Writer>,
 }
 
-impl Guardian {
+impl Grantor {
     /// Notes at `now` whom this daemon guards, and whether its own lease is valid.
     pub fn observe(
         &mut self,
@@ -130,22 +130,23 @@
         if valid {
             self.last_valid = Some(now);
         } else if self.was_valid {
-            self.not_before = now.after(terms.waited(terms.lease));
+            self.no_eviction_before = now.after(terms.lengthened_by_drift(terms.lease));
         }
         self.was_valid = valid;
         let guarded: BTreeMap<Writer, bool> = guarded(state, own).collect();
-        self.duties.retain(|member, duty| guarded.get(member) == Some(&duty.inherited));
+        self.assignments
+            .retain(|member, assignment| guarded.get(member) == Some(&assignment.inherited));
         self.evicting.retain(|member| guarded.contains_key(member));
         for (member, inherited) in guarded {
-            self.duties.entry(member).or_insert(Duty { since: now, inherited });
+            self.assignments.entry(member).or_insert(Assignment { since: now, inherited });
         }
-        self.given.retain(|member, _| state.is_member(member));
+        self.granted_until.retain(|member, _| state.is_member(member));
     }
 
     /// The promise for `member` at `now`, if this daemon can give one.
     ///
     /// `valid` says whether this daemon's own lease is valid.
-    pub fn promise(
+    pub fn grant(
         &mut self,
         terms: Terms,
         state: &State,
@@ -156,29 +157,35 @@
         if valid {
             self.last_valid = Some(now);
         }
-        let backed = self.last_valid.is_some_and(|at| now < at.after(terms.held(terms.tenure)));
-        let able = backed && state.is_member(member) && !self.evicting.contains(member);
-        if !able {
+        let within_tenure = self
+            .last_valid
+            .is_some_and(|at| now < at.after(terms.shortened_by_drift(terms.tenure)));
+        let may_grant = within_tenure && state.is_member(member) && !self.evicting.contains(member);
+        if !may_grant {
             return None;
         }
-        self.given.insert(member.clone(), now.after(terms.waited(terms.lease)));
+        self.granted_until
+            .insert(member.clone(), now.after(terms.lengthened_by_drift(terms.lease)));
         Some(terms.lease)
     }
 
     /// Members that may be evicted at `now`; from then on they get no promise.
     pub fn evictable(&mut self, terms: Terms, now: Monotonic) -> Vec<Writer> {
-        let lapsed = |member: &Writer, duty: Duty| {
-            let given = self.given.get(member).copied().unwrap_or_default();
-            now > given.max(duty.clear_at(terms)).max(self.not_before)
+        let expired = |member: &Writer, assignment: Assignment| {
+            let granted_until = self.granted_until.get(member).copied().unwrap_or_default();
+            now > granted_until
+                .max(assignment.earlier_leases_expired_at(terms))
+                .max(self.no_eviction_before)
         };
-        let lapsed = self.duties.iter().filter(|(member, duty)| lapsed(member, **duty));
-        let lapsed: Vec<Writer> = lapsed.map(|(member, _)| member.clone()).collect();
-        self.evicting.extend(lapsed.iter().cloned());
-        lapsed
+        let expired =
+            self.assignments.iter().filter(|(member, assignment)| expired(member, **assignment));
+        let expired: Vec<Writer> = expired.map(|(member, _)| member.clone()).collect();
+        self.evicting.extend(expired.iter().cloned());
+        expired
     }
 
     /// Notes that an eviction was certainly not recorded.
-    pub fn spare(&mut self, member: &Writer) {
+    pub fn cancel_eviction(&mut self, member: &Writer) {
         self.evicting.remove(member);
     }
 }
--- a/crates/crosspath_state/src/lib.rs
+++ b/crates/crosspath_state/src/lib.rs
@@ -5,9 +5,9 @@
 //! pure: no clock, no randomness, no I/O. A record that breaks a rule is rejected by the fold, by
 //! the same rule on every daemon, so a stale or faulty writer cannot break an invariant.
 
+mod apply;
 pub mod budget;
 pub mod conflict;
-mod fold;
 pub mod job;
 pub mod lease;
 pub mod member;
@@ -21,6 +21,6 @@
 pub mod vm;
 pub mod wave;
 
+pub use apply::Applied;
 pub use conflict::Conflict;
-pub use fold::Applied;
 pub use state::{LastWrite, State, Stored};
--- a/crates/crosspath_state/src/name.rs
+++ b/crates/crosspath_state/src/name.rs
@@ -22,14 +22,14 @@
     text: String,
 }
 
-fn check(text: &str) -> Result<(), InvalidName> {
+fn validate(text: &str) -> Result<(), InvalidName> {
     let allowed = |byte: u8| matches!(byte, b'a'..=b'z' | b'0'..=b'9' | b'-' | b'.');
     let valid = !text.is_empty() && text.len() <= MAX_LEN && text.bytes().all(allowed);
     ensure!(valid, InvalidNameSnafu { text });
     Ok(())
 }
 
-macro_rules! names {
+macro_rules! name_types {
     ($($(#[$doc:meta])* $name:ident;)*) => {$(
         $(#[$doc])*
         #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, JsonSchema)]
@@ -43,7 +43,7 @@
             ///
             /// [`InvalidName`] when `text` breaks the rules for names.
             pub fn new(text: &str) -> Result<Self, InvalidName> {
-                check(text)?;
+                validate(text)?;
                 Ok(Self(Arc::from(text)))
             }
 
@@ -82,7 +82,7 @@
     )*};
 }
 
-names! {
+name_types! {
     /// A caller: a shop agent, a donation page or a feed.
     CallerName;
     /// A data centre (a hall, a zone).
--- a/crates/crosspath_state/src/snapshot.rs
+++ b/crates/crosspath_state/src/snapshot.rs
@@ -57,9 +57,9 @@
 ///
 /// Never: the state has a JSON form.
 #[must_use]
-pub fn cut(state: &State, writer: &Writer) -> Vec<Chunk> {
+pub fn split(state: &State, writer: &Writer) -> Vec<Chunk> {
     let json = serde_json::to_string(state).expect("the state has a JSON form");
-    let parts = split(&json);
+    let parts = split_json(&json);
     let total = u32::try_from(parts.len()).unwrap_or(u32::MAX);
     let digest = state.digest();
     let chunk = |(index, data): (u32, &str)| Chunk {
@@ -73,7 +73,7 @@
     (0..total).zip(parts).map(chunk).collect()
 }
 
-fn split(mut json: &str) -> Vec<&str> {
+fn split_json(mut json: &str) -> Vec<&str> {
     let mut parts = Vec::new();
     while !json.is_empty() {
         let (part, rest) = json.split_at(json.floor_char_boundary(CHUNK_BYTES));
@@ -85,11 +85,11 @@
 
 /// Puts chunks together as they are read.
 #[derive(Debug, Default)]
-pub struct Assembly {
+pub struct Assembler {
     parts: BTreeMap<(Revision, Writer), BTreeMap<u32, Chunk>>,
 }
 
-impl Assembly {
+impl Assembler {
     /// Adds a chunk; gives the state when it was the last one missing.
     ///
     /// # Errors
--- a/crates/crosspath_state/src/time.rs
+++ b/crates/crosspath_state/src/time.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-macro_rules! points {
+macro_rules! time_points {
     ($($(#[$doc:meta])* $name:ident;)*) => {$(
         $(#[$doc])*
         #[derive(
@@ -33,7 +33,7 @@
     )*};
 }
 
-points! {
+time_points! {
     /// Milliseconds since the Unix epoch, by the writer's clock.
     Wall;
     /// Milliseconds since an arbitrary start of this process.
--- a/crates/crosspath_state/src/wave.rs
+++ b/crates/crosspath_state/src/wave.rs
@@ -71,22 +71,22 @@
 impl Phase {
     /// Whether the wave has ended.
     #[must_use]
-    pub fn is_final(&self) -> bool {
+    pub fn is_terminal(&self) -> bool {
         matches!(self, Self::Cancelled | Self::Done)
     }
 }
 
 impl Status {
     /// Targets that are neither serviced nor failed.
-    pub fn due(&self) -> impl Iterator<Item = &VmName> {
+    pub fn remaining(&self) -> impl Iterator<Item = &VmName> {
         let handled = |vm: &&VmName| !self.serviced.contains(*vm) && !self.failed.contains(*vm);
         self.targets.iter().filter(handled)
     }
 
     /// Ends the wave when nothing is due any more.
-    pub(crate) fn settle(&mut self) {
-        let ended = self.due().next().is_none();
-        if ended && self.phase == Phase::Running {
+    pub(crate) fn complete_if_finished(&mut self) {
+        let finished = self.remaining().next().is_none();
+        if finished && self.phase == Phase::Running {
             self.phase = Phase::Done;
         }
     }
--- a/crates/crosspath_state/tests/state/common.rs
+++ b/crates/crosspath_state/tests/state/common.rs
@@ -161,7 +161,7 @@
 }
 
 fn any_membership() -> impl Strategy<Value = Membership> {
-    let peer = || (0..4_u8, 1..3_u64).prop_map(|(daemon, life)| writer(daemon, life));
+    let peer = || (0..4_u8, 1..3_u64).prop_map(|(daemon, incarnation)| writer(daemon, incarnation));
     prop_oneof![
         3 => Just(Membership::Join),
         3 => (0..4_u8).prop_map(|d| Membership::Guard { guard: name(format!("entry-{d}")) }),
--- a/crates/crosspath_state/tests/state/lease.rs
+++ b/crates/crosspath_state/tests/state/lease.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use crosspath_state::State;
-use crosspath_state::lease::{Guardian, Holder, Terms};
+use crosspath_state::lease::{Grantor, Holder, Terms};
 use crosspath_state::member;
 use crosspath_state::record::{Change, Entry, Membership, Writer};
 use crosspath_state::time::Monotonic;
@@ -41,9 +41,9 @@
 
 #[derive(Debug, Clone)]
 struct Round {
-    pass_ms: u64,
+    elapsed_ms: u64,
     faults: Vec<Fault>,
-    beat_delay: u8,
+    heartbeat_delay: u8,
     append_delay: u8,
 }
 
@@ -60,10 +60,10 @@
     ];
     let delay = || prop_oneof![4 => Just(0_u8), 1 => 1..20_u8];
     (5..120_u64, faults, delay(), delay()).prop_map(
-        |(pass_ms, faults, beat_delay, append_delay)| Round {
-            pass_ms,
+        |(elapsed_ms, faults, heartbeat_delay, append_delay)| Round {
+            elapsed_ms,
             faults,
-            beat_delay,
+            heartbeat_delay,
             append_delay,
         },
     )
@@ -75,21 +75,21 @@
     due: usize,
     from: u8,
     to: u8,
-    asked_at: Monotonic,
-    answer: Option<Option<Duration>>,
+    sent_at: Monotonic,
+    response: Option<Option<Duration>>,
 }
 
 struct Daemon {
     own: Writer,
     state: State,
     holder: Holder,
-    guardian: Guardian,
+    grantor: Grantor,
     sequence: u64,
     /// Number of the batch that is on its way; the next waits for it.
     pending: Option<u64>,
 }
 
-struct World {
+struct Simulation {
     round: usize,
     now: u64,
     log: Vec<Entry>,
@@ -97,8 +97,8 @@
     daemons: Vec<Daemon>,
     messages: Vec<Message>,
     appends: Vec<(usize, Entry)>,
-    no_log: BTreeSet<u8>,
-    no_link: BTreeSet<(u8, u8)>,
+    cut_from_log: BTreeSet<u8>,
+    cut_links: BTreeSet<(u8, u8)>,
     paused: BTreeSet<u8>,
     evictions: u32,
 }
@@ -109,13 +109,13 @@
     }
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         let daemon = |number| Daemon {
             own: writer(number, 1),
             state: State::default(),
             holder: Holder::default(),
-            guardian: Guardian::default(),
+            grantor: Grantor::default(),
             sequence: 0,
             pending: None,
         };
@@ -127,8 +127,8 @@
             daemons: (0..DAEMONS).map(daemon).collect(),
             messages: Vec::new(),
             appends: Vec::new(),
-            no_log: BTreeSet::new(),
-            no_link: BTreeSet::new(),
+            cut_from_log: BTreeSet::new(),
+            cut_links: BTreeSet::new(),
             paused: BTreeSet::new(),
             evictions: 0,
         }
@@ -138,37 +138,37 @@
     fn clock(&self, daemon: u8) -> Monotonic {
         let half = u64::from(DRIFT_PPM / 2);
         let rate = [1_000_000 - half, 1_000_000 + half, 1_000_000];
-        let place = usize::from(daemon);
-        Monotonic(u64::from(daemon) * 77_777 + self.now * rate[place] / 1_000_000)
+        let index = usize::from(daemon);
+        Monotonic(u64::from(daemon) * 77_777 + self.now * rate[index] / 1_000_000)
     }
 
-    fn go(&mut self, round: &Round) {
+    fn run_round(&mut self, round: &Round) {
         self.round += 1;
-        self.now += round.pass_ms;
+        self.now += round.elapsed_ms;
         for fault in &round.faults {
             match *fault {
-                Fault::Log(daemon) => toggle(&mut self.no_log, daemon),
-                Fault::Link(a, b) => toggle(&mut self.no_link, (a, b)),
+                Fault::Log(daemon) => toggle(&mut self.cut_from_log, daemon),
+                Fault::Link(a, b) => toggle(&mut self.cut_links, (a, b)),
                 Fault::Pause(daemon) => toggle(&mut self.paused, daemon),
             }
         }
-        self.arrive();
+        self.deliver_appends();
         for daemon in
             (0..DAEMONS).filter(|daemon| !self.paused.contains(daemon)).collect::<Vec<_>>()
         {
-            if !self.no_log.contains(&daemon) {
+            if !self.cut_from_log.contains(&daemon) {
                 self.read(daemon);
-                self.think(daemon, self.round + usize::from(round.append_delay));
+                self.run_membership_task(daemon, self.round + usize::from(round.append_delay));
             }
-            self.ask(daemon, self.round + usize::from(round.beat_delay));
+            self.send_heartbeats(daemon, self.round + usize::from(round.heartbeat_delay));
         }
-        self.arrive();
-        self.deliver();
+        self.deliver_appends();
+        self.deliver_heartbeats();
         self.check();
     }
 
     /// Appends whose time has come reach the log.
-    fn arrive(&mut self) {
+    fn deliver_appends(&mut self) {
         let round = self.round;
         let (due, later) =
             std::mem::take(&mut self.appends).into_iter().partition(|a| a.0 <= round);
@@ -191,14 +191,14 @@
         self.appends.push((due, entry));
     }
 
-    fn ask(&mut self, from: u8, due: usize) {
-        let asked_at = self.clock(from);
+    fn send_heartbeats(&mut self, from: u8, due: usize) {
+        let sent_at = self.clock(from);
         for to in (0..DAEMONS).filter(|to| *to != from) {
-            self.messages.push(Message { due, from, to, asked_at, answer: None });
+            self.messages.push(Message { due, from, to, sent_at, response: None });
         }
     }
 
-    fn deliver(&mut self) {
+    fn deliver_heartbeats(&mut self) {
         let round = self.round;
         let (due, later) =
             std::mem::take(&mut self.messages).into_iter().partition(|m| m.due <= round);
@@ -206,32 +206,33 @@
         let due: Vec<Message> = due;
         for message in due {
             let (from, to) = (message.from, message.to);
-            match message.answer {
-                None if self.no_link.contains(&(from, to)) || self.paused.contains(&to) => {}
+            match message.response {
+                None if self.cut_links.contains(&(from, to)) || self.paused.contains(&to) => {}
                 None => {
-                    let answer = Some(self.answer(from, to));
+                    let response = Some(self.respond(from, to));
                     // The answer comes at once, or much later.
-                    let late = usize::from(from) * usize::from(round.is_multiple_of(3));
-                    self.messages.push(Message { answer, due: round + late, ..message });
+                    let delay = usize::from(from) * usize::from(round.is_multiple_of(3));
+                    self.messages.push(Message { response, due: round + delay, ..message });
                 }
                 Some(_) if self.paused.contains(&from) => {
                     self.messages.push(Message { due: round + 1, ..message });
                 }
-                Some(promise) => {
+                Some(grant) => {
                     let guard = self.daemons[usize::from(to)].own.daemon.clone();
                     let holder = &mut self.daemons[usize::from(from)].holder;
-                    promise.inspect(|span| holder.promised(TERMS, &guard, message.asked_at, *span));
+                    grant
+                        .inspect(|span| holder.record_grant(TERMS, &guard, message.sent_at, *span));
                 }
             }
         }
     }
 
-    fn answer(&mut self, from: u8, to: u8) -> Option<Duration> {
+    fn respond(&mut self, from: u8, to: u8) -> Option<Duration> {
         let now = self.clock(to);
-        let asker = self.daemons[usize::from(from)].own.clone();
+        let requester = self.daemons[usize::from(from)].own.clone();
         let daemon = &mut self.daemons[usize::from(to)];
         let valid = daemon.holder.is_valid(&daemon.state, &daemon.own, now);
-        daemon.guardian.promise(TERMS, &daemon.state, &asker, valid, now)
+        daemon.grantor.grant(TERMS, &daemon.state, &requester, valid, now)
     }
 
     fn read(&mut self, daemon: u8) {
@@ -242,12 +243,12 @@
         let last = daemon.state.writers.get(&daemon.own.daemon).map(|last| last.sequence);
         if last >= daemon.pending {
             daemon.pending = None;
-            daemon.holder.naming(None);
+            daemon.holder.set_pending_guard(None);
         }
     }
 
     /// What the daemon's membership task does.
-    fn think(&mut self, number: u8, due: usize) {
+    fn run_membership_task(&mut self, number: u8, due: usize) {
         let now = self.clock(number);
         let daemon = &mut self.daemons[usize::from(number)];
         if daemon.pending.is_some() {
@@ -257,14 +258,14 @@
             return self.append(number, Membership::Join, due);
         }
         let valid = daemon.holder.is_valid(&daemon.state, &daemon.own, now);
-        daemon.guardian.observe(TERMS, &daemon.state, &daemon.own, valid, now);
+        daemon.grantor.observe(TERMS, &daemon.state, &daemon.own, valid, now);
         let Some(own) = daemon.state.members.get(&daemon.own.daemon) else { return };
         let guard = member::successor(&daemon.state.members, &daemon.own.daemon).cloned();
         if let (None, Some(guard)) = (&own.guard, guard) {
-            daemon.holder.naming(Some(guard.clone()));
+            daemon.holder.set_pending_guard(Some(guard.clone()));
             return self.append(number, Membership::Guard { guard }, due);
         }
-        let evictable = daemon.guardian.evictable(TERMS, now).into_iter().next();
+        let evictable = daemon.grantor.evictable(TERMS, now).into_iter().next();
         if let Some(member) = evictable {
             self.append(number, Membership::Evict { member }, due);
         }
@@ -289,12 +290,12 @@
     }
 }
 
-fn run(rounds: &[Round]) -> u32 {
-    let mut world = World::new();
+fn count_evictions(rounds: &[Round]) -> u32 {
+    let mut simulation = Simulation::new();
     for round in rounds {
-        world.go(round);
+        simulation.run_round(round);
     }
-    world.evictions
+    simulation.evictions
 }
 
 proptest! {
@@ -302,62 +303,62 @@
 
     #[test]
     fn an_evicted_member_never_acts(rounds in prop::collection::vec(any_round(), ROUNDS)) {
-        run(&rounds);
+        count_evictions(&rounds);
     }
 }
 
 /// The made-up histories do evict, so that the property is not held by silence.
 #[test]
-fn made_up_histories_evict() {
+fn generated_histories_contain_evictions() {
     let mut runner = TestRunner::new(config());
     let strategy = prop::collection::vec(any_round(), ROUNDS);
     let mut histories = (0..200).map(|_| strategy.new_tree(&mut runner).expect("rounds").current());
-    let evictions: u32 = histories.by_ref().map(|rounds| run(&rounds)).sum();
+    let evictions: u32 = histories.by_ref().map(|rounds| count_evictions(&rounds)).sum();
     assert!(evictions > 100, "only {evictions} evictions");
 }
 
-fn quiet(rounds: usize) -> Vec<Round> {
-    let round = Round { pass_ms: 50, faults: Vec::new(), beat_delay: 0, append_delay: 0 };
+fn fault_free_rounds(rounds: usize) -> Vec<Round> {
+    let round = Round { elapsed_ms: 50, faults: Vec::new(), heartbeat_delay: 0, append_delay: 0 };
     vec![round; rounds]
 }
 
-fn acting(world: &World) -> usize {
+fn count_acting(simulation: &Simulation) -> usize {
     let acts = |number: &u8| {
-        let daemon = &world.daemons[usize::from(*number)];
-        daemon.holder.is_valid(&daemon.state, &daemon.own, world.clock(*number))
+        let daemon = &simulation.daemons[usize::from(*number)];
+        daemon.holder.is_valid(&daemon.state, &daemon.own, simulation.clock(*number))
     };
     (0..DAEMONS).filter(acts).count()
 }
 
 /// Without faults every daemon acts, and none is evicted.
 #[test]
-fn a_quiet_site_keeps_its_members() {
-    let mut world = World::new();
-    quiet(400).iter().for_each(|round| world.go(round));
-    assert_eq!((acting(&world), world.evictions), (3, 0));
+fn without_faults_every_member_stays() {
+    let mut simulation = Simulation::new();
+    fault_free_rounds(400).iter().for_each(|round| simulation.run_round(round));
+    assert_eq!((count_acting(&simulation), simulation.evictions), (3, 0));
 }
 
 /// A moment in which every lease lapses at once, with the log away, ends for good.
 #[test]
-fn leases_come_back_without_the_log() {
-    let mut world = World::new();
-    quiet(50).iter().for_each(|round| world.go(round));
-    (0..DAEMONS).for_each(|daemon| toggle(&mut world.no_log, daemon));
-    world.now += 1_300;
-    assert_eq!(acting(&world), 0);
-    quiet(20).iter().for_each(|round| world.go(round));
-    assert_eq!(acting(&world), 3);
+fn leases_are_renewed_without_the_log() {
+    let mut simulation = Simulation::new();
+    fault_free_rounds(50).iter().for_each(|round| simulation.run_round(round));
+    (0..DAEMONS).for_each(|daemon| toggle(&mut simulation.cut_from_log, daemon));
+    simulation.now += 1_300;
+    assert_eq!(count_acting(&simulation), 0);
+    fault_free_rounds(20).iter().for_each(|round| simulation.run_round(round));
+    assert_eq!(count_acting(&simulation), 3);
 }
 
 /// The whole site stops for a while: within the tenure nobody is evicted, beyond it someone goes on.
 #[test]
-fn a_stop_of_the_whole_site_ends() {
+fn a_pause_of_all_daemons_is_survived() {
     let after = |stop_ms| {
-        let mut world = World::new();
-        quiet(50).iter().for_each(|round| world.go(round));
-        world.now += stop_ms;
-        quiet(60).iter().for_each(|round| world.go(round));
-        (acting(&world), world.evictions)
+        let mut simulation = Simulation::new();
+        fault_free_rounds(50).iter().for_each(|round| simulation.run_round(round));
+        simulation.now += stop_ms;
+        fault_free_rounds(60).iter().for_each(|round| simulation.run_round(round));
+        (count_acting(&simulation), simulation.evictions)
     };
     assert_eq!(after(1_700), (3, 0));
     assert!(after(10_000).0 > 0);
@@ -365,11 +366,11 @@
 
 /// One daemon that is gone while the log is away stops itself and the one that it guarded only.
 #[test]
-fn one_loss_without_the_log_stops_no_other() {
-    let mut world = World::new();
-    quiet(50).iter().for_each(|round| world.go(round));
-    (0..DAEMONS).for_each(|daemon| toggle(&mut world.no_log, daemon));
-    toggle(&mut world.paused, 1);
-    quiet(40).iter().for_each(|round| world.go(round));
-    assert_eq!(acting(&world), 1);
+fn one_loss_without_the_log_stops_only_its_guarded_member() {
+    let mut simulation = Simulation::new();
+    fault_free_rounds(50).iter().for_each(|round| simulation.run_round(round));
+    (0..DAEMONS).for_each(|daemon| toggle(&mut simulation.cut_from_log, daemon));
+    toggle(&mut simulation.paused, 1);
+    fault_free_rounds(40).iter().for_each(|round| simulation.run_round(round));
+    assert_eq!(count_acting(&simulation), 1);
 }
--- a/crates/crosspath_state/tests/state/main.rs
+++ b/crates/crosspath_state/tests/state/main.rs
@@ -1,6 +1,6 @@
 //! Tests of the state and its fold.
 
 mod common;
-mod fold;
 mod lease;
+mod replay;
 mod rules;
--- a/crates/crosspath_state/tests/state/fold.rs
+++ b/crates/crosspath_state/tests/state/replay.rs
@@ -2,7 +2,7 @@
 
 use crate::common::{any_change, batch, check_invariants, fleet, writer};
 use crosspath_state::record::{Change, Entry, Revision};
-use crosspath_state::snapshot::{self, Assembly};
+use crosspath_state::snapshot::{self, Assembler};
 use crosspath_state::{Applied, State};
 use proptest::prelude::*;
 use proptest::strategy::ValueTree as _;
@@ -13,57 +13,63 @@
 
 /// One record of the log as a test makes it up.
 #[derive(Debug, Clone)]
-struct Written {
+struct GeneratedRecord {
     daemon: u8,
     /// Whether the daemon was replaced before it wrote this.
-    replaced: bool,
+    restarted: bool,
     /// Whether the record stands twice, the second copy so many records later.
-    copy_after: Option<usize>,
+    duplicate_after: Option<usize>,
     changes: Vec<Change>,
 }
 
-fn any_record() -> impl Strategy<Value = Written> {
+fn any_record() -> impl Strategy<Value = GeneratedRecord> {
     let changes = prop::collection::vec(any_change(), 1..4);
-    let copy = prop_oneof![4 => Just(None), 1 => (0..5_usize).prop_map(Some)];
-    (0..4_u8, prop::bool::weighted(0.05), copy, changes).prop_map(
-        |(daemon, replaced, copy_after, changes)| Written { daemon, replaced, copy_after, changes },
+    let duplicate = prop_oneof![4 => Just(None), 1 => (0..5_usize).prop_map(Some)];
+    (0..4_u8, prop::bool::weighted(0.05), duplicate, changes).prop_map(
+        |(daemon, restarted, duplicate_after, changes)| GeneratedRecord {
+            daemon,
+            restarted,
+            duplicate_after,
+            changes,
+        },
     )
 }
 
 /// Lays the records out in the order of the log, copies among them.
-fn log(records: &[Written]) -> Vec<Entry> {
-    let mut lives = [1_u64; 4];
+fn build_log(records: &[GeneratedRecord]) -> Vec<Entry> {
+    let mut incarnations = [1_u64; 4];
     let mut sequences = [1_u64, 0, 0, 0];
     let mut log = vec![Entry::Batch(batch(writer(0, 1), 1, fleet()))];
-    let mut copies: Vec<(usize, Entry)> = Vec::new();
-    for (place, record) in records.iter().enumerate() {
+    let mut duplicates: Vec<(usize, Entry)> = Vec::new();
+    for (index, record) in records.iter().enumerate() {
         let daemon = usize::from(record.daemon);
-        if record.replaced {
-            lives[daemon] += 1;
+        if record.restarted {
+            incarnations[daemon] += 1;
             sequences[daemon] = 0;
         }
         sequences[daemon] += 1;
-        let writer = writer(record.daemon, lives[daemon]);
+        let writer = writer(record.daemon, incarnations[daemon]);
         let entry = Entry::Batch(batch(writer, sequences[daemon], record.changes.clone()));
-        copies.extend(record.copy_after.map(|after| (place + after, entry.clone())));
+        duplicates.extend(record.duplicate_after.map(|after| (index + after, entry.clone())));
         log.push(entry);
-        let (due, later): (Vec<_>, Vec<_>) = copies.into_iter().partition(|(at, _)| *at <= place);
-        copies = later;
+        let (due, later): (Vec<_>, Vec<_>) =
+            duplicates.into_iter().partition(|(at, _)| *at <= index);
+        duplicates = later;
         log.extend(due.into_iter().map(|(_, entry)| entry));
     }
     log
 }
 
-fn fold(state: &mut State, log: &[Entry]) {
+fn replay(state: &mut State, log: &[Entry]) {
     for entry in log {
         let offset = state.applied.next();
         state.apply(offset, entry).expect("the next offset");
     }
 }
 
-fn restored(state: &State) -> State {
-    let mut assembly = Assembly::default();
-    let chunks = snapshot::cut(state, &writer(0, 1));
+fn restore_from_snapshot(state: &State) -> State {
+    let mut assembly = Assembler::default();
+    let chunks = snapshot::split(state, &writer(0, 1));
     let states = chunks.into_iter().map(|chunk| assembly.add(chunk).expect("a good chunk"));
     states.last().flatten().expect("a whole snapshot")
 }
@@ -84,45 +90,45 @@
     #[test]
     fn invariants_hold_at_every_revision(
         records in prop::collection::vec(any_record(), RECORDS..=RECORDS),
-        cut_at in 0..RECORDS,
+        snapshot_index in 0..RECORDS,
     ) {
-        let log = log(&records);
+        let log = build_log(&records);
         let mut state = State::default();
-        let mut late = None;
-        for (place, entry) in log.iter().enumerate() {
-            fold(&mut state, std::slice::from_ref(entry));
+        let mut from_snapshot = None;
+        for (index, entry) in log.iter().enumerate() {
+            replay(&mut state, std::slice::from_ref(entry));
             check_invariants(&state);
-            if place == cut_at {
-                late = Some(restored(&state));
+            if index == snapshot_index {
+                from_snapshot = Some(restore_from_snapshot(&state));
             }
         }
         // A daemon that started from a snapshot, and one that read through JSON, agree.
-        let mut late = late.expect("the cut is inside");
-        fold(&mut late, &log[cut_at + 1..]);
-        prop_assert_eq!(late.digest(), state.digest());
-        let mut again = State::default();
+        let mut from_snapshot = from_snapshot.expect("the cut is inside");
+        replay(&mut from_snapshot, &log[snapshot_index + 1..]);
+        prop_assert_eq!(from_snapshot.digest(), state.digest());
+        let mut decoded = State::default();
         let read = log.iter().map(|entry| Entry::decode(&entry.encode()).expect("readable"));
-        fold(&mut again, &read.collect::<Vec<_>>());
-        prop_assert_eq!(again, state);
+        replay(&mut decoded, &read.collect::<Vec<_>>());
+        prop_assert_eq!(decoded, state);
     }
 
     /// A second copy changes nothing but the offset.
     #[test]
-    fn second_copies_are_dropped(records in prop::collection::vec(any_record(), 1..60)) {
+    fn duplicate_batches_are_dropped(records in prop::collection::vec(any_record(), 1..60)) {
         let mut state = State::default();
-        for entry in log(&records) {
-            fold(&mut state, std::slice::from_ref(&entry));
-            let mut copied = state.clone();
-            let applied = copied.apply(copied.applied.next(), &entry);
+        for entry in build_log(&records) {
+            replay(&mut state, std::slice::from_ref(&entry));
+            let mut with_duplicate = state.clone();
+            let applied = with_duplicate.apply(with_duplicate.applied.next(), &entry);
             prop_assert_eq!(applied, Ok(Applied::Dropped));
-            copied.applied = state.applied;
-            prop_assert_eq!(&copied, &state);
+            with_duplicate.applied = state.applied;
+            prop_assert_eq!(&with_duplicate, &state);
         }
     }
 }
 
 #[test]
-fn a_record_out_of_order_is_a_gap() {
+fn a_record_out_of_order_is_rejected() {
     let mut state = State::default();
     let entry = Entry::Batch(batch(writer(0, 1), 1, Vec::new()));
     assert!(state.apply(Revision(2), &entry).is_err());
@@ -130,7 +136,7 @@
 }
 
 #[test]
-fn a_newer_record_is_not_read() {
+fn a_record_of_a_newer_version_is_rejected() {
     let text = r#"{"version":2,"entry":"teleport","vm":"vm-1"}"#;
     let error = Entry::decode(text).expect_err("newer than this program");
     assert!(error.to_string().contains("version 2"), "{error}");
@@ -139,15 +145,15 @@
 
 /// The made-up logs reach every kind of change, so that the invariants are not held by silence.
 #[test]
-fn made_up_logs_are_accepted_often_enough() {
+fn generated_logs_cover_every_change() {
     let accepted = accepted_changes();
-    let words = [
+    let kinds = [
         "Put", "Delete", "Drain", "Undrain", "Reboot", "Return", "Failure", "Recovery", "Steer",
         "Place", "Suspend", "Resume", "Unplace", "Join", "Guard", "Evict", "Handover", "Leave",
     ];
-    for word in words {
-        let count = accepted.iter().filter(|change| change.contains(word)).count();
-        assert!(count > 10, "{word} was accepted {count} times");
+    for kind in kinds {
+        let count = accepted.iter().filter(|change| change.contains(kind)).count();
+        assert!(count > 10, "{kind} was accepted {count} times");
     }
 }
 
@@ -158,7 +164,7 @@
     for _ in 0..100 {
         let records = records.new_tree(&mut runner).expect("a log").current();
         let mut state = State::default();
-        for entry in log(&records) {
+        for entry in build_log(&records) {
             let applied = state.apply(state.applied.next(), &entry);
             let (Ok(Applied::Batch(verdicts)), Entry::Batch(batch)) = (applied, &entry) else {
                 continue;
--- a/crates/crosspath_state/tests/state/rules.rs
+++ b/crates/crosspath_state/tests/state/rules.rs
@@ -19,21 +19,21 @@
 
     fn with_fleet(vms: u8, max_unavailable: u32, reserve: u32) -> Self {
         let mut log = Self::new();
-        log.ok(put(Kind::Pool, "pool-0", pool(max_unavailable, reserve)));
-        log.ok(put(Kind::Pool, "pool-1", pool(1, 0)));
-        log.ok(put(Kind::Team, "team", team(100)));
+        log.accept(put(Kind::Pool, "pool-0", pool(max_unavailable, reserve)));
+        log.accept(put(Kind::Pool, "pool-1", pool(1, 0)));
+        log.accept(put(Kind::Team, "team", team(100)));
         for number in 0..vms {
-            log.ok(put(Kind::Vm, &format!("vm-{number}"), vm(0, 8)));
+            log.accept(put(Kind::Vm, &format!("vm-{number}"), vm(0, 8)));
         }
-        log.ok(put(Kind::Wave, "wave-0", wave(&[0])));
+        log.accept(put(Kind::Wave, "wave-0", wave(&[0])));
         log
     }
 
     fn apply(&mut self, change: Change) -> Result<Revision, Conflict> {
-        self.by(0, change)
+        self.apply_from(0, change)
     }
 
-    fn by(&mut self, daemon: u8, change: Change) -> Result<Revision, Conflict> {
+    fn apply_from(&mut self, daemon: u8, change: Change) -> Result<Revision, Conflict> {
         self.sequence += 1;
         let entry = Entry::Batch(batch(writer(daemon, 1), self.sequence, vec![change]));
         let offset = self.state.applied.next();
@@ -43,7 +43,7 @@
         }
     }
 
-    fn ok(&mut self, change: Change) -> Revision {
+    fn accept(&mut self, change: Change) -> Revision {
         self.apply(change).expect("accepted")
     }
 }
@@ -67,14 +67,14 @@
 #[test]
 fn the_earlier_of_two_racing_operators_wins() {
     let mut log = Log::new();
-    let first = log.ok(put(Kind::Pool, "pool-0", pool(1, 0)));
+    let first = log.accept(put(Kind::Pool, "pool-0", pool(1, 0)));
     let change = |max| Change::Put {
         id: id(Kind::Pool, "pool-0"),
         spec: Box::new(pool(max, 0)),
         expected: Some(Expected::At(first)),
     };
-    let second = log.by(1, change(2)).expect("the first of the two");
-    let lost = log.by(2, change(3)).expect_err("the second of the two");
+    let second = log.apply_from(1, change(2)).expect("the first of the two");
+    let lost = log.apply_from(2, change(3)).expect_err("the second of the two");
     let id = id(Kind::Pool, "pool-0");
     assert_eq!(lost, Conflict::Stale { id, current: second });
 }
@@ -82,11 +82,11 @@
 #[test]
 fn a_wave_keeps_the_reserve_free() {
     let mut log = Log::with_fleet(5, 3, 1);
-    log.ok(drain(0));
-    log.ok(drain(1));
+    log.accept(drain(0));
+    log.accept(drain(1));
     let refused = log.apply(drain(2)).expect_err("the third uses the reserve");
     assert!(matches!(refused, Conflict::BudgetExceeded { voluntary: 3, withheld: 1, .. }));
-    log.ok(failure(4));
+    log.accept(failure(4));
     log.apply(drain(2)).expect_err("a failure uses the reserve, not more");
 }
 
@@ -94,64 +94,64 @@
 fn failures_use_the_budget_up() {
     let mut log = Log::with_fleet(5, 3, 1);
     for vm in 0..3 {
-        log.ok(failure(vm));
+        log.accept(failure(vm));
     }
     log.apply(drain(3)).expect_err("three have failed");
 }
 
 #[test]
-fn a_budget_cannot_shrink_below_what_is_out() {
+fn a_budget_cannot_shrink_below_the_vms_taken_out() {
     let mut log = Log::with_fleet(5, 3, 1);
-    log.ok(drain(0));
-    log.ok(drain(1));
+    log.accept(drain(0));
+    log.accept(drain(1));
     log.apply(put(Kind::Pool, "pool-0", pool(2, 1))).expect_err("two are out");
 }
 
 #[test]
 fn a_failed_vm_does_not_move_into_a_budget_that_is_used_up() {
     let mut log = Log::with_fleet(5, 3, 1);
-    log.ok(put(Kind::Vm, "vm-9", vm(1, 8)));
-    log.ok(put(Kind::Vm, "vm-8", vm(1, 8)));
-    log.ok(drain(0));
-    log.ok(drain(1));
-    log.ok(failure(9));
-    log.ok(failure(8));
-    log.ok(put(Kind::Vm, "vm-9", vm(0, 8)));
+    log.accept(put(Kind::Vm, "vm-9", vm(1, 8)));
+    log.accept(put(Kind::Vm, "vm-8", vm(1, 8)));
+    log.accept(drain(0));
+    log.accept(drain(1));
+    log.accept(failure(9));
+    log.accept(failure(8));
+    log.accept(put(Kind::Vm, "vm-9", vm(0, 8)));
     log.apply(put(Kind::Vm, "vm-8", vm(0, 8))).expect_err("the budget is used up");
 }
 
 #[test]
-fn a_vm_does_not_change_pool_while_it_is_out_or_holds_jobs() {
+fn a_vm_does_not_change_pool_while_draining_or_with_jobs() {
     let mut log = Log::with_fleet(5, 3, 1);
-    log.ok(put(Kind::Job, "job-0", job(0, 2, true)));
-    log.ok(action(0, JobAction::Place { vm: name("vm-3".to_owned()) }));
-    log.ok(drain(0));
+    log.accept(put(Kind::Job, "job-0", job(0, 2, true)));
+    log.accept(action(0, JobAction::Place { vm: name("vm-3".to_owned()) }));
+    log.accept(drain(0));
     log.apply(put(Kind::Vm, "vm-0", vm(1, 8))).expect_err("it drains");
     log.apply(put(Kind::Vm, "vm-3", vm(1, 8))).expect_err("it holds a job");
-    log.ok(put(Kind::Vm, "vm-4", vm(1, 8)));
+    log.accept(put(Kind::Vm, "vm-4", vm(1, 8)));
 }
 
 #[test]
 fn a_pool_keeps_its_minimum_when_vms_leave() {
     let mut log = Log::with_fleet(2, 3, 1);
-    log.ok(put(Kind::Vm, "vm-0", vm(1, 8)));
+    log.accept(put(Kind::Vm, "vm-0", vm(1, 8)));
     let delete = Change::Delete { id: id(Kind::Vm, "vm-1"), expected: None };
     log.apply(delete).expect_err("the last one serving");
 }
 
 #[test]
-fn a_vm_reboots_only_when_its_jobs_are_out_of_the_way() {
+fn a_vm_reboots_only_without_running_jobs() {
     let mut log = Log::with_fleet(5, 3, 1);
-    log.ok(put(Kind::Job, "job-0", job(0, 2, true)));
-    log.ok(action(0, JobAction::Place { vm: name("vm-0".to_owned()) }));
-    log.ok(drain(0));
+    log.accept(put(Kind::Job, "job-0", job(0, 2, true)));
+    log.accept(action(0, JobAction::Place { vm: name("vm-0".to_owned()) }));
+    log.accept(drain(0));
     let refused = log.apply(step(0, Step::Reboot)).expect_err("the job runs");
     assert!(matches!(refused, Conflict::JobRunning { .. }));
-    log.ok(action(0, JobAction::Suspend));
-    log.ok(step(0, Step::Reboot));
+    log.accept(action(0, JobAction::Suspend));
+    log.accept(step(0, Step::Reboot));
     log.apply(action(0, JobAction::Resume)).expect_err("it reboots");
-    log.ok(step(0, Step::Return));
-    log.ok(action(0, JobAction::Resume));
+    log.accept(step(0, Step::Return));
+    log.accept(action(0, JobAction::Resume));
 }
 
 #[test]
@@ -159,9 +159,9 @@
     let mut log = Log::with_fleet(3, 3, 1);
     for s in [Step::Reboot, Step::Return] {
         if s == Step::Reboot {
-            log.ok(drain(0));
+            log.accept(drain(0));
         }
-        log.ok(step(0, s));
+        log.accept(step(0, s));
     }
     log.apply(drain(0)).expect_err("serviced already");
 }
@@ -169,9 +169,9 @@
 #[test]
 fn correlated_failures_pause_the_wave() {
     let mut log = Log::with_fleet(9, 9, 0);
-    log.ok(drain(0));
+    log.accept(drain(0));
     for vm in 0..3 {
-        log.ok(failure(vm));
+        log.accept(failure(vm));
     }
     let refused = log.apply(drain(5)).expect_err("paused");
     assert!(matches!(refused, Conflict::NotInWave { .. }), "{refused:?}");
@@ -180,15 +180,15 @@
 #[test]
 fn jobs_stay_within_the_vm_and_the_quota() {
     let mut log = Log::with_fleet(3, 3, 1);
-    log.ok(put(Kind::Team, "team", team(10)));
+    log.accept(put(Kind::Team, "team", team(10)));
     for number in 0..3 {
-        log.ok(put(Kind::Job, &format!("job-{number}"), job(0, 5, true)));
+        log.accept(put(Kind::Job, &format!("job-{number}"), job(0, 5, true)));
     }
     let place = |vm: &str| JobAction::Place { vm: name(vm.to_owned()) };
-    log.ok(action(0, place("vm-0")));
+    log.accept(action(0, place("vm-0")));
     let full = log.apply(action(1, place("vm-0"))).expect_err("5 of 8 cores are taken");
     assert!(matches!(full, Conflict::NoRoom { .. }));
-    log.ok(action(1, place("vm-1")));
+    log.accept(action(1, place("vm-1")));
     let quota = log.apply(action(2, place("vm-2"))).expect_err("10 of 10 cores are used");
     assert!(matches!(quota, Conflict::QuotaExceeded { cores: 15, .. }));
     let shrink = log.apply(put(Kind::Vm, "vm-0", vm(0, 4))).expect_err("it holds 5 cores");
@@ -210,26 +210,26 @@
 }
 
 #[test]
-fn only_the_guard_evicts_and_takes_over() {
+fn only_the_guard_evicts_and_inherits_partitions() {
     let mut log = Log::new();
     for daemon in 0..3 {
-        log.by(daemon, member(Membership::Join)).expect("joined");
+        log.apply_from(daemon, member(Membership::Join)).expect("joined");
     }
     let guard = Membership::Guard { guard: name("entry-1".to_owned()) };
-    log.by(0, member(guard)).expect("named");
+    log.apply_from(0, member(guard)).expect("named");
     let evict = || member(Membership::Evict { member: writer(0, 1) });
-    log.by(2, evict()).expect_err("not the guard");
-    log.by(1, evict()).expect("the guard");
+    log.apply_from(2, evict()).expect_err("not the guard");
+    log.apply_from(1, evict()).expect("the guard");
     let owner = log.state.owner(0).map(|own| (own.owner.to_string(), own.since));
     assert_eq!(owner, Some(("entry-1".to_owned(), Wall(1_000))));
-    log.by(0, member(Membership::Guard { guard: name("entry-2".to_owned()) }))
+    log.apply_from(0, member(Membership::Guard { guard: name("entry-2".to_owned()) }))
         .expect_err("no member any more");
 }
 
 #[test]
-fn an_earlier_life_is_fenced() {
+fn an_earlier_incarnation_is_fenced() {
     let mut log = Log::new();
-    log.by(0, member(Membership::Join)).expect("joined");
+    log.apply_from(0, member(Membership::Join)).expect("joined");
     let newer = batch(writer(0, 2), 1, vec![member(Membership::Join)]);
     let offset = log.state.applied.next();
     log.state.apply(offset, &Entry::Batch(newer)).expect("folded");
--- a/crates/crosspathd/src/bootstrap.rs
+++ b/crates/crosspathd/src/bootstrap.rs
@@ -5,7 +5,7 @@
 use crosspath_log::{Page, Record};
 use crosspath_state::State;
 use crosspath_state::record::{Entry, Revision};
-use crosspath_state::snapshot::Assembly;
+use crosspath_state::snapshot::Assembler;
 
 use crate::core::Core;
 use crate::follower;
@@ -13,7 +13,7 @@
 /// Starts from the newest whole snapshot that the log still holds.
 pub(crate) async fn from_snapshot(core: &Core, first: Revision) {
     let mut records = Vec::new();
-    let mut assembly = Assembly::default();
+    let mut assembly = Assembler::default();
     let mut newest: Option<State> = None;
     let mut after = Revision(first.0.saturating_sub(1));
     loop {
@@ -47,7 +47,7 @@
     publish_if_newer(core, state);
 }
 
-fn complete_snapshot(assembly: &mut Assembly, record: &Record) -> Option<State> {
+fn complete_snapshot(assembly: &mut Assembler, record: &Record) -> Option<State> {
     let Ok(Entry::Snapshot(chunk)) = Entry::decode(&record.data) else {
         return None;
     };
--- a/crates/crosspathd/src/core.rs
+++ b/crates/crosspathd/src/core.rs
@@ -11,7 +11,7 @@
 use crosspath_route::claim::{Bounds, Table};
 use crosspath_settings::Settings;
 use crosspath_state::State;
-use crosspath_state::lease::{Guardian, Holder, Terms};
+use crosspath_state::lease::{Grantor, Holder, Terms};
 use crosspath_state::name::{DaemonName, VmName};
 use crosspath_state::record::{Incarnation, Revision, Writer};
 use crosspath_state::vm;
@@ -32,7 +32,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Leases {
     pub(crate) holder: Holder,
-    pub(crate) guardian: Guardian,
+    pub(crate) guardian: Grantor,
 }
 
 /// Everything that the tasks share; see the crate for the order of the locks.
--- a/crates/crosspathd/src/membership.rs
+++ b/crates/crosspathd/src/membership.rs
@@ -65,7 +65,7 @@
     core.metrics.count_heartbeat(if answer.is_ok() { "answered" } else { "unanswered" });
     let Ok(answer) = answer else { return };
     if let Some(promise) = answer.promise() {
-        core.leases().holder.promised(core.terms(), &peer, sent_at, promise);
+        core.leases().holder.record_grant(core.terms(), &peer, sent_at, promise);
     }
     peers::record_heartbeat(&core, answer.heartbeat);
 }
@@ -142,10 +142,10 @@
         return;
     };
     // Until the record is settled the new guard's promise is needed too, so it is asked for first.
-    core.leases().holder.naming(Some(guard.clone()));
+    core.leases().holder.set_pending_guard(Some(guard.clone()));
     let change = Change::Member(Membership::Guard { guard: guard.clone() });
     let result = core.committer.commit_until_final(vec![change]).await;
-    core.leases().holder.naming(None);
+    core.leases().holder.set_pending_guard(None);
     log::info!("event=guard_named guard={guard} done={}", result.is_ok());
 }
 
@@ -156,7 +156,7 @@
         let result = core.committer.commit_until_final(vec![change]).await;
         log::warn!("event=evicted member={member} done={}", result.is_ok());
         if result == Err(CommitError::NotAccepted) {
-            core.leases().guardian.spare(&member);
+            core.leases().guardian.cancel_eviction(&member);
         }
     }
 }
--- a/crates/crosspathd/src/peers.rs
+++ b/crates/crosspathd/src/peers.rs
@@ -95,7 +95,7 @@
         record_heartbeat(core, beat);
         let valid = core.lease_is_valid() && core.is_caught_up();
         let (state, terms, now) = (core.state(), core.terms(), clock::monotonic());
-        let promise = core.leases().guardian.promise(terms, &state, &member, valid, now);
+        let promise = core.leases().guardian.grant(terms, &state, &member, valid, now);
         let millis = |span: Duration| u64::try_from(span.as_millis()).unwrap_or_default();
         HeartbeatReply { heartbeat: own_heartbeat(core), promise_ms: promise.map(millis) }
     }
--- a/crates/crosspathd/src/snapshotter.rs
+++ b/crates/crosspathd/src/snapshotter.rs
@@ -17,7 +17,7 @@
         if !due || !core.is_planner() {
             continue;
         }
-        for chunk in snapshot::cut(&state, &core.own_writer()) {
+        for chunk in snapshot::split(&state, &core.own_writer()) {
             // A snapshot with a chunk missing is ignored; one written twice does no harm.
             if core.log.append(Entry::Snapshot(chunk).encode()).await.is_err() {
                 break;
