--- a/crates/crosspath_node/src/config_sync.rs
+++ b/crates/crosspath_node/src/config_sync.rs
@@ -2,7 +2,7 @@
 //!
 //! The operators' log is read by long polls, so a daemon receives an answer of the store every
 //! `feed::LONG_POLL_TIMEOUT`. If the store refuses its calls or does not answer, the daemon
-//! cannot know whether there is a newer configuration, and asks other daemons. Until one answers,
+//! cannot know whether there is a newer configuration, and asks other daemons. Until one replies,
 //! it goes on serving by the configuration that it has, but gives no final refusals: an unknown key
 //! or queue may be a new one.
 
@@ -22,7 +22,7 @@
 const STALE_AFTER: Duration = Duration::from_millis(2_000);
 /// Interval between checks whether the configuration may be stale, and between queries of peers
 /// while it may be. It leaves a third of 2 s, the shortest known time within which a configuration
-/// must take effect, for the peer's answer.
+/// must take effect, for the peer's reply.
 const CHECK_INTERVAL: Duration = Duration::from_millis(400);
 /// Maximum number of peers that are queried in one round. If the store refuses a third of the
 /// daemons, one round in three would reach only a refused daemon if it queried one peer; with three
--- a/crates/crosspath_node/src/membership.rs
+++ b/crates/crosspath_node/src/membership.rs
@@ -213,7 +213,7 @@
     let others = node.other_owners();
     let asked_at = clock::now();
     let calls = others.iter().map(|address| node.peers.call(*address, &Request::StoreStatus));
-    let answered_ago = join_all(calls).await.into_iter().filter_map(|answer| match answer {
+    let answered_ago = join_all(calls).await.into_iter().filter_map(|reply| match reply {
         Ok(Reply::StoreStatus { answered_ms_ago }) => Some(Duration::from_millis(answered_ms_ago)),
         _ => None,
     });
--- a/crates/crosspath_node/src/node.rs
+++ b/crates/crosspath_node/src/node.rs
@@ -199,8 +199,8 @@
         lock(&self.evacuations)
     }
 
-    /// Whether tasks may start, which requires recent knowledge of the evacuations. During an outage,
-    /// the store accepts no requests of operators, so what was known before the outage is complete.
+    /// Whether tasks may start, which requires recent knowledge of the evacuations. During an
+    /// outage, the store accepts no requests of operators, so what was known before it is complete.
     pub(crate) fn may_start(&self, now: Duration) -> bool {
         let Some(limit) = self.settings.evacuation_limit else { return true };
         let confirmed_at = Some(self.operator_log_confirmed_at()).filter(|at| !at.is_zero());
--- a/crates/crosspath_node/src/order.rs
+++ b/crates/crosspath_node/src/order.rs
@@ -47,7 +47,7 @@
     }
 
     /// Sends a start, with a lease deadline computed just before. A start that is late, or that
-    /// this daemon may no longer order, is not sent and is reported as not having reached the worker.
+    /// this daemon may no longer order, is not sent and is reported as [`Error::NotReached`].
     pub(crate) async fn start(self, mut start: Start) {
         let answer = self.try_start(&mut start).await;
         let worker = Arc::clone(&self.watch.target.id);
--- a/crates/crosspath_node/tests/node/listing.rs
+++ b/crates/crosspath_node/tests/node/listing.rs
@@ -12,13 +12,13 @@
 
 /// A fleet whose list arrives once a permit is added.
 #[derive(Debug)]
-struct Delayed {
+struct DelayedFleet {
     permits: Semaphore,
     inner: FakeFleet,
 }
 
 #[async_trait]
-impl Fleet for Delayed {
+impl Fleet for DelayedFleet {
     async fn list(&self) -> Result<Vec<Vm>, Error> {
         self.permits.acquire().await.expect("the semaphore is open").forget();
         self.inner.list().await
@@ -47,7 +47,8 @@
 
 #[tokio::test]
 async fn rounds_continue_while_a_long_list_is_read() {
-    let fleet = Arc::new(Delayed { permits: Semaphore::new(0), inner: FakeFleet::healthy(6_000) });
+    let fleet =
+        Arc::new(DelayedFleet { permits: Semaphore::new(0), inner: FakeFleet::healthy(6_000) });
     let mut listing = Listing::new(Arc::clone(&fleet) as Arc<dyn Fleet>);
     for round in 0..5 {
         assert!(listing.next(ms(1_000 + round * 100), 0).await.is_none());
