--- a/crates/crosspath_job/src/spec.rs
+++ b/crates/crosspath_job/src/spec.rs
@@ -170,19 +170,19 @@
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum SpecError {
     /// The text is longer than [`MAX_TEXT_BYTES`].
-    #[snafu(display("spec is {bytes} bytes long; at most {MAX_TEXT_BYTES} are allowed"))]
+    #[snafu(display("spec is {bytes} bytes long; at most {MAX_TEXT_BYTES} are taken"))]
     TextTooLong {
         /// Length of the text in bytes.
         bytes: usize,
     },
     /// The job has no steps or more than [`MAX_STEPS`].
-    #[snafu(display("job has {steps} steps; 1 to {MAX_STEPS} are allowed"))]
+    #[snafu(display("{steps} steps; 1 to {MAX_STEPS} are taken"))]
     StepCount {
         /// Number of steps in the specification.
         steps: usize,
     },
     /// A step has no tasks or more than [`MAX_STEP_TASKS`].
-    #[snafu(display("steps[{step}] has {tasks} tasks; 1 to {MAX_STEP_TASKS} are allowed"))]
+    #[snafu(display("steps[{step}] has {tasks} tasks; 1 to {MAX_STEP_TASKS} are taken"))]
     TaskCount {
         /// Index of the rejected step, counted from 0.
         step: usize,
@@ -190,7 +190,7 @@
         tasks: u32,
     },
     /// A step depends on itself or on a later step.
-    #[snafu(display("steps[{step}] depends on steps[{after}], which is not an earlier step"))]
+    #[snafu(display("steps[{step}] comes after step {after}, which is not an earlier one"))]
     DependencyOrder {
         /// Index of the dependent step.
         step: usize,
@@ -198,7 +198,7 @@
         after: u32,
     },
     /// The job has more occurrences than [`MAX_OCCURRENCES`].
-    #[snafu(display("job has {occurrences} occurrences; at most {MAX_OCCURRENCES} are allowed"))]
+    #[snafu(display("{occurrences} times; at most {MAX_OCCURRENCES} are taken"))]
     OccurrenceCount {
         /// Number of occurrences that the repetition schedule asks for.
         occurrences: u32,
