--- a/crates/crosspath_node/src/vm_count.rs
+++ b/crates/crosspath_node/src/vm_count.rs
@@ -9,10 +9,10 @@
 use crosspath_border::vm::Error;
 use snafu::Snafu;
 
-/// Pause after the first refused list. The platform accepts some dozens of list calls per second,
-/// and the clients of every daemon may be calling.
+/// Longest pause while no list call has failed; each failure doubles it. The platform accepts some
+/// dozens of list calls per second, and the clients of every daemon may be calling.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
-/// Longest pause: a starting daemon serves no requests until the map exists.
+/// Upper bound of the pause: a starting daemon serves no requests until the map exists.
 const MAX_BACKOFF: Duration = Duration::from_millis(800);
 /// Time from the start of the count after which a single source is accepted. Callers send requests
 /// 10 s after the start of the daemons at the earliest, and owners need about 2 s to take over.
