--- a/crates/crosspath_bench/src/fleet.rs
+++ b/crates/crosspath_bench/src/fleet.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crosspath_fakes::site::Declared;
+use crosspath_fakes::site::Manifest;
 use crosspath_state::job::{self, Class};
 use crosspath_state::name::{JobName, ResourceName};
 use crosspath_state::record::{Batch, BatchId, Change, Entry, Incarnation, Revision, Writer};
@@ -67,7 +67,7 @@
 }
 
 fn from_json(text: &str) -> Fleet {
-    let resources: Vec<Declared> = serde_json::from_str(text).expect("an example is well formed");
+    let resources: Vec<Manifest> = serde_json::from_str(text).expect("an example is well formed");
     let mut fleet = Fleet::default();
     for resource in resources {
         let tagged = json!({ "kind": resource.kind, "spec": resource.spec });
--- a/crates/crosspath_bench/src/slopes.rs
+++ b/crates/crosspath_bench/src/slopes.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use crosspath_fakes::config::VmConfig;
-use crosspath_fakes::site::{self, Declared, Plan, Site};
+use crosspath_fakes::site::{self, Manifest, Plan, Site};
 use crosspath_http::client::{Client, Method};
 use crosspath_state::resource::{Kind, Spec};
 use hdrhistogram::Histogram;
@@ -66,14 +66,14 @@
     Ok((kib.unwrap_or_default() * 1_024.0, ticks / TICKS_PER_SECOND))
 }
 
-fn resources(workers: usize) -> Vec<Declared> {
+fn resources(workers: usize) -> Vec<Manifest> {
     let state = fleet::generate(Size::scaled_to(workers), SEED).state;
     let mut resources = Vec::new();
     for kind in [Kind::Pool, Kind::Team, Kind::Vm, Kind::Job] {
         for name in state.names(kind) {
             let id = crosspath_state::resource::Id::new(kind, name);
             let Some((_, spec)) = state.resource(&id) else { continue };
-            resources.push(Declared { kind, name: id.name.to_string(), spec: spec_json(&spec) });
+            resources.push(Manifest { kind, name: id.name.to_string(), spec: spec_json(&spec) });
         }
     }
     resources
@@ -82,7 +82,7 @@
 fn vm_configs(workers: usize) -> Vec<VmConfig> {
     let state = fleet::generate(Size::scaled_to(workers), SEED).state;
     let vms = state.vms.keys().cloned();
-    vms.map(|name| VmConfig { name, address: site::any(), slots: 8 }).collect()
+    vms.map(|name| VmConfig { name, address: site::any_address(), slots: 8 }).collect()
 }
 
 fn spec_json(spec: &Spec) -> Value {
@@ -133,7 +133,7 @@
     site.wait_ready(0).await.context(SiteSnafu)?;
     let startup = started.elapsed();
     tokio::time::sleep(IDLE_PERIOD).await;
-    let id = site.daemons[0].process().unwrap_or_default();
+    let id = site.daemons[0].pid().unwrap_or_default();
     let before = process_usage(id)?;
     tokio::time::sleep(IDLE_PERIOD).await;
     let after = process_usage(id)?;
@@ -165,7 +165,7 @@
             status.map(|status| status["applied"].as_u64().unwrap_or_default())
         }
     };
-    let process_ids: Vec<_> = site.daemons.iter().filter_map(site::Daemon::process).collect();
+    let process_ids: Vec<_> = site.daemons.iter().filter_map(site::Daemon::pid).collect();
     let total_cpu = || {
         process_ids.iter().map(|id| process_usage(*id).map(|(_, cpu)| cpu)).sum::<Result<f64, _>>()
     };
--- a/crates/crosspath_fakes/src/ledger.rs
+++ b/crates/crosspath_fakes/src/ledger.rs
@@ -25,7 +25,7 @@
 
 impl Ledger {
     /// Counts a run.
-    pub fn run(&self, payment: &str) {
+    pub fn record_run(&self, payment: &str) {
         let mut runs = self.runs.lock().unwrap_or_else(PoisonError::into_inner);
         *runs.entry(payment.to_owned()).or_default() += 1;
     }
--- a/crates/crosspath_fakes/src/log_store.rs
+++ b/crates/crosspath_fakes/src/log_store.rs
@@ -11,8 +11,8 @@
 
 use crate::fault::LogFault;
 
-const PAGE: usize = 500;
-const HANG: Duration = Duration::from_secs(3600);
+const MAX_PAGE_RECORDS: usize = 500;
+const UNANSWERED_DELAY: Duration = Duration::from_secs(3600);
 
 /// Records, the oldest of which expire.
 #[derive(Debug)]
@@ -45,7 +45,7 @@
         *self.fault.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn loses_answer(&self) -> bool {
+    fn take_lost_answer(&self) -> bool {
         let mut fault = self.fault.lock().unwrap_or_else(PoisonError::into_inner);
         let loses = fault.lose_answers > 0;
         fault.lose_answers -= u32::from(loses);
@@ -60,8 +60,8 @@
             return None;
         }
         let offset = self.push(data);
-        if self.loses_answer() {
-            tokio::time::sleep(HANG).await;
+        if self.take_lost_answer() {
+            tokio::time::sleep(UNANSWERED_DELAY).await;
         }
         Some(offset)
     }
@@ -82,8 +82,8 @@
         let mut last = self.last.subscribe();
         let until = Instant::now() + wait;
         tokio::time::sleep(Duration::from_millis(self.fault().slow_ms)).await;
-        let news = last.wait_for(|last| *last > after || self.fault().down);
-        let _ = tokio::time::timeout_at(until, news).await;
+        let available = last.wait_for(|last| *last > after || self.fault().down);
+        let _ = tokio::time::timeout_at(until, available).await;
         if self.fault().down {
             return None;
         }
@@ -96,7 +96,7 @@
         let first = records.front().map_or(last.next(), |record| record.offset);
         let skip = after.next().0.saturating_sub(first.0);
         let skip = usize::try_from(skip).unwrap_or(usize::MAX);
-        let records = records.iter().skip(skip).take(PAGE).cloned().collect();
+        let records = records.iter().skip(skip).take(MAX_PAGE_RECORDS).cloned().collect();
         Page { records, first, last }
     }
 }
--- a/crates/crosspath_fakes/src/main.rs
+++ b/crates/crosspath_fakes/src/main.rs
@@ -12,7 +12,7 @@
     #[snafu(display("{}: cannot be read: {source}", file.display()))]
     Read { file: PathBuf, source: std::io::Error },
     #[snafu(display("{}: {source}", file.display()))]
-    Shape { file: PathBuf, source: serde_json::Error },
+    Parse { file: PathBuf, source: serde_json::Error },
     #[snafu(display("{source}"))]
     Start { source: crosspath_fakes::StartError },
     #[snafu(display("cannot wait for the end: {source}"))]
@@ -21,7 +21,7 @@
 
 async fn run(file: PathBuf) -> Result<(), Error> {
     let text = std::fs::read_to_string(&file).context(ReadSnafu { file: &file })?;
-    let config: Config = serde_json::from_str(&text).context(ShapeSnafu { file: &file })?;
+    let config: Config = serde_json::from_str(&text).context(ParseSnafu { file: &file })?;
     let fakes = Fakes::start(&config).await.context(StartSnafu)?;
     log::info!("event=fakes_started platform={} vms={}", fakes.platform, fakes.vms.len());
     tokio::signal::ctrl_c().await.context(WaitSnafu)
--- a/crates/crosspath_fakes/src/memory_store.rs
+++ b/crates/crosspath_fakes/src/memory_store.rs
@@ -16,14 +16,14 @@
 use crosspath_border::worker;
 
 /// Appends of an owner whose answers can be asked for again.
-const REMEMBERED: usize = 5;
+const MAX_CACHED_RESULTS: usize = 5;
 
 #[derive(Debug, Default)]
 struct Log {
     records: Vec<Stored>,
     epoch: u64,
     /// The last appends of the epoch and their answers.
-    answers: VecDeque<(u64, Appended)>,
+    results: VecDeque<(u64, Appended)>,
 }
 
 impl Log {
@@ -31,8 +31,8 @@
         self.records.len() as u64
     }
 
-    fn check(&self, guard: Precondition) -> Result<Option<Appended>, Error> {
-        match guard {
+    fn check(&self, precondition: Precondition) -> Result<Option<Appended>, Error> {
+        match precondition {
             Precondition::Unconditional => Ok(None),
             Precondition::EndOffset(at) if at == self.end() => Ok(None),
             Precondition::EndOffset(_) => Err(Error::EndMismatch { end: self.end() }),
@@ -41,10 +41,10 @@
             }
             Precondition::Owner { epoch, .. } if epoch > self.epoch => Ok(None),
             Precondition::Owner { sequence, .. } => {
-                let repeated = self.answers.iter().find(|(number, _)| *number == sequence);
-                let last = self.answers.back().map_or(0, |(number, _)| *number);
-                match repeated {
-                    Some((_, answer)) => Ok(Some(*answer)),
+                let cached = self.results.iter().find(|(number, _)| *number == sequence);
+                let last = self.results.back().map_or(0, |(number, _)| *number);
+                match cached {
+                    Some((_, result)) => Ok(Some(*result)),
                     None if sequence == last + 1 => Ok(None),
                     None => Err(Error::Sequence { expected: last + 1 }),
                 }
@@ -52,9 +52,13 @@
         }
     }
 
-    fn append(&mut self, records: &[NewRecord], guard: Precondition) -> Result<Appended, Error> {
-        if let Some(answer) = self.check(guard)? {
-            return Ok(answer);
+    fn append(
+        &mut self,
+        records: &[NewRecord],
+        precondition: Precondition,
+    ) -> Result<Appended, Error> {
+        if let Some(result) = self.check(precondition)? {
+            return Ok(result);
         }
         let offset = self.end();
         for (record, offset) in records.iter().zip(offset..) {
@@ -62,14 +66,14 @@
             self.records.push(Stored { offset, key, value });
         }
         let appended = Appended { offset, end: self.end() };
-        if let Precondition::Owner { epoch, sequence } = guard {
+        if let Precondition::Owner { epoch, sequence } = precondition {
             if epoch > self.epoch {
                 self.epoch = epoch;
-                self.answers.clear();
+                self.results.clear();
             }
-            self.answers.push_back((sequence, appended));
-            if self.answers.len() > REMEMBERED {
-                self.answers.pop_front();
+            self.results.push_back((sequence, appended));
+            if self.results.len() > MAX_CACHED_RESULTS {
+                self.results.pop_front();
             }
         }
         Ok(appended)
@@ -114,7 +118,7 @@
     }
 }
 
-fn foreign(record: &Stored) -> DecodeError {
+fn unsupported(record: &Stored) -> DecodeError {
     let detail = "this stand-in has no records of others".to_owned();
     DecodeError { key: record.key.clone(), offset: record.offset, detail }
 }
@@ -125,10 +129,10 @@
         &self,
         partition: Partition,
         records: &[NewRecord],
-        guard: Precondition,
+        precondition: Precondition,
     ) -> Result<Appended, Error> {
         let mut state = self.state();
-        let appended = state.logs.entry(partition).or_default().append(records, guard)?;
+        let appended = state.logs.entry(partition).or_default().append(records, precondition)?;
         if state.lose_answers > 0 {
             state.lose_answers -= 1;
             return Err(Error::NoAnswer);
@@ -185,11 +189,11 @@
     }
 
     fn decode_change(&self, record: &Stored) -> Result<Change, DecodeError> {
-        Err(foreign(record))
+        Err(unsupported(record))
     }
 
     fn decode_worker(&self, record: &Stored) -> Result<worker::Entry, DecodeError> {
-        Err(foreign(record))
+        Err(unsupported(record))
     }
 
     fn encode_wave_status(&self, wave: u64, state: WaveState) -> NewRecord {
@@ -197,6 +201,6 @@
     }
 
     fn decode_wave_status(&self, record: &Stored) -> Result<(u64, WaveState), DecodeError> {
-        Err(foreign(record))
+        Err(unsupported(record))
     }
 }
--- a/crates/crosspath_fakes/src/platform.rs
+++ b/crates/crosspath_fakes/src/platform.rs
@@ -26,8 +26,8 @@
 use crate::upstream::{self, Shared};
 use crate::vm::{Audit, Vm};
 
-const MAX_BODY: u64 = 16 * 1024 * 1024;
-const BODY_TIME: Duration = Duration::from_secs(10);
+const MAX_BODY_BYTES: u64 = 16 * 1024 * 1024;
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The stand-ins could not start.
 #[derive(Debug, Snafu)]
@@ -92,11 +92,11 @@
         let platform = listener.local_addr().context(StartSnafu { address: config.platform })?;
         let (stop, stopped) = watch::channel(Stage::Serving);
         let serving = Arc::clone(&inner);
-        let answer = move |request: Request<Incoming>, _: SocketAddr| {
+        let handle = move |request: Request<Incoming>, _: SocketAddr| {
             let inner = Arc::clone(&serving);
-            async move { inner.answer(request).await }
+            async move { inner.handle(request).await }
         };
-        let serve = server::serve(listener, Limits::default(), stopped, answer);
+        let serve = server::serve(listener, Limits::default(), stopped, handle);
         tasks.push(tokio::spawn(serve));
         Ok(Self { platform, vms: addresses, inner, tasks, _stop: stop })
     }
@@ -152,10 +152,10 @@
     Ok((vm, task))
 }
 
-fn status(status: StatusCode) -> Response<Body> {
-    let mut answer = Response::new(body::full("null"));
-    *answer.status_mut() = status;
-    answer
+fn empty_response(status: StatusCode) -> Response<Body> {
+    let mut response = Response::new(body::full("null"));
+    *response.status_mut() = status;
+    response
 }
 
 fn ok(value: &impl serde::Serialize) -> Response<Body> {
@@ -163,10 +163,10 @@
 }
 
 impl Inner {
-    async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<Body> {
+    async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Response<Body> {
         let (parts, incoming) = request.into_parts();
-        let Ok(bytes) = body::read(incoming, MAX_BODY, BODY_TIME).await else {
-            return status(StatusCode::BAD_REQUEST);
+        let Ok(bytes) = body::read(incoming, MAX_BODY_BYTES, BODY_TIMEOUT).await else {
+            return empty_response(StatusCode::BAD_REQUEST);
         };
         let path = parts.uri.path().to_owned();
         let segments: Vec<&str> = path.split('/').filter(|part| !part.is_empty()).collect();
@@ -179,15 +179,17 @@
                 ok(&self.vms.values().map(|vm| vm.audit()).collect::<Vec<_>>())
             }
             (&Method::GET, ["fakes", "ledger"]) => ok(&self.shared.ledger.runs()),
-            (&Method::PUT, ["fakes", "log"]) => with(&bytes, |fault| self.log.set_fault(fault)),
-            (method, [scope @ ("fakes" | "workers"), vm, rest @ ..]) => {
+            (&Method::PUT, ["fakes", "log"]) => {
+                with_body(&bytes, |fault| self.log.set_fault(fault))
+            }
+            (method, [scope @ ("fakes" | "workers"), vm, subpath @ ..]) => {
                 let vm = VmName::new(vm).ok().and_then(|vm| self.vms.get(&vm).cloned());
                 let Some(vm) = vm else {
-                    return status(StatusCode::NOT_FOUND);
+                    return empty_response(StatusCode::NOT_FOUND);
                 };
-                self.vm(method, scope, vm, rest, &bytes)
+                self.vm(method, scope, vm, subpath, &bytes)
             }
-            _ => status(StatusCode::NOT_FOUND),
+            _ => empty_response(StatusCode::NOT_FOUND),
         }
     }
 
@@ -196,33 +198,33 @@
         method: &Method,
         scope: &str,
         vm: Arc<Vm>,
-        rest: &[&str],
+        subpath: &[&str],
         bytes: &[u8],
     ) -> Response<Body> {
-        match (method, scope, rest) {
+        match (method, scope, subpath) {
             (&Method::GET, "workers", []) => ok(&vm.report()),
             (&Method::PUT, "workers", ["drained"]) => {
-                with(bytes, |drained| vm.set_drained(drained))
+                with_body(bytes, |drained| vm.set_drained(drained))
             }
-            (&Method::PUT, "workers", ["reboot"]) => with(bytes, |ticket| self.reboot(&vm, ticket)),
+            (&Method::PUT, "workers", ["reboot"]) => with_body(bytes, |id| self.reboot(&vm, id)),
             (&Method::PUT, "workers", ["jobs", job]) => {
                 let Ok(job) = JobName::new(job) else {
-                    return status(StatusCode::BAD_REQUEST);
+                    return empty_response(StatusCode::BAD_REQUEST);
                 };
                 let Ok(state) = serde_json::from_slice::<JobState>(bytes) else {
-                    return status(StatusCode::BAD_REQUEST);
+                    return empty_response(StatusCode::BAD_REQUEST);
                 };
                 let done = vm.set_job(job, state);
-                status(if done { StatusCode::OK } else { StatusCode::CONFLICT })
+                empty_response(if done { StatusCode::OK } else { StatusCode::CONFLICT })
             }
-            (&Method::PUT, "fakes", ["fault"]) => with(bytes, |fault| vm.set_fault(fault)),
-            (&Method::PUT, "fakes", ["up"]) => with(bytes, |up| vm.set_up(up)),
-            _ => status(StatusCode::NOT_FOUND),
+            (&Method::PUT, "fakes", ["fault"]) => with_body(bytes, |fault| vm.set_fault(fault)),
+            (&Method::PUT, "fakes", ["up"]) => with_body(bytes, |up| vm.set_up(up)),
+            _ => empty_response(StatusCode::NOT_FOUND),
         }
     }
 
-    fn reboot(&self, vm: &Arc<Vm>, ticket: String) {
-        if !vm.begin_reboot(ticket) {
+    fn reboot(&self, vm: &Arc<Vm>, id: String) {
+        if !vm.begin_reboot(id) {
             return;
         }
         let (vm, time) = (Arc::clone(vm), self.reboot);
@@ -234,11 +236,11 @@
 
     async fn append(&self, bytes: &[u8]) -> Response<Body> {
         let Ok(append) = serde_json::from_slice::<Append>(bytes) else {
-            return status(StatusCode::BAD_REQUEST);
+            return empty_response(StatusCode::BAD_REQUEST);
         };
         match self.log.append(append.data).await {
             Some(offset) => ok(&Appended { offset }),
-            None => status(StatusCode::SERVICE_UNAVAILABLE),
+            None => empty_response(StatusCode::SERVICE_UNAVAILABLE),
         }
     }
 
@@ -251,7 +253,7 @@
         let wait = Duration::from_millis(number("wait_ms").unwrap_or_default());
         match self.log.read(after, wait).await {
             Some(page) => ok(&page),
-            None => status(StatusCode::SERVICE_UNAVAILABLE),
+            None => empty_response(StatusCode::SERVICE_UNAVAILABLE),
         }
     }
 
@@ -262,12 +264,12 @@
     }
 }
 
-fn with<T: DeserializeOwned>(bytes: &[u8], act: impl FnOnce(T)) -> Response<Body> {
+fn with_body<T: DeserializeOwned>(bytes: &[u8], action: impl FnOnce(T)) -> Response<Body> {
     match serde_json::from_slice(bytes) {
         Ok(value) => {
-            act(value);
+            action(value);
             ok(&())
         }
-        Err(_) => status(StatusCode::BAD_REQUEST),
+        Err(_) => empty_response(StatusCode::BAD_REQUEST),
     }
 }
--- a/crates/crosspath_fakes/src/site.rs
+++ b/crates/crosspath_fakes/src/site.rs
@@ -35,7 +35,7 @@
 pub const PEER_TOKEN: &str = "peer-demo-token-0123456789";
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A site that does not do what it was started for.
 #[derive(Debug, Snafu)]
@@ -56,7 +56,7 @@
     },
     /// A file is not of the right shape.
     #[snafu(display("{}: {source}", file.display()))]
-    Shape {
+    Parse {
         /// Which.
         file: PathBuf,
         /// Why.
@@ -88,7 +88,7 @@
 
 /// A resource as it stands in a deployment's file.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Declared {
+pub struct Manifest {
     /// Its kind.
     pub kind: crosspath_state::resource::Kind,
     /// Its name.
@@ -107,7 +107,7 @@
     /// Data centres, which the daemons are spread over.
     pub data_centres: Vec<String>,
     /// What is declared; the addresses of VMs are replaced by those of the stand-ins.
-    pub resources: Vec<Declared>,
+    pub resources: Vec<Manifest>,
     /// Timing of the daemons, as in their settings.
     pub timing: Value,
     /// Limits of the daemons, as in their settings.
@@ -115,7 +115,7 @@
     /// What the stand-ins play; VMs are taken from the resources.
     pub fakes: Config,
     /// Whether links between daemons, and to the platform, can be cut.
-    pub cuttable: bool,
+    pub relayed_links: bool,
 }
 
 impl Plan {
@@ -133,7 +133,7 @@
             }),
             limits: json!({}),
             fakes: Config {
-                platform: any(),
+                platform: any_address(),
                 vms: Vec::new(),
                 log_latency_ms: 5,
                 log_retention: 100_000,
@@ -141,21 +141,21 @@
                 service_ms: Default::default(),
                 vm_list_lag_ms: 200,
             },
-            cuttable: false,
+            relayed_links: false,
         }
     }
 
     /// Adds a resource.
     #[must_use]
     pub fn with(mut self, kind: crosspath_state::resource::Kind, name: &str, spec: Value) -> Self {
-        self.resources.push(Declared { kind, name: name.to_owned(), spec });
+        self.resources.push(Manifest { kind, name: name.to_owned(), spec });
         self
     }
 }
 
 /// Any free loopback address.
 #[must_use]
-pub fn any() -> SocketAddr {
+pub fn any_address() -> SocketAddr {
     SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
 }
 
@@ -215,7 +215,7 @@
 
     /// Id of the process.
     #[must_use]
-    pub fn process(&self) -> Option<u32> {
+    pub fn pid(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
 
@@ -322,22 +322,22 @@
     pub async fn wait_ready(&self, index: usize) -> Result<(), Error> {
         let daemon = &self.daemons[index];
         self.wait(START_TIMEOUT, &format!("{} ready", daemon.name), async || {
-            daemon.is_ready().await && lease_is_valid(daemon).await
+            daemon.is_ready().await && has_valid_lease(daemon).await
         })
         .await
     }
 
     /// Cuts a daemon off from the platform and from every other daemon, or heals that. Callers and
     /// upstreams still reach it.
-    pub fn set_cut_off(&self, index: usize, cut: bool) {
-        let touched = self.links.iter().filter(|l| l.from == index || l.to == Some(index));
-        touched.for_each(|link| link.relay.set_cut(cut));
+    pub fn set_isolated(&self, index: usize, isolated: bool) {
+        let affected = self.links.iter().filter(|l| l.from == index || l.to == Some(index));
+        affected.for_each(|link| link.relay.set_blocked(isolated));
     }
 
     /// Cuts a daemon off from the platform only, or heals that.
-    pub fn set_cut_from_platform(&self, index: usize, cut: bool) {
-        let touched = self.links.iter().filter(|link| link.from == index && link.to.is_none());
-        touched.for_each(|link| link.relay.set_cut(cut));
+    pub fn set_isolated_from_platform(&self, index: usize, isolated: bool) {
+        let affected = self.links.iter().filter(|link| link.from == index && link.to.is_none());
+        affected.for_each(|link| link.relay.set_blocked(isolated));
     }
 
     /// Waits until `met` says so.
@@ -349,14 +349,14 @@
         &self,
         limit: Duration,
         what: &str,
-        met: impl AsyncFn() -> bool,
+        condition: impl AsyncFn() -> bool,
     ) -> Result<(), Error> {
         let started = Instant::now();
-        while !met().await {
+        while !condition().await {
             if started.elapsed() > limit {
                 return TimeoutSnafu { what, limit }.fail();
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
@@ -366,7 +366,7 @@
     /// # Errors
     ///
     /// [`Error::Call`].
-    pub async fn declare(&self, index: usize, resources: &[Declared]) -> Result<(), Error> {
+    pub async fn declare(&self, index: usize, resources: &[Manifest]) -> Result<(), Error> {
         let operator = self.daemons[index].operator();
         for resource in resources {
             let mut spec = resource.spec.clone();
@@ -406,20 +406,20 @@
     }
 }
 
-async fn lease_is_valid(daemon: &Daemon) -> bool {
+async fn has_valid_lease(daemon: &Daemon) -> bool {
     let status = daemon.operator().call::<Value>(Method::GET, "/v1/status", None::<&()>).await;
     status.is_ok_and(|status| status["lease_valid"] == json!(true))
 }
 
-fn vm_config(resource: &Declared) -> Option<VmConfig> {
+fn vm_config(resource: &Manifest) -> Option<VmConfig> {
     let is_vm = resource.kind == crosspath_state::resource::Kind::Vm;
     let name = is_vm.then(|| resource.name.parse().ok()).flatten()?;
     let slots = resource.spec.get("slots").and_then(Value::as_u64).unwrap_or_default();
-    Some(VmConfig { name, address: any(), slots: u32::try_from(slots).unwrap_or(u32::MAX) })
+    Some(VmConfig { name, address: any_address(), slots: u32::try_from(slots).unwrap_or(u32::MAX) })
 }
 
 fn daemons(plan: &Plan, directory: &Path) -> Vec<Daemon> {
-    let ports = port::block(plan.daemons * 3);
+    let ports = port::find_free(plan.daemons * 3);
     let address = |place: usize| SocketAddr::from((Ipv4Addr::LOCALHOST, ports[place]));
     let daemon = |index: usize| {
         let name = format!("entry-{}", index + 1);
@@ -443,7 +443,7 @@
         let peers = all().filter(move |to| *to != from).map(Some);
         peers.chain([None]).map(move |to| (from, to))
     });
-    for (from, to) in pairs.filter(|_| plan.cuttable) {
+    for (from, to) in pairs.filter(|_| plan.relayed_links) {
         let address = to.map_or(platform, |to| daemons[to].peers);
         let relay = Relay::start(address).await.context(FileSnafu { file: "loopback" })?;
         links.push(Link { from, to, relay });
@@ -492,7 +492,7 @@
 /// # Errors
 ///
 /// [`Error::File`] or [`Error::Shape`].
-pub fn read_resources(file: &Path) -> Result<Vec<Declared>, Error> {
+pub fn read_resources(file: &Path) -> Result<Vec<Manifest>, Error> {
     let text = std::fs::read_to_string(file).context(FileSnafu { file })?;
-    serde_json::from_str(&text).context(ShapeSnafu { file })
+    serde_json::from_str(&text).context(ParseSnafu { file })
 }
--- a/crates/crosspath_fakes/src/site/relay.rs
+++ b/crates/crosspath_fakes/src/site/relay.rs
@@ -10,7 +10,7 @@
 #[derive(Debug)]
 pub(super) struct Relay {
     pub(super) address: SocketAddr,
-    cut: watch::Sender<bool>,
+    blocked: watch::Sender<bool>,
     task: JoinHandle<()>,
 }
 
@@ -18,14 +18,14 @@
     pub(super) async fn start(to: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let address = listener.local_addr()?;
-        let cut = watch::Sender::new(false);
-        let task = tokio::spawn(serve(listener, to, cut.clone()));
-        Ok(Self { address, cut, task })
+        let blocked = watch::Sender::new(false);
+        let task = tokio::spawn(serve(listener, to, blocked.clone()));
+        Ok(Self { address, blocked, task })
     }
 
     /// Ends every connection and lets none through, or lets them through again.
-    pub(super) fn set_cut(&self, cut: bool) {
-        self.cut.send_replace(cut);
+    pub(super) fn set_blocked(&self, blocked: bool) {
+        self.blocked.send_replace(blocked);
     }
 }
 
@@ -35,14 +35,14 @@
     }
 }
 
-async fn serve(listener: TcpListener, to: SocketAddr, cut: watch::Sender<bool>) {
+async fn serve(listener: TcpListener, to: SocketAddr, blocked: watch::Sender<bool>) {
     while let Ok((from, _)) = listener.accept().await {
-        tokio::spawn(pass(from, to, cut.subscribe()));
+        tokio::spawn(forward(from, to, blocked.subscribe()));
     }
 }
 
-async fn pass(mut from: TcpStream, to: SocketAddr, mut cut: watch::Receiver<bool>) {
-    if *cut.borrow() {
+async fn forward(mut from: TcpStream, to: SocketAddr, mut blocked: watch::Receiver<bool>) {
+    if *blocked.borrow() {
         return;
     }
     let Ok(mut to) = TcpStream::connect(to).await else { return };
@@ -50,6 +50,6 @@
     let _ = to.set_nodelay(true);
     tokio::select! {
         _ = tokio::io::copy_bidirectional(&mut from, &mut to) => {}
-        _ = cut.wait_for(|cut| *cut) => {}
+        _ = blocked.wait_for(|blocked| *blocked) => {}
     }
 }
--- a/crates/crosspath_fakes/src/upstream.rs
+++ b/crates/crosspath_fakes/src/upstream.rs
@@ -23,8 +23,8 @@
 /// Header by which an upstream says that it refused a request before running it.
 pub(crate) const NOT_RUN: &str = "request-not-run";
 
-const MAX_BODY: u64 = 16 * 1024 * 1024;
-const BODY_TIME: Duration = Duration::from_secs(30);
+const MAX_BODY_BYTES: u64 = 16 * 1024 * 1024;
+const BODY_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// What all upstreams share.
 #[derive(Debug)]
@@ -57,11 +57,11 @@
 }
 
 /// Leaves the VM when a request ends, however it ends.
-struct Running(Arc<Vm>);
+struct RequestGuard(Arc<Vm>);
 
-impl Drop for Running {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
-        self.0.leave();
+        self.0.end_request();
     }
 }
 
@@ -72,74 +72,74 @@
     mut power: watch::Receiver<Power>,
 ) {
     let _ = stream.set_nodelay(true);
-    let downs = power.borrow_and_update().downs;
-    let (breaker, mut broken) = mpsc::channel::<()>(1);
+    let outages = power.borrow_and_update().outages;
+    let (close, mut closed) = mpsc::channel::<()>(1);
     let service = service_fn(move |request| {
-        let (vm, shared, breaker) = (Arc::clone(&vm), Arc::clone(&shared), breaker.clone());
-        async move { Ok::<_, Infallible>(answer(request, vm, &shared, breaker).await) }
+        let (vm, shared, close) = (Arc::clone(&vm), Arc::clone(&shared), close.clone());
+        async move { Ok::<_, Infallible>(respond(request, vm, &shared, close).await) }
     });
     let connection = hyper::server::conn::http1::Builder::new();
     let connection = connection.serve_connection(TokioIo::new(stream), service);
     tokio::select! {
         _ = connection => {}
-        _ = power.wait_for(|power| power.downs > downs) => {}
-        _ = broken.recv() => {}
+        _ = power.wait_for(|power| power.outages > outages) => {}
+        _ = closed.recv() => {}
     }
 }
 
-async fn break_connection(breaker: &mpsc::Sender<()>) -> Response<Body> {
-    let _ = breaker.send(()).await;
+async fn break_connection(close: &mpsc::Sender<()>) -> Response<Body> {
+    let _ = close.send(()).await;
     // The connection ends before this is answered.
     std::future::pending().await
 }
 
-async fn answer(
+async fn respond(
     request: Request<Incoming>,
     vm: Arc<Vm>,
     shared: &Shared,
-    breaker: mpsc::Sender<()>,
+    close: mpsc::Sender<()>,
 ) -> Response<Body> {
     let fault = vm.fault();
     if fault.break_before {
-        return break_connection(&breaker).await;
+        return break_connection(&close).await;
     }
     if fault.fail {
         return body::json(StatusCode::INTERNAL_SERVER_ERROR, &"failed");
     }
-    if !vm.enter() {
+    if !vm.begin_request() {
         return refusal();
     }
-    let _running = Running(Arc::clone(&vm));
+    let _guard = RequestGuard(Arc::clone(&vm));
     let id = request.headers().get(PAYMENT_ID).and_then(|id| id.to_str().ok());
     let payment = id.unwrap_or_default().to_owned();
     let first = request.uri().path().split('/').nth(1).unwrap_or_default();
     let service = shared.service.get(first).copied().unwrap_or_default();
-    let read = body::read(request.into_body(), MAX_BODY, BODY_TIME).await;
+    let read = body::read(request.into_body(), MAX_BODY_BYTES, BODY_TIMEOUT).await;
     if read.is_err() {
         return body::json(StatusCode::BAD_REQUEST, &"body");
     }
-    shared.ledger.run(&payment);
+    shared.ledger.record_run(&payment);
     tokio::time::sleep(service + Duration::from_millis(fault.late_ms)).await;
     if fault.break_after {
-        return break_connection(&breaker).await;
+        return break_connection(&close).await;
     }
     let receipt = Receipt { payment, vm: vm.name.to_string() };
     if fault.half_answer {
-        return half(&receipt);
+        return truncated_response(&receipt);
     }
     body::json(StatusCode::OK, &receipt)
 }
 
 fn refusal() -> Response<Body> {
-    let mut answer = body::json(StatusCode::SERVICE_UNAVAILABLE, &"draining");
-    let headers = answer.headers_mut();
+    let mut response = body::json(StatusCode::SERVICE_UNAVAILABLE, &"draining");
+    let headers = response.headers_mut();
     headers.insert(NOT_RUN, HeaderValue::from_static("1"));
     headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
-    answer
+    response
 }
 
 /// An answer that breaks in the middle.
-fn half(receipt: &Receipt) -> Response<Body> {
+fn truncated_response(receipt: &Receipt) -> Response<Body> {
     let whole = serde_json::to_vec(receipt).unwrap_or_default();
     let part = Bytes::copy_from_slice(&whole[..whole.len() / 2]);
     let frames = [Ok(Frame::data(part)), Err(BoxError::from("broken on purpose"))];
--- a/crates/crosspath_fakes/src/vm.rs
+++ b/crates/crosspath_fakes/src/vm.rs
@@ -57,7 +57,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Power {
     pub(crate) up: bool,
-    pub(crate) downs: u32,
+    pub(crate) outages: u32,
 }
 
 /// One VM.
@@ -95,7 +95,7 @@
             last_request: None,
             history: vec![(Instant::now(), true)],
         };
-        let power = watch::Sender::new(Power { up: true, downs: 0 });
+        let power = watch::Sender::new(Power { up: true, outages: 0 });
         Self { name, address, inner: Mutex::new(inner), power }
     }
 
@@ -140,12 +140,12 @@
     }
 
     /// Whether a new ticket came, so that the VM reboots now.
-    pub(crate) fn begin_reboot(&self, ticket: String) -> bool {
+    pub(crate) fn begin_reboot(&self, id: String) -> bool {
         let mut inner = self.inner();
-        if inner.reboot.as_ref() == Some(&ticket) {
+        if inner.reboot.as_ref() == Some(&id) {
             return false;
         }
-        inner.reboot = Some(ticket);
+        inner.reboot = Some(id);
         inner.audit.reboots += 1;
         inner.audit.cut_off += inner.in_flight;
         let running = inner.jobs.values().filter(|state| **state == JobState::Running).count();
@@ -165,15 +165,15 @@
         inner.history.push((Instant::now(), up));
         self.power.send_modify(|power| {
             power.up = up;
-            power.downs += u32::from(!up);
+            power.outages += u32::from(!up);
         });
     }
 
     /// What the list says, `lag` late.
     pub(crate) fn liveness(&self, lag: Duration) -> Liveness {
         let inner = self.inner();
-        let seen = inner.history.iter().rev().find(|(at, _)| at.elapsed() >= lag);
-        match seen {
+        let observed = inner.history.iter().rev().find(|(at, _)| at.elapsed() >= lag);
+        match observed {
             Some((_, false)) => Liveness::Down,
             _ => Liveness::Live,
         }
@@ -196,7 +196,7 @@
     }
 
     /// Takes a request in unless the VM refuses it.
-    pub(crate) fn enter(&self) -> bool {
+    pub(crate) fn begin_request(&self) -> bool {
         let mut inner = self.inner();
         if inner.drained || !inner.up {
             inner.audit.refused += 1;
@@ -208,7 +208,7 @@
         true
     }
 
-    pub(crate) fn leave(&self) {
+    pub(crate) fn end_request(&self) {
         let mut inner = self.inner();
         inner.in_flight = inner.in_flight.saturating_sub(1);
     }
--- a/crates/crosspathd/examples/quickstart/audit.rs
+++ b/crates/crosspathd/examples/quickstart/audit.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-use crosspath_fakes::site::Declared;
+use crosspath_fakes::site::Manifest;
 use crosspath_http::client::{Client, Method};
 use crosspath_log::{HttpLog, Log};
 use crosspath_operator::model::List;
@@ -20,8 +20,8 @@
 
 use crate::{REBOOT_MS, Shared};
 
-const LOOK: Duration = Duration::from_millis(20);
-const COMPARE_EVERY: u32 = 25;
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+const COMPARE_INTERVAL_ROUNDS: u32 = 25;
 
 /// What was seen.
 #[derive(Debug, Default)]
@@ -38,15 +38,15 @@
     pub(crate) runs: BTreeMap<String, u32>,
 }
 
-pub(crate) struct Watch {
+pub(crate) struct Monitor {
     stop: Arc<AtomicBool>,
     task: JoinHandle<Audit>,
 }
 
-pub(crate) async fn start(site: &Shared, resources: &[Declared]) -> Watch {
+pub(crate) async fn start(site: &Shared, resources: &[Manifest]) -> Monitor {
     let stop = Arc::new(AtomicBool::new(false));
-    let task = tokio::spawn(look(Arc::clone(site), budgets(resources), Arc::clone(&stop)));
-    Watch { stop, task }
+    let task = tokio::spawn(observe(Arc::clone(site), budgets(resources), Arc::clone(&stop)));
+    Monitor { stop, task }
 }
 
 /// Pool of each VM, and VMs that may be unavailable in each pool.
@@ -55,7 +55,7 @@
     max_unavailable: BTreeMap<String, u64>,
 }
 
-fn budgets(resources: &[Declared]) -> Budgets {
+fn budgets(resources: &[Manifest]) -> Budgets {
     let of = |kind| resources.iter().filter(move |resource| resource.kind == kind);
     let text = |value: &Value| value.as_str().unwrap_or_default().to_owned();
     let pool_of = of(Kind::Vm).map(|vm| (vm.name.clone(), text(&vm.spec["pool"])));
@@ -64,35 +64,35 @@
     Budgets { pool_of: pool_of.collect(), max_unavailable: budgets.collect() }
 }
 
-async fn look(site: Shared, budgets: Budgets, stop: Arc<AtomicBool>) -> Audit {
+async fn observe(site: Shared, budgets: Budgets, stop: Arc<AtomicBool>) -> Audit {
     let mut audit = Audit::default();
     let mut round = 0;
     while !stop.load(Ordering::Relaxed) {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
         let site = site.read().await;
-        let mut out: BTreeMap<&String, u64> = BTreeMap::new();
+        let mut unavailable: BTreeMap<&String, u64> = BTreeMap::new();
         for vm in site.fakes.audits() {
             let pool = budgets.pool_of.get(vm.vm.as_str());
             if let Some(pool) = pool.filter(|_| !vm.up || vm.drained) {
-                *out.entry(pool).or_default() += 1;
+                *unavailable.entry(pool).or_default() += 1;
             }
         }
         let exceeds = |(pool, count): (&&String, &u64)| {
             *count > budgets.max_unavailable.get(*pool).copied().unwrap_or_default()
         };
-        audit.budget_violations += out.iter().filter(|pair| exceeds(*pair)).count() as u64;
+        audit.budget_violations += unavailable.iter().filter(|pair| exceeds(*pair)).count() as u64;
         round += 1;
-        if round % COMPARE_EVERY == 0 {
+        if round % COMPARE_INTERVAL_ROUNDS == 0 {
             let operators: Vec<_> = site.daemons.iter().map(|daemon| daemon.operators).collect();
             drop(site);
-            audit.vms_in_two_pools += compare(&operators).await;
+            audit.vms_in_two_pools += count_pool_conflicts(&operators).await;
         }
     }
     audit
 }
 
 /// VMs that two daemons put into different pools at the same revision.
-async fn compare(operators: &[std::net::SocketAddr]) -> u64 {
+async fn count_pool_conflicts(operators: &[std::net::SocketAddr]) -> u64 {
     let lists = operators.iter().map(|address| async move {
         let client = Client::new(*address, Duration::from_millis(300));
         let client = client.with_token(crosspath_fakes::site::OPERATOR_TOKEN);
@@ -109,7 +109,7 @@
     pools.values().filter(|pools| pools.len() > 1).count() as u64
 }
 
-impl Watch {
+impl Monitor {
     /// Ends the watch and reads the log once more, as a daemon of its own would.
     pub(crate) async fn stop(self, site: &Shared, wave: &str) -> Audit {
         self.stop.store(true, Ordering::Relaxed);
--- a/crates/crosspathd/examples/quickstart/main.rs
+++ b/crates/crosspathd/examples/quickstart/main.rs
@@ -41,7 +41,7 @@
     #[snafu(display("{}: {source}", file.display()))]
     File { file: PathBuf, source: std::io::Error },
     #[snafu(display("{}: {source}", file.display()))]
-    Shape { file: PathBuf, source: serde_json::Error },
+    Parse { file: PathBuf, source: serde_json::Error },
     #[snafu(display("the daemon's program was not built"))]
     Build,
     #[snafu(display("{source}"))]
@@ -55,7 +55,7 @@
 }
 
 #[derive(Deserialize)]
-struct StandIns {
+struct FakeSettings {
     data_centres: Vec<String>,
     service_ms: std::collections::BTreeMap<String, u64>,
 }
@@ -94,11 +94,12 @@
     let folder = root().join("examples").join(&options.deployment);
     let file = folder.join("stand-ins.json");
     let text = std::fs::read_to_string(&file).context(FileSnafu { file: &file })?;
-    let stand_ins: StandIns = serde_json::from_str(&text).context(ShapeSnafu { file: &file })?;
+    let fake_settings: FakeSettings =
+        serde_json::from_str(&text).context(ParseSnafu { file: &file })?;
     let mut plan = Plan::new(program()?, DAEMONS);
     plan.resources = site::read_resources(&folder.join("resources.json")).context(SiteSnafu)?;
-    plan.data_centres = stand_ins.data_centres;
-    plan.fakes.service_ms = stand_ins.service_ms;
+    plan.data_centres = fake_settings.data_centres;
+    plan.fakes.service_ms = fake_settings.service_ms;
     plan.fakes.log_latency_ms = 10;
     plan.fakes.reboot_ms = REBOOT_MS;
     Ok(plan)
@@ -112,7 +113,7 @@
     let pools: Vec<_> = pools.into_iter().map(|pool| pool.name.clone()).collect();
     let site: Shared = Arc::new(RwLock::new(site));
     let traffic = traffic::start(&site, &plan.resources);
-    let watch = audit::start(&site, &plan.resources).await;
+    let monitor = audit::start(&site, &plan.resources).await;
     tokio::time::sleep(BEFORE_WAVE).await;
     let wave = json!({ "spec": { "pools": pools, "pause_after_failures": 5 } });
     let started = Instant::now();
@@ -124,7 +125,7 @@
     let _ = faults.await;
     tokio::time::sleep(AFTER_WAVE).await;
     let traffic = traffic.stop().await;
-    let audit = watch.stop(&site, WAVE).await;
+    let audit = monitor.stop(&site, WAVE).await;
     Ok(Report::new(&traffic, &audit, wave_time))
 }
 
--- a/crates/crosspathd/examples/quickstart/traffic.rs
+++ b/crates/crosspathd/examples/quickstart/traffic.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use crosspath_fakes::ledger::{PAYMENT_ID, Receipt};
-use crosspath_fakes::site::{Daemon, Declared};
+use crosspath_fakes::site::{Daemon, Manifest};
 use crosspath_http::client::{Client, Response};
 use crosspath_state::resource::Kind;
 use hdrhistogram::Histogram;
@@ -19,15 +19,15 @@
 use crate::Shared;
 
 const SENDERS: usize = 12;
-const PAUSE: Duration = Duration::from_millis(10);
+const SEND_INTERVAL: Duration = Duration::from_millis(10);
 const CALL_TIMEOUT: Duration = Duration::from_secs(6);
-const RESENDS: usize = 5;
-const RESEND_AFTER: Duration = Duration::from_millis(300);
-const BALANCER_LOOK: Duration = Duration::from_millis(150);
+const MAX_ATTEMPTS: usize = 5;
+const RETRY_DELAY: Duration = Duration::from_millis(300);
+const REFRESH_INTERVAL: Duration = Duration::from_millis(150);
 
 /// What a caller was told in the end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Told {
+pub(crate) enum Outcome {
     Answered,
     NotRun,
     Unknown,
@@ -36,26 +36,26 @@
 
 /// Everything that callers noted.
 #[derive(Debug, Default)]
-pub(crate) struct Notes {
-    pub(crate) told: BTreeMap<String, Told>,
-    pub(crate) repeatable: BTreeMap<String, bool>,
-    pub(crate) crossed: u64,
+pub(crate) struct Results {
+    pub(crate) outcomes: BTreeMap<String, Outcome>,
+    pub(crate) idempotent: BTreeMap<String, bool>,
+    pub(crate) mismatched: u64,
     pub(crate) latency_us: BTreeMap<String, Option<Histogram<u64>>>,
 }
 
 pub(crate) struct Traffic {
     stop: Arc<AtomicBool>,
-    notes: Arc<Mutex<Notes>>,
+    results: Arc<Mutex<Results>>,
     tasks: Vec<JoinHandle<()>>,
 }
 
 impl Traffic {
-    pub(crate) async fn stop(self) -> Notes {
+    pub(crate) async fn stop(self) -> Results {
         self.stop.store(true, Ordering::Relaxed);
         for task in self.tasks {
             let _ = task.await;
         }
-        std::mem::take(&mut self.notes.lock().unwrap_or_else(PoisonError::into_inner))
+        std::mem::take(&mut self.results.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
 
@@ -63,27 +63,27 @@
 struct Service {
     name: String,
     class: String,
-    repeatable: bool,
+    idempotent: bool,
 }
 
 /// The platform's balancer: knows which daemons are ready.
 #[derive(Debug, Default)]
 struct Balancer {
     ready: Mutex<Vec<Client>>,
-    turn: AtomicUsize,
+    next_index: AtomicUsize,
 }
 
 impl Balancer {
     fn next(&self) -> Option<Client> {
         let ready = self.ready.lock().unwrap_or_else(PoisonError::into_inner);
-        let turn = self.turn.fetch_add(1, Ordering::Relaxed);
-        (!ready.is_empty()).then(|| ready[turn % ready.len()].clone())
+        let next_index = self.next_index.fetch_add(1, Ordering::Relaxed);
+        (!ready.is_empty()).then(|| ready[next_index % ready.len()].clone())
     }
 
-    async fn look(&self, site: &Shared, clients: &mut BTreeMap<usize, Client>, token: &str) {
+    async fn refresh(&self, site: &Shared, clients: &mut BTreeMap<usize, Client>, token: &str) {
         let site = site.read().await;
-        let looks = site.daemons.iter().map(Daemon::is_ready);
-        let ready = futures::future::join_all(looks).await;
+        let probes = site.daemons.iter().map(Daemon::is_ready);
+        let ready = futures::future::join_all(probes).await;
         let mut live = Vec::new();
         for (index, _) in ready.into_iter().enumerate().filter(|(_, ready)| *ready) {
             let client = clients.entry(index).or_insert_with(|| {
@@ -95,8 +95,8 @@
     }
 }
 
-pub(crate) fn start(site: &Shared, resources: &[Declared]) -> Traffic {
-    let (stop, notes) = (Arc::new(AtomicBool::new(false)), Arc::<Mutex<Notes>>::default());
+pub(crate) fn start(site: &Shared, resources: &[Manifest]) -> Traffic {
+    let (stop, results) = (Arc::new(AtomicBool::new(false)), Arc::<Mutex<Results>>::default());
     let balancer = Arc::<Balancer>::default();
     let token = token(resources);
     let mut tasks = vec![tokio::spawn(balance(
@@ -112,26 +112,26 @@
             service,
             keyed: sender % 2 == 0,
             balancer: Arc::clone(&balancer),
-            notes: Arc::clone(&notes),
+            results: Arc::clone(&results),
         };
         tasks.push(tokio::spawn(sender.run(Arc::clone(&stop))));
     }
-    Traffic { stop, notes, tasks }
+    Traffic { stop, results, tasks }
 }
 
 /// The token of the first caller; the examples' tokens follow from the names.
-fn token(resources: &[Declared]) -> String {
+fn token(resources: &[Manifest]) -> String {
     let caller = resources.iter().find(|resource| resource.kind == Kind::Caller);
     format!("{}-demo-token", caller.map(|caller| caller.name.as_str()).unwrap_or_default())
 }
 
-fn services(resources: &[Declared]) -> Vec<Service> {
+fn services(resources: &[Manifest]) -> Vec<Service> {
     let text = |spec: &Value, field: &str| spec[field].as_str().unwrap_or_default().to_owned();
     let services = resources.iter().filter(|resource| resource.kind == Kind::Service);
     let services = services.map(|resource| Service {
         name: resource.name.clone(),
         class: text(&resource.spec, "class"),
-        repeatable: resource.spec["repeatable"] == true,
+        idempotent: resource.spec["repeatable"] == true,
     });
     services.collect()
 }
@@ -139,8 +139,8 @@
 async fn balance(site: Shared, balancer: Arc<Balancer>, stop: Arc<AtomicBool>, token: String) {
     let mut clients = BTreeMap::new();
     while !stop.load(Ordering::Relaxed) {
-        balancer.look(&site, &mut clients, &token).await;
-        tokio::time::sleep(BALANCER_LOOK).await;
+        balancer.refresh(&site, &mut clients, &token).await;
+        tokio::time::sleep(REFRESH_INTERVAL).await;
     }
 }
 
@@ -148,66 +148,66 @@
     service: Service,
     keyed: bool,
     balancer: Arc<Balancer>,
-    notes: Arc<Mutex<Notes>>,
+    results: Arc<Mutex<Results>>,
 }
 
 impl Sender {
     async fn run(self, stop: Arc<AtomicBool>) {
         while !stop.load(Ordering::Relaxed) {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(SEND_INTERVAL).await;
             let payment = Uuid::now_v7().to_string();
             let started = Instant::now();
-            let told = self.pay(&payment).await;
-            self.note(payment, told, started.elapsed());
+            let outcome = self.pay(&payment).await;
+            self.record(payment, outcome, started.elapsed());
         }
     }
 
     /// Sends a payment; one with a key is sent again, through any daemon, until its end is known.
-    async fn pay(&self, payment: &str) -> Told {
-        let mut told = Told::Nothing;
-        for _ in 0..RESENDS {
+    async fn pay(&self, payment: &str) -> Outcome {
+        let mut outcome = Outcome::Nothing;
+        for _ in 0..MAX_ATTEMPTS {
             let Some(client) = self.balancer.next() else {
-                tokio::time::sleep(RESEND_AFTER).await;
+                tokio::time::sleep(RETRY_DELAY).await;
                 continue;
             };
             let request = Request::post(format!("/{}/payments", self.service.name));
             let request = request.header(PAYMENT_ID, payment);
             let request = if self.keyed { request.header("payment-key", payment) } else { request };
-            let answer = client.send(request, Bytes::from_static(b"{\"amount\":125}")).await;
-            told = match answer {
-                Ok(answer) => self.read(payment, &answer),
+            let response = client.send(request, Bytes::from_static(b"{\"amount\":125}")).await;
+            outcome = match response {
+                Ok(response) => self.read(payment, &response),
                 // Without a key, a request that broke off may have been run: no second try.
-                Err(_) => Told::Nothing,
+                Err(_) => Outcome::Nothing,
             };
-            let ends = matches!(told, Told::Answered | Told::NotRun) || !self.keyed;
-            if ends {
-                return told;
+            let is_final = matches!(outcome, Outcome::Answered | Outcome::NotRun) || !self.keyed;
+            if is_final {
+                return outcome;
             }
-            tokio::time::sleep(RESEND_AFTER).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
-        told
+        outcome
     }
 
-    fn read(&self, payment: &str, answer: &Response) -> Told {
-        let outcome = answer.head.headers.get("crosspath-outcome");
-        match outcome.and_then(|outcome| outcome.to_str().ok()) {
+    fn read(&self, payment: &str, response: &Response) -> Outcome {
+        let header = response.head.headers.get("crosspath-outcome");
+        match header.and_then(|outcome| outcome.to_str().ok()) {
             Some("upstream" | "recorded") => {
-                let receipt = serde_json::from_slice::<Receipt>(&answer.body);
+                let receipt = serde_json::from_slice::<Receipt>(&response.body);
                 let own = receipt.is_ok_and(|receipt| receipt.payment == payment);
-                let mut notes = self.notes.lock().unwrap_or_else(PoisonError::into_inner);
-                notes.crossed += u64::from(!own);
-                Told::Answered
+                let mut results = self.results.lock().unwrap_or_else(PoisonError::into_inner);
+                results.mismatched += u64::from(!own);
+                Outcome::Answered
             }
-            Some("not_run") => Told::NotRun,
-            _ => Told::Unknown,
+            Some("not_run") => Outcome::NotRun,
+            _ => Outcome::Unknown,
         }
     }
 
-    fn note(&self, payment: String, told: Told, latency: Duration) {
-        let mut notes = self.notes.lock().unwrap_or_else(PoisonError::into_inner);
-        notes.repeatable.insert(payment.clone(), self.service.repeatable);
-        notes.told.insert(payment, told);
-        let histogram = notes.latency_us.entry(self.service.class.clone()).or_default();
+    fn record(&self, payment: String, outcome: Outcome, latency: Duration) {
+        let mut results = self.results.lock().unwrap_or_else(PoisonError::into_inner);
+        results.idempotent.insert(payment.clone(), self.service.idempotent);
+        results.outcomes.insert(payment, outcome);
+        let histogram = results.latency_us.entry(self.service.class.clone()).or_default();
         let histogram = histogram.get_or_insert_with(|| {
             Histogram::new(3).expect("three significant figures are allowed")
         });
--- a/crates/crosspathd/tests/site/api.rs
+++ b/crates/crosspathd/tests/site/api.rs
@@ -10,7 +10,7 @@
 use http::Request;
 use serde_json::{Value, json};
 
-use crate::common::{self, Payment, SOON};
+use crate::common::{self, Payment, WAIT_LIMIT};
 
 struct Case {
     method: &'static str,
@@ -18,7 +18,7 @@
     token: &'static str,
     body: String,
     status: u16,
-    says: &'static str,
+    expected_text: &'static str,
 }
 
 fn case(
@@ -26,23 +26,23 @@
     path: &'static str,
     body: impl ToString,
     status: u16,
-    says: &'static str,
+    expected_text: &'static str,
 ) -> Case {
-    Case { method, path, token: OPERATOR_TOKEN, body: body.to_string(), status, says }
+    Case { method, path, token: OPERATOR_TOKEN, body: body.to_string(), status, expected_text }
 }
 
 fn operator_cases() -> Vec<Case> {
     let pool = json!({ "spec": { "max_unavailable": 1, "max_available": 2 } });
     let typed = json!({ "spec": { "max_unavailable": "one" } });
-    let orphan = json!({ "spec": { "pool": "nowhere", "class": "urgent" } });
-    let stranger = Case { token: "wrong", ..case("GET", "/v1/pools", "", 401, "unauthorized") };
+    let dangling_reference = json!({ "spec": { "pool": "nowhere", "class": "urgent" } });
+    let unauthorized = Case { token: "wrong", ..case("GET", "/v1/pools", "", 401, "unauthorized") };
     vec![
-        stranger,
+        unauthorized,
         case("PUT", "/v1/pools/new", "{", 422, "EOF"),
         case("PUT", "/v1/pools/new", pool, 422, "max_available"),
         case("PUT", "/v1/pools/new", typed, 422, "spec.max_unavailable"),
         case("PUT", "/v1/pools/New", json!({ "spec": { "max_unavailable": 1 } }), 422, "name"),
-        case("PUT", "/v1/services/new", orphan, 409, "missing_reference"),
+        case("PUT", "/v1/services/new", dangling_reference, 409, "missing_reference"),
         case("GET", "/v1/pools/none", "", 404, "not_found"),
         case("GET", "/v1/nothing", "", 404, "not_found"),
         case("GET", "/v1/pools?watch=x", "", 400, "watch"),
@@ -54,28 +54,28 @@
 }
 
 async fn send(site: &Site, case: &Case) -> (u16, String) {
-    let client = Client::new(site.daemons[0].operators, SOON).with_token(case.token);
+    let client = Client::new(site.daemons[0].operators, WAIT_LIMIT).with_token(case.token);
     let request = Request::builder().method(case.method).uri(case.path);
     let answer = client.send(request, Bytes::from(case.body.clone())).await.expect("an answer");
     (answer.head.status.as_u16(), String::from_utf8_lossy(&answer.body).into_owned())
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn operators_are_told_what_is_wrong() {
+async fn invalid_operator_requests_get_specific_errors() {
     let site = common::start(&common::plan(2)).await;
     for case in operator_cases() {
         let (status, body) = send(&site, &case).await;
         let what = format!("{} {} -> {status} {body}", case.method, case.path);
         assert_eq!(status, case.status, "{what}");
-        assert!(body.contains(case.says), "{what}");
+        assert!(body.contains(case.expected_text), "{what}");
         let problem: Value = serde_json::from_str(&body).expect("a problem as JSON");
         assert!(problem["message"].is_string());
     }
-    assert_eq!(Payment::new("pay", false).send(&site, 0).await.word(), "upstream/");
+    assert_eq!(Payment::new("pay", false).send(&site, 0).await.summary(), "upstream/");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn callers_are_told_what_is_wrong() {
+async fn invalid_caller_requests_get_specific_errors() {
     let mut plan = common::plan(2);
     plan.limits = json!({ "body_bytes": 10_000, "body_timeout_ms": 500, "header_timeout_ms": 500 });
     let site = common::start(&plan).await;
@@ -97,7 +97,7 @@
     let big = "x".repeat(20_000);
     let answer = site.send(0, common::TOKEN, Request::post("/pay/x"), &big).await;
     assert_eq!(answer.expect("an answer").head.status, 413);
-    assert_eq!(Payment::new("pay", false).send(&site, 0).await.word(), "upstream/");
+    assert_eq!(Payment::new("pay", false).send(&site, 0).await.summary(), "upstream/");
 }
 
 /// Writes bytes as they are, and gives what comes back until the connection ends.
@@ -116,7 +116,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn malformed_and_slow_requests_end_and_harm_nobody() {
+async fn malformed_and_slow_requests_do_not_affect_others() {
     let mut plan = common::plan(2);
     plan.limits = json!({ "body_timeout_ms": 400, "header_timeout_ms": 400 });
     let site = common::start(&plan).await;
@@ -143,14 +143,14 @@
         let answers = answer.matches("HTTP/1.1 200").count();
         assert!(answers <= 1, "{framing}: {answer}");
     }
-    assert_eq!(Payment::new("pay", false).send(&site, 0).await.word(), "upstream/");
+    assert_eq!(Payment::new("pay", false).send(&site, 0).await.summary(), "upstream/");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn metrics_tell_answers_by_class_and_reason() {
+async fn metrics_count_responses_by_class_and_reason() {
     let site = common::start(&common::plan(2)).await;
     Payment::new("pay", false).send(&site, 0).await;
-    let client = Client::new(site.daemons[0].operators, SOON);
+    let client = Client::new(site.daemons[0].operators, WAIT_LIMIT);
     let answer = client.send(Request::get("/metrics"), Bytes::new()).await.expect("an answer");
     let text = String::from_utf8_lossy(&answer.body).into_owned();
     for line in [
@@ -182,13 +182,13 @@
     let site = common::start(&common::plan(1)).await;
     let call = r#"{"jsonrpc":"2.0","id":1,"method":"state","params":[]}"#;
     for (token, status) in [("wrong", 401), (crosspath_fakes::site::PEER_TOKEN, 200)] {
-        let client = Client::new(site.daemons[0].peers, SOON).with_token(token);
+        let client = Client::new(site.daemons[0].peers, WAIT_LIMIT).with_token(token);
         let request = Request::post("/").header("content-type", "application/json");
         let answer = client.send(request, Bytes::from_static(call.as_bytes())).await;
         let answer = answer.expect("an answer");
         assert_eq!(answer.head.status, status, "{token}");
-        let told = String::from_utf8_lossy(&answer.body).contains("counter");
-        assert_eq!(told, status == 200);
+        let has_state = String::from_utf8_lossy(&answer.body).contains("counter");
+        assert_eq!(has_state, status == 200);
     }
 }
 
@@ -196,7 +196,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn reads_and_writes_are_separate_rights() {
     let site = common::start(&common::plan(1)).await;
-    let reader = Client::new(site.daemons[0].operators, SOON)
+    let reader = Client::new(site.daemons[0].operators, WAIT_LIMIT)
         .with_token(crosspath_fakes::site::READER_TOKEN);
     let body = json!({ "spec": { "max_cores": 1 } }).to_string();
     let put = reader.send(Request::put("/v1/teams/team"), body.into()).await.expect("an answer");
--- a/crates/crosspathd/tests/site/common.rs
+++ b/crates/crosspathd/tests/site/common.rs
@@ -12,7 +12,7 @@
 use uuid::Uuid;
 
 pub(crate) const TOKEN: &str = "shops-demo-token";
-pub(crate) const SOON: Duration = Duration::from_secs(10);
+pub(crate) const WAIT_LIMIT: Duration = Duration::from_secs(10);
 pub(crate) const DAEMONS: usize = 3;
 
 /// Three daemons; a pool of `vms` VMs with an urgent service that may not be repeated, one that
@@ -58,15 +58,15 @@
 pub(crate) async fn start(plan: &Plan) -> Site {
     let site = Site::start(plan).await.expect("the site starts");
     site.declare(0, &plan.resources).await.expect("the resources are accepted");
-    in_force(&site).await;
+    wait_applied(&site).await;
     site
 }
 
 /// Waits until every daemon has applied what the first one has.
-pub(crate) async fn in_force(site: &Site) {
+pub(crate) async fn wait_applied(site: &Site) {
     let revision = applied(site, 0).await;
     for index in 0..site.daemons.len() {
-        site.wait(SOON, "in force", async || applied(site, index).await >= revision)
+        site.wait(WAIT_LIMIT, "in force", async || applied(site, index).await >= revision)
             .await
             .expect("in force");
     }
@@ -98,7 +98,7 @@
 
 /// What a caller was told.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Told {
+pub(crate) struct Reply {
     pub(crate) status: u16,
     pub(crate) outcome: String,
     pub(crate) reason: String,
@@ -107,7 +107,7 @@
     pub(crate) retry_after: bool,
 }
 
-impl Told {
+impl Reply {
     fn read(answer: Result<Response, client::Error>) -> Self {
         let Ok(answer) = answer else {
             let (outcome, reason) = ("nothing".to_owned(), String::new());
@@ -128,7 +128,7 @@
     }
 
     /// Outcome and reason in one word.
-    pub(crate) fn word(&self) -> String {
+    pub(crate) fn summary(&self) -> String {
         format!("{}/{}", self.outcome, self.reason)
     }
 }
@@ -146,15 +146,21 @@
         Self { id: Uuid::now_v7().to_string(), service, keyed }
     }
 
-    pub(crate) async fn send(&self, site: &Site, index: usize) -> Told {
+    pub(crate) async fn send(&self, site: &Site, index: usize) -> Reply {
         self.send_as(site, index, TOKEN, "{}").await
     }
 
-    pub(crate) async fn send_as(&self, site: &Site, index: usize, token: &str, body: &str) -> Told {
+    pub(crate) async fn send_as(
+        &self,
+        site: &Site,
+        index: usize,
+        token: &str,
+        body: &str,
+    ) -> Reply {
         let request = Request::post(format!("/{}/payments", self.service));
         let request = request.header(PAYMENT_ID, &self.id);
         let request = if self.keyed { request.header("payment-key", &self.id) } else { request };
-        Told::read(site.send(index, token, request, body).await)
+        Reply::read(site.send(index, token, request, body).await)
     }
 
     pub(crate) fn runs(&self, site: &Site) -> u32 {
@@ -169,7 +175,7 @@
 
 /// Waits until every daemon owns keys and has a guard, so that the site is settled.
 pub(crate) async fn wait_settled(site: &Site) {
-    site.wait(SOON, "settled", async || {
+    site.wait(WAIT_LIMIT, "settled", async || {
         let status = status(site, 0).await;
         let daemons = status["daemons"].as_array().cloned().unwrap_or_default();
         daemons.len() == site.daemons.len()
@@ -184,7 +190,7 @@
 }
 
 /// The most that any payment was run.
-pub(crate) fn most_runs(site: &Site) -> u32 {
+pub(crate) fn max_runs(site: &Site) -> u32 {
     let runs: BTreeMap<String, u32> = site.fakes.ledger().runs();
     runs.values().copied().max().unwrap_or_default()
 }
--- a/crates/crosspathd/tests/site/config.rs
+++ b/crates/crosspathd/tests/site/config.rs
@@ -4,7 +4,7 @@
 
 use serde_json::json;
 
-use crate::common::{self, SOON};
+use crate::common::{self, WAIT_LIMIT};
 
 async fn max_cores(site: &crosspath_fakes::site::Site, index: usize) -> Option<u64> {
     common::get(site, index, "/v1/teams/team").await["spec"]["max_cores"].as_u64()
@@ -44,7 +44,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn of_two_operators_one_wins_and_the_other_is_told() {
+async fn only_one_of_two_concurrent_conditional_changes_is_accepted() {
     let site = common::start(&common::plan(2)).await;
     let before = common::get(&site, 0, "/v1/teams/team").await["revision"].as_u64();
     let change = |index: usize, cores: u64| {
@@ -62,14 +62,14 @@
     assert_eq!(both, [200, 412]);
     let winner = if a == 200 { 11 } else { 22 };
     for index in 0..common::DAEMONS {
-        site.wait(SOON, "in force", async || max_cores(&site, index).await == Some(winner))
+        site.wait(WAIT_LIMIT, "in force", async || max_cores(&site, index).await == Some(winner))
             .await
             .expect("the winner's everywhere");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_watch_tells_every_change_once_it_is_folded() {
+async fn watch_reports_applied_changes() {
     use http_body_util::BodyExt as _;
     let site = common::start(&common::plan(1)).await;
     let from = common::applied(&site, 0).await;
@@ -85,7 +85,7 @@
     assert_eq!(answer.status(), 200);
     let mut body = answer.into_body();
     common::put(&site, 0, "/v1/teams/new", json!({ "max_cores": 3 })).await.expect("accepted");
-    let frame = tokio::time::timeout(SOON, body.frame()).await.expect("in time");
+    let frame = tokio::time::timeout(WAIT_LIMIT, body.frame()).await.expect("in time");
     let line = frame.expect("a frame").expect("whole").into_data().expect("data");
     let line = String::from_utf8(line.to_vec()).expect("text");
     assert!(line.contains("\"new\"") && line.contains("changed"), "{line}");
--- a/crates/crosspathd/tests/site/entry.rs
+++ b/crates/crosspathd/tests/site/entry.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-use crate::common::{self, Payment, SOON, Told};
+use crate::common::{self, Payment, Reply, WAIT_LIMIT};
 use crosspath_fakes::site::Site;
 
 const SERVICE_MS: u64 = 500;
-const MIDDLE: Duration = Duration::from_millis(150);
+const EVENT_DELAY: Duration = Duration::from_millis(150);
 
 async fn start() -> Site {
     let mut plan = common::plan(4);
@@ -17,76 +17,77 @@
 }
 
 /// Sends payments through one daemon, and does something in the middle.
-async fn send_and(
+async fn send_during(
     site: &Site,
     through: usize,
     payments: &[Payment],
-    then: impl Future<Output = ()>,
-) -> Vec<Told> {
+    event: impl Future<Output = ()>,
+) -> Vec<Reply> {
     let sends = payments.iter().map(|payment| payment.send(site, through));
     let middle = async {
-        tokio::time::sleep(MIDDLE).await;
-        then.await;
+        tokio::time::sleep(EVENT_DELAY).await;
+        event.await;
     };
     futures::future::join(futures::future::join_all(sends), middle).await.0
 }
 
 /// Sends again what has no answer yet, and checks that every answer is true and no payment doubles.
-async fn check_resent(site: &Site, through: usize, payments: &[Payment]) -> Vec<Told> {
-    let mut told = Vec::new();
+async fn check_resent(site: &Site, through: usize, payments: &[Payment]) -> Vec<Reply> {
+    let mut replies = Vec::new();
     for payment in payments {
         let again = payment.send(site, through).await;
         let runs = payment.runs(site);
         assert!(runs <= 1, "{} ran {runs} times", payment.id);
         assert!(again.outcome != "not_run" || runs == 0, "{again:?}");
-        told.push(again);
+        replies.push(again);
     }
-    told
+    replies
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_vm_killed_in_mid_request_doubles_nothing() {
+async fn killed_entry_vm_runs_no_payment_twice() {
     let mut site = start().await;
     let payments = common::payments(8);
-    let id = site.daemons[0].process();
+    let id = site.daemons[0].pid();
     let kill = async {
         let pid = nix::unistd::Pid::from_raw(i32::try_from(id.expect("runs")).expect("small"));
         let _ = nix::sys::signal::kill(pid, nix::sys::signal::Signal::SIGKILL);
     };
-    let told = send_and(&site, 0, &payments, kill).await;
-    assert!(told.iter().all(|told| told.outcome == "nothing"), "{told:?}");
+    let replies = send_during(&site, 0, &payments, kill).await;
+    assert!(replies.iter().all(|reply| reply.outcome == "nothing"), "{replies:?}");
     site.daemons[0].kill();
     check_resent(&site, 1, &payments).await;
     // When the request's own time is over, its owner says so.
     tokio::time::sleep(Duration::from_millis(2_500)).await;
     let later = check_resent(&site, 2, &payments).await;
-    let honest = |told: &Told| {
-        matches!(told.word().as_str(), "unknown/outcome_lost" | "unknown/key_before_owner")
+    let is_permitted = |reply: &Reply| {
+        matches!(reply.summary().as_str(), "unknown/outcome_lost" | "unknown/key_before_owner")
     };
-    assert!(later.iter().all(honest), "{later:?}");
+    assert!(later.iter().all(is_permitted), "{later:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_owner_killed_in_mid_request_doubles_nothing() {
+async fn owner_killed_during_requests_runs_no_payment_twice() {
     let mut site = start().await;
     let payments = common::payments(8);
-    let id = site.daemons[2].process();
+    let id = site.daemons[2].pid();
     let kill = async {
         let pid = nix::unistd::Pid::from_raw(i32::try_from(id.expect("runs")).expect("small"));
         let _ = nix::sys::signal::kill(pid, nix::sys::signal::Signal::SIGKILL);
     };
-    let told = send_and(&site, 0, &payments, kill).await;
-    assert!(told.iter().all(|told| told.word() == "upstream/"), "{told:?}");
+    let replies = send_during(&site, 0, &payments, kill).await;
+    assert!(replies.iter().all(|reply| reply.summary() == "upstream/"), "{replies:?}");
     site.daemons[2].kill();
     tokio::time::sleep(Duration::from_secs(2)).await;
     let later = check_resent(&site, 1, &payments).await;
-    let honest =
-        |told: &Told| matches!(told.word().as_str(), "recorded/" | "unknown/key_before_owner");
-    assert!(later.iter().all(honest), "{later:?}");
+    let is_permitted = |reply: &Reply| {
+        matches!(reply.summary().as_str(), "recorded/" | "unknown/key_before_owner")
+    };
+    assert!(later.iter().all(is_permitted), "{later:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_vm_frozen_in_mid_request_doubles_nothing() {
+async fn frozen_entry_vm_runs_no_payment_twice() {
     let site = start().await;
     let payments = common::payments(8);
     let freeze = async {
@@ -95,30 +96,30 @@
         check_resent(&site, 0, &payments).await;
         site.daemons[1].thaw();
     };
-    send_and(&site, 1, &payments, freeze).await;
+    send_during(&site, 1, &payments, freeze).await;
     site.wait_ready(1).await.expect("a member again");
     check_resent(&site, 1, &payments).await;
     check_resent(&site, 2, &payments).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_that_goes_away_finds_its_outcome_elsewhere() {
+async fn disconnected_caller_gets_its_outcome_from_another_daemon() {
     let site = start().await;
     let payments = common::payments(6);
     for payment in &payments {
-        let gone = tokio::time::timeout(MIDDLE, payment.send(&site, 0)).await;
-        assert!(gone.is_err());
+        let timed_out = tokio::time::timeout(EVENT_DELAY, payment.send(&site, 0)).await;
+        assert!(timed_out.is_err());
     }
     tokio::time::sleep(Duration::from_millis(SERVICE_MS)).await;
-    for told in check_resent(&site, 1, &payments).await {
-        assert_eq!(told.word(), "recorded/");
+    for reply in check_resent(&site, 1, &payments).await {
+        assert_eq!(reply.summary(), "recorded/");
     }
     // Without a key the request ends with its caller, and the slot is free.
     let unkeyed = Payment::new("pay", false);
-    let gone = tokio::time::timeout(MIDDLE, unkeyed.send(&site, 0)).await;
-    assert!(gone.is_err());
-    site.wait(SOON, "slot free", async || {
-        let metrics = crosspath_http::client::Client::new(site.daemons[0].operators, SOON);
+    let timed_out = tokio::time::timeout(EVENT_DELAY, unkeyed.send(&site, 0)).await;
+    assert!(timed_out.is_err());
+    site.wait(WAIT_LIMIT, "slot free", async || {
+        let metrics = crosspath_http::client::Client::new(site.daemons[0].operators, WAIT_LIMIT);
         let answer = metrics.send(http::Request::get("/metrics"), bytes::Bytes::new()).await;
         answer.is_ok_and(|answer| {
             let text = String::from_utf8_lossy(&answer.body).into_owned();
@@ -131,11 +132,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_handover_whose_receiver_dies_doubles_nothing() {
+async fn handover_to_a_daemon_that_dies_runs_no_payment_twice() {
     let mut site = start().await;
     let payments = common::payments(12);
-    let told = send_and(&site, 1, &payments, async {}).await;
-    assert!(told.iter().all(|told| told.word() == "upstream/"), "{told:?}");
+    let replies = send_during(&site, 1, &payments, async {}).await;
+    assert!(replies.iter().all(|reply| reply.summary() == "upstream/"), "{replies:?}");
     // The third daemon's guard is the first: it takes the claims and dies.
     site.daemons[2].terminate();
     tokio::time::sleep(Duration::from_millis(350)).await;
--- a/crates/crosspathd/tests/site/cut.rs
+++ b/crates/crosspathd/tests/site/isolation.rs
@@ -5,11 +5,11 @@
 use crosspath_fakes::site::Site;
 use serde_json::json;
 
-use crate::common::{self, Payment, SOON};
+use crate::common::{self, Payment, WAIT_LIMIT};
 
 async fn start() -> Site {
     let mut plan = common::plan(6);
-    plan.cuttable = true;
+    plan.relayed_links = true;
     plan.fakes.reboot_ms = 300;
     plan.fakes.service_ms.insert("pay".to_owned(), 60);
     let site = common::start(&plan).await;
@@ -18,7 +18,7 @@
 }
 
 async fn wait_evicted(site: &Site, through: usize, daemon: &str) {
-    site.wait(SOON, "evicted", async || {
+    site.wait(WAIT_LIMIT, "evicted", async || {
         let status = common::status(site, through).await;
         let daemons = status["daemons"].as_array().cloned().unwrap_or_default();
         daemons.iter().any(|seen| seen["name"] == daemon && seen["member"] == false)
@@ -30,35 +30,35 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_owner_that_is_cut_off_grants_no_key() {
+async fn isolated_owner_grants_no_key() {
     let site = start().await;
-    site.set_cut_off(1, true);
+    site.set_isolated(1, true);
     wait_evicted(&site, 0, "entry-2").await;
     let payments = common::payments(80);
     for payment in &payments {
-        assert_eq!(payment.send(&site, 0).await.word(), "upstream/");
+        assert_eq!(payment.send(&site, 0).await.summary(), "upstream/");
     }
     // The cut-off daemon still believes that it owns a third of them.
     for payment in &payments {
-        let told = payment.send(&site, 1).await;
-        assert_eq!(told.word(), "unknown/key_not_asked");
-        assert!(told.retry_after);
+        let reply = payment.send(&site, 1).await;
+        assert_eq!(reply.summary(), "unknown/key_not_asked");
+        assert!(reply.retry_after);
     }
-    assert_eq!(common::most_runs(&site), 1);
-    site.set_cut_off(1, false);
+    assert_eq!(common::max_runs(&site), 1);
+    site.set_isolated(1, false);
     site.wait_ready(1).await.expect("a member again");
     // While partitions are handed to it, their keys are not asked for.
     common::wait_settled(&site).await;
     for payment in &payments {
-        assert_eq!(payment.send(&site, 1).await.word(), "recorded/");
+        assert_eq!(payment.send(&site, 1).await.summary(), "recorded/");
     }
-    assert_eq!(common::most_runs(&site), 1);
+    assert_eq!(common::max_runs(&site), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_wave_goes_on_and_cuts_nothing_off_while_a_daemon_is_cut_off() {
+async fn wave_completes_while_a_daemon_is_isolated() {
     let site = start().await;
-    site.set_cut_off(2, true);
+    site.set_isolated(2, true);
     wait_evicted(&site, 0, "entry-3").await;
     common::put(&site, 0, "/v1/waves/w", json!({ "pools": ["counter"] })).await.expect("accepted");
     let mut answered = 0;
@@ -67,12 +67,12 @@
         // and reboot only when they run nothing.
         let payments: Vec<_> = (0..5).map(|_| Payment::new("pay", false)).collect();
         let sends = futures::future::join_all(payments.iter().map(|p| p.send(&site, 2))).await;
-        for (payment, told) in payments.iter().zip(sends) {
-            answered += u32::from(told.outcome == "upstream");
-            assert!(told.outcome != "not_run" || payment.runs(&site) == 0);
+        for (payment, reply) in payments.iter().zip(sends) {
+            answered += u32::from(reply.outcome == "upstream");
+            assert!(reply.outcome != "not_run" || payment.runs(&site) == 0);
         }
     }
-    site.wait(SOON, "done", async || {
+    site.wait(WAIT_LIMIT, "done", async || {
         common::get(&site, 0, "/v1/waves/w").await["status"]["phase"]["phase"] == "done"
     })
     .await
@@ -80,10 +80,10 @@
     let cut: u32 = site.fakes.audits().iter().map(|vm| vm.cut_off).sum();
     assert_eq!(cut, 0);
     assert!(answered > 380, "{answered} of 400 were answered");
-    assert!(common::most_runs(&site) <= 1);
-    site.set_cut_off(2, false);
+    assert!(common::max_runs(&site) <= 1);
+    site.set_isolated(2, false);
     site.wait_ready(2).await.expect("a member again");
-    site.wait(SOON, "caught up", async || {
+    site.wait(WAIT_LIMIT, "caught up", async || {
         common::applied(&site, 2).await >= common::applied(&site, 0).await
     })
     .await
@@ -93,16 +93,16 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_daemon_without_the_log_keeps_its_lease_from_its_guard() {
     let site = start().await;
-    site.set_cut_from_platform(1, true);
+    site.set_isolated_from_platform(1, true);
     tokio::time::sleep(Duration::from_millis(3_500)).await;
     assert_eq!(common::status(&site, 1).await["lease_valid"], true);
     for payment in common::payments(40) {
-        assert_eq!(payment.send(&site, 1).await.word(), "upstream/");
+        assert_eq!(payment.send(&site, 1).await.summary(), "upstream/");
     }
     let refused = common::put(&site, 1, "/v1/teams/late", json!({ "max_cores": 1 })).await;
     assert!(refused.is_err());
-    site.set_cut_from_platform(1, false);
-    site.wait(SOON, "accepted", async || {
+    site.set_isolated_from_platform(1, false);
+    site.wait(WAIT_LIMIT, "accepted", async || {
         common::put(&site, 1, "/v1/teams/late", json!({ "max_cores": 1 })).await.is_ok()
     })
     .await
@@ -114,13 +114,13 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_daemon_without_the_log_follows_its_peers() {
     let site = start().await;
-    site.set_cut_from_platform(1, true);
+    site.set_isolated_from_platform(1, true);
     common::put(&site, 0, "/v1/waves/w", json!({ "pools": ["counter"] })).await.expect("accepted");
     let mut rounds = 0;
     while common::get(&site, 0, "/v1/waves/w").await["status"]["phase"]["phase"] != "done" {
         let payments: Vec<_> = (0..4).map(|_| Payment::new("pay", false)).collect();
         let sends = futures::future::join_all(payments.iter().map(|p| p.send(&site, 1))).await;
-        assert!(sends.iter().all(|told| told.word() == "upstream/"), "{sends:?}");
+        assert!(sends.iter().all(|reply| reply.summary() == "upstream/"), "{sends:?}");
         rounds += 1;
         assert!(rounds < 400, "the wave does not end");
     }
--- a/crates/crosspathd/tests/site/jobs.rs
+++ b/crates/crosspathd/tests/site/jobs.rs
@@ -6,17 +6,17 @@
 use crosspath_state::resource::Kind;
 use serde_json::json;
 
-use crate::common::{self, SOON};
+use crate::common::{self, WAIT_LIMIT};
 
 /// Letter 1: urgent work starts within 1.9 s.
 const URGENT_START: Duration = Duration::from_millis(1_900);
 
-async fn place(site: &Site, index: usize, job: &str) -> Option<String> {
+async fn assigned_vm(site: &Site, index: usize, job: &str) -> Option<String> {
     let job = common::get(site, index, &format!("/v1/jobs/{job}")).await;
     job["status"]["phase"]["vm"].as_str().map(ToOwned::to_owned)
 }
 
-fn starts(site: &Site) -> u32 {
+fn total_starts(site: &Site) -> u32 {
     site.fakes.audits().iter().map(|vm| vm.job_starts).sum()
 }
 
@@ -24,16 +24,18 @@
 async fn a_job_of_a_failed_vm_starts_elsewhere() {
     let plan = common::plan(3).with(Kind::Job, "fixed", common::job(4, false));
     let site = common::start(&plan).await;
-    site.wait(SOON, "started", async || starts(&site) == 1).await.expect("started");
-    let first = place(&site, 0, "fixed").await.expect("placed");
+    site.wait(WAIT_LIMIT, "started", async || total_starts(&site) == 1).await.expect("started");
+    let first = assigned_vm(&site, 0, "fixed").await.expect("placed");
     site.fakes.set_up(&first.parse().expect("a name"), false);
-    site.wait(SOON, "started again", async || starts(&site) == 2).await.expect("started again");
-    let second = place(&site, 0, "fixed").await.expect("placed");
+    site.wait(WAIT_LIMIT, "started again", async || total_starts(&site) == 2)
+        .await
+        .expect("started again");
+    let second = assigned_vm(&site, 0, "fixed").await.expect("placed");
     assert_ne!(first, second);
     // The failed VM comes back: it gets no second copy of the job.
     site.fakes.set_up(&first.parse().expect("a name"), true);
     tokio::time::sleep(Duration::from_secs(3)).await;
-    assert_eq!((starts(&site), place(&site, 0, "fixed").await), (2, Some(second)));
+    assert_eq!((total_starts(&site), assigned_vm(&site, 0, "fixed").await), (2, Some(second)));
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -43,21 +45,25 @@
     spec["class"] = json!("urgent");
     let declared = Instant::now();
     common::put(&site, 1, "/v1/jobs/urgent", spec).await.expect("accepted");
-    site.wait(URGENT_START, "started", async || starts(&site) == 1).await.expect("in time");
+    site.wait(URGENT_START, "started", async || total_starts(&site) == 1).await.expect("in time");
     println!("urgent job started after {:?}", declared.elapsed());
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_job_that_can_never_run_says_why() {
+async fn job_that_fits_no_vm_is_explained() {
     let plan = common::plan(2).with(Kind::Job, "huge", common::job(64, false));
     let site = common::start(&plan).await;
-    let why = common::get(&site, 2, "/v1/explain/jobs/huge").await;
-    assert_eq!(why["obstacles"][0], json!({ "reason": "never_fits", "what": "cores" }), "{why}");
+    let explanation = common::get(&site, 2, "/v1/explain/jobs/huge").await;
+    assert_eq!(
+        explanation["obstacles"][0],
+        json!({ "reason": "never_fits", "what": "cores" }),
+        "{explanation}"
+    );
 }
 
 /// A change of the VM's declaration in mid-reboot reboots it no second time.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_vm_declared_anew_in_mid_wave_reboots_once() {
+async fn vm_updated_during_a_wave_reboots_once() {
     let mut plan = common::plan(3);
     plan.fakes.reboot_ms = 600;
     let site = common::start(&plan).await;
@@ -84,7 +90,7 @@
     let deleted = operator.call::<serde_json::Value>(method, "/v1/waves/w", None::<&()>).await;
     deleted.expect("deleted");
     common::put(&site, 0, "/v1/waves/w", json!({ "pools": ["counter"] })).await.expect("accepted");
-    site.wait(SOON, "done again", done).await.expect("done again");
+    site.wait(WAIT_LIMIT, "done again", done).await.expect("done again");
     let reboots: Vec<u32> = site.fakes.audits().iter().map(|vm| vm.reboots).collect();
     assert_eq!(reboots, [2, 2, 2]);
 }
--- a/crates/crosspathd/tests/site/log_faults.rs
+++ b/crates/crosspathd/tests/site/log_faults.rs
@@ -6,7 +6,7 @@
 use crosspath_http::client::{Error, Method};
 use serde_json::{Value, json};
 
-use crate::common::{self, Payment, SOON};
+use crate::common::{self, Payment, WAIT_LIMIT};
 
 fn down() -> LogFault {
     LogFault { down: true, ..LogFault::default() }
@@ -21,10 +21,10 @@
     assert_eq!(status, 503, "{body}");
     assert!(body.contains("not_accepted"), "{body}");
     for index in 0..common::DAEMONS {
-        assert_eq!(Payment::new("pay", false).send(&site, index).await.word(), "upstream/");
+        assert_eq!(Payment::new("pay", false).send(&site, index).await.summary(), "upstream/");
     }
     site.fakes.set_log_fault(LogFault::default());
-    site.wait(SOON, "accepted again", async || {
+    site.wait(WAIT_LIMIT, "accepted again", async || {
         common::put(&site, 1, "/v1/teams/late", json!({ "max_cores": 1 })).await.is_ok()
     })
     .await
@@ -35,7 +35,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lost_answer_is_settled_by_reading() {
+async fn lost_append_answer_is_resolved_by_reading_the_log() {
     let site = common::start(&common::plan(2)).await;
     for round in 0..3 {
         let before = common::applied(&site, 0).await;
@@ -51,7 +51,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_unknown_fate_can_be_asked_after() {
+async fn unknown_outcome_of_a_change_can_be_queried() {
     let site = common::start(&common::plan(2)).await;
     site.fakes.set_log_fault(LogFault { slow_ms: 6_000, ..LogFault::default() });
     let answer = common::put(&site, 0, "/v1/teams/slow", json!({ "max_cores": 7 })).await;
@@ -75,9 +75,9 @@
     site.fakes.set_log_fault(down());
     site.daemons[2].kill();
     site.restart(2).expect("started");
-    site.wait(SOON, "ready", async || site.daemons[2].is_ready().await).await.expect("ready");
+    site.wait(WAIT_LIMIT, "ready", async || site.daemons[2].is_ready().await).await.expect("ready");
     assert!(common::applied(&site, 2).await >= before);
-    assert_eq!(Payment::new("pay", false).send(&site, 2).await.word(), "upstream/");
+    assert_eq!(Payment::new("pay", false).send(&site, 2).await.summary(), "upstream/");
     site.fakes.set_log_fault(LogFault::default());
     site.wait_ready(2).await.expect("a member again");
 }
@@ -95,7 +95,7 @@
     site.daemons[2].kill();
     site.restart(2).expect("started");
     site.wait_ready(2).await.expect("ready again");
-    common::in_force(&site).await;
+    common::wait_applied(&site).await;
     let teams = common::get(&site, 0, "/v1/teams").await;
     assert_eq!(common::get(&site, 2, "/v1/teams").await["items"], teams["items"]);
     assert!(site.log_of(2).contains("event=started_from_snapshot"));
@@ -107,11 +107,11 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_record_that_cannot_be_read_stops_every_decision() {
     let site = common::start(&common::plan(2)).await;
-    let log = crosspath_http::client::Client::new(site.fakes.platform, SOON);
+    let log = crosspath_http::client::Client::new(site.fakes.platform, WAIT_LIMIT);
     let newer = json!({ "data": "{\"version\":99,\"entry\":\"teleport\"}" });
     log.call::<Value>(Method::POST, "/log", Some(&newer)).await.expect("appended");
     for index in 0..common::DAEMONS {
-        site.wait(SOON, "halted", async || {
+        site.wait(WAIT_LIMIT, "halted", async || {
             common::status(&site, index).await["halted"].is_string()
         })
         .await
--- a/crates/crosspathd/tests/site/main.rs
+++ b/crates/crosspathd/tests/site/main.rs
@@ -3,8 +3,8 @@
 mod api;
 mod common;
 mod config;
-mod cut;
 mod entry;
+mod isolation;
 mod jobs;
 mod log_faults;
 mod owner;
--- a/crates/crosspathd/tests/site/owner.rs
+++ b/crates/crosspathd/tests/site/owner.rs
@@ -5,11 +5,11 @@
 
 use crosspath_fakes::site::Site;
 
-use crate::common::{self, Payment, SOON};
+use crate::common::{self, Payment, WAIT_LIMIT};
 
 /// Waits until a fresh key of every partition is likely to be granted through `index`.
 async fn wait_served(site: &Site, index: usize) {
-    site.wait(SOON, "keys served", async || {
+    site.wait(WAIT_LIMIT, "keys served", async || {
         for payment in common::payments(30) {
             if payment.send(site, index).await.outcome != "upstream" {
                 return false;
@@ -22,11 +22,11 @@
 }
 
 async fn resend(site: &Site, index: usize, payments: &[Payment]) -> Vec<String> {
-    let mut words = Vec::new();
+    let mut summaries = Vec::new();
     for payment in payments {
-        words.push(payment.send(site, index).await.word());
+        summaries.push(payment.send(site, index).await.summary());
     }
-    words
+    summaries
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -35,22 +35,23 @@
     common::wait_settled(&site).await;
     let before = common::payments(60);
     for payment in &before {
-        assert_eq!(payment.send(&site, 0).await.word(), "upstream/");
+        assert_eq!(payment.send(&site, 0).await.summary(), "upstream/");
     }
     site.daemons[2].kill();
     let at_once = resend(&site, 0, &before).await;
-    assert!(at_once.iter().any(|word| word == "unknown/key_not_asked"), "{at_once:?}");
+    assert!(at_once.iter().any(|summary| summary == "unknown/key_not_asked"), "{at_once:?}");
     wait_served(&site, 0).await;
     let later = resend(&site, 1, &before).await;
-    let honest = |word: &String| word == "recorded/" || word == "unknown/key_before_owner";
-    assert!(later.iter().all(honest), "{later:?}");
-    assert!(later.iter().any(|word| word == "unknown/key_before_owner"), "{later:?}");
-    assert_eq!(common::most_runs(&site), 1);
+    let is_permitted =
+        |summary: &String| summary == "recorded/" || summary == "unknown/key_before_owner";
+    assert!(later.iter().all(is_permitted), "{later:?}");
+    assert!(later.iter().any(|summary| summary == "unknown/key_before_owner"), "{later:?}");
+    assert_eq!(common::max_runs(&site), 1);
     site.restart(2).expect("started again");
     site.wait_ready(2).await.expect("ready again");
     wait_served(&site, 2).await;
     resend(&site, 2, &before).await;
-    assert_eq!(common::most_runs(&site), 1);
+    assert_eq!(common::max_runs(&site), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -65,11 +66,11 @@
     let elsewhere = resend(&site, 0, &payments).await;
     site.daemons[1].thaw();
     let woken = resend(&site, 1, &payments).await;
-    assert_eq!(common::most_runs(&site), 1, "{elsewhere:?} {woken:?}");
+    assert_eq!(common::max_runs(&site), 1, "{elsewhere:?} {woken:?}");
     site.wait_ready(1).await.expect("a member again");
     wait_served(&site, 1).await;
     resend(&site, 1, &payments).await;
-    assert_eq!(common::most_runs(&site), 1);
+    assert_eq!(common::max_runs(&site), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -78,7 +79,7 @@
     common::wait_settled(&site).await;
     let before = common::payments(60);
     for payment in &before {
-        assert_eq!(payment.send(&site, 0).await.word(), "upstream/");
+        assert_eq!(payment.send(&site, 0).await.summary(), "upstream/");
     }
     site.daemons[2].terminate();
     for _ in 0..200 {
@@ -89,31 +90,34 @@
     }
     assert!(site.daemons[2].has_ended());
     let after = resend(&site, 1, &before).await;
-    assert!(after.iter().all(|word| word == "recorded/"), "{after:?}");
-    assert_eq!(common::most_runs(&site), 1);
+    assert!(after.iter().all(|summary| summary == "recorded/"), "{after:?}");
+    assert_eq!(common::max_runs(&site), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_replaced_owner_knows_that_it_knows_nothing() {
+async fn restarted_owner_reports_older_keys_as_unknown() {
     let mut site = common::start(&common::plan(3)).await;
     common::wait_settled(&site).await;
     let before = common::payments(60);
     for payment in &before {
-        assert_eq!(payment.send(&site, 0).await.word(), "upstream/");
+        assert_eq!(payment.send(&site, 0).await.summary(), "upstream/");
     }
     site.daemons[1].kill();
     site.restart(1).expect("started again");
     site.wait_ready(1).await.expect("ready again");
     let after = resend(&site, 1, &before).await;
-    let honest = |word: &String| {
-        matches!(word.as_str(), "recorded/" | "unknown/key_before_owner" | "unknown/key_not_asked")
+    let is_permitted = |summary: &String| {
+        matches!(
+            summary.as_str(),
+            "recorded/" | "unknown/key_before_owner" | "unknown/key_not_asked"
+        )
     };
-    assert!(after.iter().all(honest), "{after:?}");
-    assert_eq!(common::most_runs(&site), 1);
+    assert!(after.iter().all(is_permitted), "{after:?}");
+    assert_eq!(common::max_runs(&site), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn keys_are_served_while_the_log_is_away() {
+async fn keys_are_served_during_a_log_outage() {
     let site = common::start(&common::plan(3)).await;
     common::wait_settled(&site).await;
     let down = crosspath_fakes::fault::LogFault { down: true, ..Default::default() };
@@ -121,12 +125,12 @@
     // Longer than the lease and the tenure.
     tokio::time::sleep(Duration::from_millis(3_500)).await;
     for payment in common::payments(40) {
-        assert_eq!(payment.send(&site, 0).await.word(), "upstream/");
+        assert_eq!(payment.send(&site, 0).await.summary(), "upstream/");
     }
     // A short stop of one daemon ends no lease for good.
     site.daemons[1].freeze();
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     site.daemons[1].thaw();
     wait_served(&site, 2).await;
-    assert_eq!(common::most_runs(&site), 1);
+    assert_eq!(common::max_runs(&site), 1);
 }
--- a/crates/crosspathd/tests/site/payments.rs
+++ b/crates/crosspathd/tests/site/payments.rs
@@ -67,7 +67,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn every_fault_of_the_upstream_has_an_honest_answer() {
+async fn upstream_faults_are_reported_correctly() {
     let site = common::start(&common::plan(3)).await;
     common::wait_settled(&site).await;
     let vms: Vec<_> = site.fakes.vms.keys().cloned().collect();
@@ -76,18 +76,23 @@
             site.fakes.set_vm_fault(vm, case.set);
             site.fakes.set_up(vm, !case.down);
         }
-        for (keyed, (word, runs)) in [(false, case.unkeyed), (true, case.keyed)] {
+        for (keyed, (summary, runs)) in [(false, case.unkeyed), (true, case.keyed)] {
             let payment = Payment::new("pay", keyed);
-            let told = payment.send(&site, 0).await;
+            let reply = payment.send(&site, 0).await;
             println!(
                 "{:<22} keyed={keyed:<5} {:<26} runs={}",
                 case.fault,
-                told.word(),
+                reply.summary(),
                 payment.runs(&site)
             );
-            assert_eq!((told.word().as_str(), payment.runs(&site)), (word, runs), "{}", case.fault);
-            if told.outcome == "not_run" {
-                assert!(told.retry_after, "{}: no time to come back", case.fault);
+            assert_eq!(
+                (reply.summary().as_str(), payment.runs(&site)),
+                (summary, runs),
+                "{}",
+                case.fault
+            );
+            if reply.outcome == "not_run" {
+                assert!(reply.retry_after, "{}: no time to come back", case.fault);
             }
             // Sent again through another daemon, it is not run again, whatever happened.
             if keyed && runs > 0 {
@@ -106,7 +111,7 @@
         // Until VMs that were taken out as outliers are back.
         tokio::time::sleep(Duration::from_millis(1_200)).await;
     }
-    assert!(common::most_runs(&site) <= 1);
+    assert!(common::max_runs(&site) <= 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -115,13 +120,13 @@
     let broken = site.fakes.vms.keys().next().cloned().expect("a VM");
     site.fakes.set_vm_fault(&broken, VmFault { break_before: true, ..VmFault::default() });
     for _ in 0..20 {
-        let told = Payment::new("ask", false).send(&site, 0).await;
-        assert_eq!(told.word(), "upstream/");
+        let reply = Payment::new("ask", false).send(&site, 0).await;
+        assert_eq!(reply.summary(), "upstream/");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_late_answer_meets_no_other_request() {
+async fn late_response_is_not_matched_to_another_request() {
     let site = common::start(&common::plan(2)).await;
     let vms: Vec<_> = site.fakes.vms.keys().cloned().collect();
     for vm in &vms {
@@ -129,8 +134,8 @@
     }
     let late: Vec<_> = (0..4).map(|_| Payment::new("pay", false)).collect();
     let sent = late.iter().map(|payment| payment.send(&site, 0));
-    for told in futures::future::join_all(sent).await {
-        assert_eq!(told.word(), "unknown/upstream_late");
+    for reply in futures::future::join_all(sent).await {
+        assert_eq!(reply.summary(), "unknown/upstream_late");
     }
     for vm in &vms {
         site.fakes.set_vm_fault(vm, VmFault::default());
@@ -139,9 +144,9 @@
     let started = Instant::now();
     while started.elapsed() < Duration::from_secs(1) {
         let payment = Payment::new("pay", false);
-        let told = payment.send(&site, 0).await;
-        if told.outcome == "upstream" {
-            assert_eq!(told.receipt.as_deref(), Some(payment.id.as_str()));
+        let reply = payment.send(&site, 0).await;
+        if reply.outcome == "upstream" {
+            assert_eq!(reply.receipt.as_deref(), Some(payment.id.as_str()));
         }
     }
 }
@@ -151,10 +156,10 @@
     let site = common::start(&common::plan(2)).await;
     common::wait_settled(&site).await;
     let payment = Payment::new("pay", true);
-    assert_eq!(payment.send(&site, 0).await.word(), "upstream/");
+    assert_eq!(payment.send(&site, 0).await.summary(), "upstream/");
     for index in 0..common::DAEMONS {
         let again = payment.send(&site, index).await;
-        assert_eq!(again.word(), "recorded/");
+        assert_eq!(again.summary(), "recorded/");
         assert_eq!(again.receipt.as_deref(), Some(payment.id.as_str()));
     }
     let other_body = payment.send_as(&site, 1, common::TOKEN, "{\"amount\":1}").await;
@@ -181,9 +186,9 @@
     for _ in 0..20 {
         let payment = Payment::new("pay", true);
         let sends = (0..common::DAEMONS).map(|index| payment.send(&site, index));
-        let told = futures::future::join_all(sends).await;
-        let answered = told.iter().filter(|told| told.word() == "upstream/").count();
-        assert_eq!(answered, 1, "{told:?}");
+        let replies = futures::future::join_all(sends).await;
+        let answered = replies.iter().filter(|reply| reply.summary() == "upstream/").count();
+        assert_eq!(answered, 1, "{replies:?}");
         assert_eq!(payment.runs(&site), 1);
     }
 }
--- a/crates/crosspathd/tests/site/stop.rs
+++ b/crates/crosspathd/tests/site/stop.rs
@@ -18,8 +18,8 @@
             tokio::time::sleep(Duration::from_millis(150)).await;
             site.daemons[1].terminate();
         };
-        let (told, ()) = futures::future::join(sends, stop).await;
-        assert!(told.iter().all(|told| told.word() == "upstream/"), "{told:?}");
+        let (replies, ()) = futures::future::join(sends, stop).await;
+        assert!(replies.iter().all(|reply| reply.summary() == "upstream/"), "{replies:?}");
     }
     for _ in 0..200 {
         if site.daemons[1].has_ended() {
@@ -31,7 +31,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stopping_daemon_says_so_before_it_stops_listening() {
+async fn stopping_daemon_becomes_unready_before_it_stops_listening() {
     let site = common::start(&common::plan(2)).await;
     assert!(site.daemons[0].is_ready().await);
     site.daemons[0].terminate();
@@ -45,7 +45,7 @@
     }
     assert!(unready.load(Ordering::Relaxed));
     // The balancer has not noticed yet: its requests are still served.
-    assert_eq!(Payment::new("pay", false).send(&site, 0).await.word(), "upstream/");
+    assert_eq!(Payment::new("pay", false).send(&site, 0).await.summary(), "upstream/");
 }
 
 /// Every live daemon has stopped sending before the VM itself refuses, and what is in flight there
@@ -63,8 +63,8 @@
         let payments: Vec<_> = (0..9).map(|_| Payment::new("pay", false)).collect();
         let sends = payments.iter().enumerate();
         let sends = sends.map(|(place, payment)| payment.send(&site, place % common::DAEMONS));
-        for told in futures::future::join_all(sends).await {
-            assert_eq!(told.word(), "upstream/");
+        for reply in futures::future::join_all(sends).await {
+            assert_eq!(reply.summary(), "upstream/");
         }
         rounds += 1;
         let wave = common::get(&site, 0, "/v1/waves/w").await;
@@ -79,7 +79,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_second_signal_ends_at_once() {
+async fn second_signal_stops_immediately() {
     let mut plan = common::plan(1);
     plan.timing["stop_wait_ms"] = serde_json::json!(20_000);
     let mut site = common::start(&plan).await;
--- a/crates/crosspathd/tests/site/wave.rs
+++ b/crates/crosspathd/tests/site/wave.rs
@@ -7,9 +7,9 @@
 use crosspath_state::resource::Kind;
 use serde_json::{Value, json};
 
-use crate::common::{self, SOON};
+use crate::common::{self, WAIT_LIMIT};
 
-const LONG: Duration = Duration::from_secs(40);
+const WAVE_LIMIT: Duration = Duration::from_secs(40);
 
 fn plan() -> Plan {
     let mut plan = common::plan(6)
@@ -29,7 +29,7 @@
     wave["status"]["phase"]["phase"].as_str().unwrap_or_default().to_owned()
 }
 
-async fn steer(site: &Site, index: usize, phase: Value) {
+async fn set_phase(site: &Site, index: usize, phase: Value) {
     let operator = site.daemons[index].operator();
     let body = json!({ "phase": phase });
     let put = operator.call::<Value>(Method::PUT, "/v1/waves/w/phase", Some(&body)).await;
@@ -38,7 +38,7 @@
 
 /// Watches the stand-ins until `met`; panics when more VMs are out than the budget allows.
 async fn watch_budget(site: &Site, max: usize, what: &str, met: impl AsyncFn() -> bool) {
-    site.wait(LONG, what, async || {
+    site.wait(WAVE_LIMIT, what, async || {
         let out = site.fakes.audits().iter().filter(|vm| !vm.up || vm.drained).count();
         assert!(out <= max, "{out} VMs are out");
         met().await
@@ -52,7 +52,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_wave_services_every_vm_once_while_its_planner_dies() {
+async fn wave_services_every_vm_once_when_its_planner_is_killed() {
     let mut site = common::start(&plan()).await;
     create(&site, json!({ "pools": ["counter"] })).await;
     let half = async || reboots(&site).iter().sum::<u32>() >= 2;
@@ -71,7 +71,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_frozen_daemon_holds_a_wave_up_no_longer_than_its_lease() {
+async fn frozen_daemon_delays_a_wave_at_most_until_its_lease_expires() {
     let site = common::start(&plan()).await;
     site.daemons[2].freeze();
     create(&site, json!({ "pools": ["counter"] })).await;
@@ -82,7 +82,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_wave_waits_while_the_log_is_away_and_goes_on() {
+async fn wave_resumes_after_a_log_outage() {
     let site = common::start(&plan()).await;
     create(&site, json!({ "pools": ["counter"] })).await;
     let begun = async || reboots(&site).iter().sum::<u32>() >= 1;
@@ -96,22 +96,22 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_paused_wave_starts_nothing_and_a_cancelled_one_gives_vms_back() {
+async fn paused_wave_starts_no_reboot_and_cancelled_wave_returns_vms_to_service() {
     let mut plan = plan();
     plan.fakes.reboot_ms = 800;
     let site = common::start(&plan).await;
     create(&site, json!({ "pools": ["counter"] })).await;
     let begun = async || reboots(&site).iter().sum::<u32>() >= 1;
     watch_budget(&site, 2, "begun", begun).await;
-    steer(&site, 1, json!({ "phase": "paused", "cause": "operator" })).await;
+    set_phase(&site, 1, json!({ "phase": "paused", "cause": "operator" })).await;
     tokio::time::sleep(Duration::from_millis(2_500)).await;
     let paused = reboots(&site);
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     assert_eq!(reboots(&site), paused);
     let obstacle = common::get(&site, 0, "/v1/explain/vms/vm-5").await;
     assert_eq!(obstacle["obstacles"][0]["reason"], "paused", "{obstacle}");
-    steer(&site, 1, json!({ "phase": "cancelled" })).await;
-    site.wait(SOON, "all serving", async || {
+    set_phase(&site, 1, json!({ "phase": "cancelled" })).await;
+    site.wait(WAIT_LIMIT, "all serving", async || {
         let vms = common::get(&site, 0, "/v1/vms").await;
         let vms = vms["items"].as_array().cloned().unwrap_or_default();
         vms.iter().all(|vm| vm["status"]["phase"] == "serving")
@@ -135,18 +135,20 @@
     for vm in &victims {
         site.fakes.set_up(vm, false);
     }
-    site.wait(SOON, "paused", async || phase(&site, 0).await == "paused").await.expect("paused");
+    site.wait(WAIT_LIMIT, "paused", async || phase(&site, 0).await == "paused")
+        .await
+        .expect("paused");
     let wave = common::get(&site, 0, "/v1/waves/w").await;
     assert_eq!(wave["status"]["phase"]["cause"], "correlated_failures");
     for vm in &victims {
         site.fakes.set_up(vm, true);
     }
-    site.wait(SOON, "recovered", async || {
+    site.wait(WAIT_LIMIT, "recovered", async || {
         let pool = common::get(&site, 0, "/v1/pools/counter").await;
         pool["status"]["failed"] == 0
     })
     .await
     .expect("recovered");
-    steer(&site, 0, json!({ "phase": "running" })).await;
+    set_phase(&site, 0, json!({ "phase": "running" })).await;
     watch_budget(&site, 4, "done", async || phase(&site, 0).await == "done").await;
 }
