--- a/crates/crosspathd/src/core.rs
+++ b/crates/crosspathd/src/core.rs
@@ -32,7 +32,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Leases {
     pub(crate) holder: Holder,
-    pub(crate) guardian: Grantor,
+    pub(crate) grantor: Grantor,
 }
 
 /// Everything that the tasks share; see the crate for the order of the locks.
--- a/crates/crosspathd/src/driver.rs
+++ b/crates/crosspathd/src/driver.rs
@@ -132,7 +132,7 @@
         }
         vm::Phase::Rebooting { wave } => {
             let rebooted =
-                ensure_rebooted(core, name, &reboot_ticket(state, wave, name), &report).await;
+                ensure_rebooted(core, name, &reboot_id(state, wave, name), &report).await;
             Observation { daemons_done, worker_idle: false, rebooted }
         }
         vm::Phase::Serving | vm::Phase::Failed { .. } => Observation::default(),
@@ -157,16 +157,16 @@
 }
 
 /// One reboot of a VM for each wave, whatever else changes meanwhile.
-fn reboot_ticket(state: &State, wave: &WaveName, vm: &VmName) -> RebootId {
+fn reboot_id(state: &State, wave: &WaveName, vm: &VmName) -> RebootId {
     let declared_at = state.waves.get(wave).map(|wave| wave.status.declared_at);
     format!("{wave}@{}:{vm}", declared_at.unwrap_or_default())
 }
 
 /// Orders the reboot if it was not ordered yet; whether it is over and the VM takes requests.
-async fn ensure_rebooted(core: &Core, vm: &VmName, ticket: &RebootId, report: &Report) -> bool {
-    if report.reboot.as_ref() != Some(ticket) {
+async fn ensure_rebooted(core: &Core, vm: &VmName, reboot_id: &RebootId, report: &Report) -> bool {
+    if report.reboot.as_ref() != Some(reboot_id) {
         if is_idle(report) && core.is_planner() {
-            let result = core.worker.reboot(vm, ticket).await;
+            let result = core.worker.reboot(vm, reboot_id).await;
             log::info!("event=worker_reboot vm={vm} done={}", result.is_ok());
         }
         return false;
--- a/crates/crosspathd/src/gateway/attempt.rs
+++ b/crates/crosspathd/src/gateway/attempt.rs
@@ -68,11 +68,11 @@
         };
         let (head, streamed) = response.into_parts();
         let Ok(whole) = Limited::new(streamed, MAX_KEYED_RESPONSE_BYTES).collect().await else {
-            slot.set_outcome(Completion::Failed);
+            slot.set_completion(Completion::Failed);
             let reason = Unknown::UpstreamCut;
             return (Reply::Final(Final::unknown(reason)), Outcome::Unknown(reason));
         };
-        slot.set_outcome(Completion::Answered(clock::monotonic().since(sent_at)));
+        slot.set_completion(Completion::Answered(clock::monotonic().since(sent_at)));
         let bytes = whole.to_bytes();
         let outcome = recorded_outcome(&head, &bytes, max_recorded_bytes);
         (
@@ -134,13 +134,13 @@
         };
         match core.upstreams.send(address, request, Instant::now() + left).await {
             Ok(response) if is_refusal(&response) => {
-                slot.set_outcome(Completion::Refused);
+                slot.set_completion(Completion::Refused);
                 core.upstreams.close_idle(address);
                 Err(Failure::Refused)
             }
             Ok(response) => Ok(UpstreamResponse { response, slot, sent_at }),
             Err(failure) => {
-                slot.set_outcome(Completion::Failed);
+                slot.set_completion(Completion::Failed);
                 Err(match failure {
                     upstream::Failure::NotSent => Failure::NotSent,
                     upstream::Failure::Broken => Failure::Broken,
@@ -215,7 +215,7 @@
 
     fn record_completion(&mut self) {
         let time = clock::monotonic().since(self.sent_at);
-        self.slot.set_outcome(Completion::Answered(time));
+        self.slot.set_completion(Completion::Answered(time));
     }
 }
 
@@ -236,7 +236,7 @@
                 Poll::Ready(Some(Ok(frame)))
             }
             Poll::Ready(Some(Err(error))) => {
-                self.slot.set_outcome(Completion::Failed);
+                self.slot.set_completion(Completion::Failed);
                 Poll::Ready(Some(Err(error.into())))
             }
             Poll::Ready(None) => {
--- a/crates/crosspathd/src/membership.rs
+++ b/crates/crosspathd/src/membership.rs
@@ -60,14 +60,14 @@
     let Some(link) = core.links.get(&peer) else {
         return;
     };
-    let sent_at = clock::monotonic();
-    let answer = link.heartbeat(peers::own_heartbeat(&core)).await;
-    core.metrics.count_heartbeat(if answer.is_ok() { "answered" } else { "unanswered" });
-    let Ok(answer) = answer else { return };
-    if let Some(promise) = answer.promise() {
-        core.leases().holder.record_grant(core.terms(), &peer, sent_at, promise);
+    let requested_at = clock::monotonic();
+    let reply = link.heartbeat(peers::own_heartbeat(&core)).await;
+    core.metrics.count_heartbeat(if reply.is_ok() { "answered" } else { "unanswered" });
+    let Ok(reply) = reply else { return };
+    if let Some(grant) = reply.promise() {
+        core.leases().holder.record_grant(core.terms(), &peer, requested_at, grant);
     }
-    peers::record_heartbeat(&core, answer.heartbeat);
+    peers::record_heartbeat(&core, reply.heartbeat);
 }
 
 /// While VMs drain, tells the planner at once what changes in flight here on them.
@@ -114,7 +114,7 @@
         return join(core, &state, &own).await;
     }
     let (valid, now) = (core.lease_is_valid(), clock::monotonic());
-    core.leases().guardian.observe(core.terms(), &state, &own, valid, now);
+    core.leases().grantor.observe(core.terms(), &state, &own, valid, now);
     let has_no_guard = state.members.get(&own.daemon).is_some_and(|member| member.guard.is_none());
     if has_no_guard {
         assign_guard(core, &state, &own).await;
@@ -150,13 +150,13 @@
 }
 
 async fn evict(core: &Core) {
-    let evictable = core.leases().guardian.evictable(core.terms(), clock::monotonic());
+    let evictable = core.leases().grantor.evictable(core.terms(), clock::monotonic());
     for member in evictable {
         let change = Change::Member(Membership::Evict { member: member.clone() });
         let result = core.committer.commit_until_final(vec![change]).await;
         log::warn!("event=evicted member={member} done={}", result.is_ok());
         if result == Err(CommitError::NotAccepted) {
-            core.leases().guardian.cancel_eviction(&member);
+            core.leases().grantor.cancel_eviction(&member);
         }
     }
 }
--- a/crates/crosspathd/src/peers.rs
+++ b/crates/crosspathd/src/peers.rs
@@ -49,13 +49,13 @@
 }
 
 /// Notes a peer's heartbeat; one from an earlier life, or overtaken, is dropped.
-pub(crate) fn record_heartbeat(core: &Core, beat: Heartbeat) {
+pub(crate) fn record_heartbeat(core: &Core, heartbeat: Heartbeat) {
     let reported = PeerState {
-        applied: beat.applied,
-        in_flight: beat.in_flight,
-        ready: beat.ready,
+        applied: heartbeat.applied,
+        in_flight: heartbeat.in_flight,
+        ready: heartbeat.ready,
         received_at: clock::monotonic(),
-        writer: beat.from,
+        writer: heartbeat.from,
     };
     let mut table = core.peer_states();
     let known = table.get(&reported.writer.daemon);
@@ -89,15 +89,15 @@
 
 #[async_trait]
 impl Handler for PeerHandler {
-    async fn heartbeat(&self, beat: Heartbeat) -> HeartbeatReply {
+    async fn heartbeat(&self, heartbeat: Heartbeat) -> HeartbeatReply {
         let core = &*self.0;
-        let member = beat.from.clone();
-        record_heartbeat(core, beat);
+        let member = heartbeat.from.clone();
+        record_heartbeat(core, heartbeat);
         let valid = core.lease_is_valid() && core.is_caught_up();
         let (state, terms, now) = (core.state(), core.terms(), clock::monotonic());
-        let promise = core.leases().guardian.grant(terms, &state, &member, valid, now);
+        let grant = core.leases().grantor.grant(terms, &state, &member, valid, now);
         let millis = |span: Duration| u64::try_from(span.as_millis()).unwrap_or_default();
-        HeartbeatReply { heartbeat: own_heartbeat(core), promise_ms: promise.map(millis) }
+        HeartbeatReply { heartbeat: own_heartbeat(core), promise_ms: grant.map(millis) }
     }
 
     async fn claim(&self, claim: Claim) -> Verdict {
--- a/crates/crosspathd/src/pools.rs
+++ b/crates/crosspathd/src/pools.rs
@@ -24,7 +24,7 @@
 pub(crate) struct Pools {
     pools: RwLock<BTreeMap<PoolName, Arc<Pool>>>,
     bounds: Bounds,
-    place: Position,
+    position: Position,
     data_centre: DataCentre,
     tickets: AtomicU64,
 }
@@ -46,7 +46,7 @@
     pool: Arc<Pool>,
     vm: VmName,
     class: Class,
-    outcome: Completion,
+    completion: Completion,
 }
 
 impl Slot {
@@ -55,8 +55,8 @@
     }
 
     /// Says how the use ended; without a word it counts as abandoned.
-    pub(crate) fn set_outcome(&mut self, outcome: Completion) {
-        self.outcome = outcome;
+    pub(crate) fn set_completion(&mut self, completion: Completion) {
+        self.completion = completion;
     }
 }
 
@@ -66,7 +66,7 @@
         let grants = self.pool.lock().dispatch.release(
             &self.vm,
             self.class,
-            self.outcome,
+            self.completion,
             now,
             &mut rand::rng(),
         );
@@ -112,7 +112,12 @@
             Admission::Assigned(vm) => {
                 drop(queue);
                 let pool = Arc::clone(self);
-                Ok(Acquisition::Assigned(Slot { pool, vm, class, outcome: Completion::Abandoned }))
+                Ok(Acquisition::Assigned(Slot {
+                    pool,
+                    vm,
+                    class,
+                    completion: Completion::Abandoned,
+                }))
             }
             Admission::Refused(refusal) => Err(refusal),
             Admission::Waiting => {
@@ -129,7 +134,7 @@
             let waiter = self.lock().waiters.remove(&grant.ticket);
             let pool = Arc::clone(self);
             let slot =
-                Slot { pool, vm: grant.vm, class: grant.class, outcome: Completion::Abandoned };
+                Slot { pool, vm: grant.vm, class: grant.class, completion: Completion::Abandoned };
             match waiter {
                 Some(waiter) => drop(waiter.send(slot)),
                 None => drop(slot),
@@ -156,14 +161,14 @@
             batch_floor_every: limits.batch_floor_every,
         };
         let before = settings.peers.iter().filter(|peer| peer.name < settings.name).count();
-        let place = Position {
+        let position = Position {
             index: u32::try_from(before).unwrap_or(u32::MAX),
             daemons: u32::try_from(settings.peers.len() + 1).unwrap_or(u32::MAX),
         };
         Self {
             pools: RwLock::default(),
             bounds,
-            place,
+            position,
             data_centre: settings.data_centre.clone(),
             tickets: AtomicU64::new(0),
         }
@@ -199,7 +204,7 @@
             let targets = serving.map(|(vm, stored)| {
                 let total = stored.spec.slots.min(stored.spec.connections);
                 let local = stored.spec.data_centre == self.data_centre;
-                Target { vm: vm.clone(), slots: self.place.share(vm, total), local }
+                Target { vm: vm.clone(), slots: self.position.share(vm, total), local }
             });
             let targets: Vec<_> = targets.collect();
             let pool = self.pool_or_new(name);
