--- a/crates/crosspathd/src/api.rs
+++ b/crates/crosspathd/src/api.rs
@@ -1,4 +1,4 @@
-//! What the resource API asks of the daemon.
+//! The daemon's side of the resource API for operators.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,10 +19,10 @@
 use crate::core::Core;
 use crate::peers;
 
-/// How long an operator waits for a change to be folded.
+/// How long an operator's request waits for its changes to be applied.
 const COMMIT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Answers operators.
+/// Handles operators' requests.
 #[derive(Debug)]
 pub(crate) struct Api(pub(crate) Arc<Core>);
 
@@ -106,6 +106,7 @@
     }
 }
 
+/// What keeps a VM from being serviced, or a job from being placed.
 fn obstacles(core: &Core, state: &State, id: &Id) -> Vec<Value> {
     let text = id.name.as_str();
     let obstacle = match id.kind {
@@ -127,7 +128,7 @@
     obstacle.into_iter().collect()
 }
 
-/// What this daemon can tell of a VM without asking the platform.
+/// What this daemon knows about a VM without a call to the platform.
 fn observed(core: &Core, state: &State, vm: &VmName) -> Observation {
     let daemons_done = peers::undrained_members(core, state, vm).is_empty();
     Observation { daemons_done, ..Observation::default() }
--- a/crates/crosspathd/src/bootstrap.rs
+++ b/crates/crosspathd/src/bootstrap.rs
@@ -1,4 +1,4 @@
-//! Where a daemon gets its state when it cannot fold the log from its start.
+//! Restores the state from a snapshot or from peers when the log cannot be replayed from its start.
 
 use std::sync::Arc;
 
@@ -10,7 +10,9 @@
 use crate::core::Core;
 use crate::follower;
 
-/// Starts from the newest whole snapshot that the log still holds.
+/// Restores the newest complete snapshot in the log and applies the records after it.
+///
+/// `first` is the first revision that the log still holds.
 pub(crate) async fn from_snapshot(core: &Core, first: Revision) {
     let mut records = Vec::new();
     let mut assembly = Assembler::default();
@@ -60,7 +62,10 @@
     }
 }
 
-/// Without the log, takes the state of a peer that is ahead of the own one.
+/// Copies a peer's state while the log is unavailable.
+///
+/// A peer whose state is ahead of the local one is asked. If none is known and this daemon has not
+/// caught up yet, every peer is asked.
 pub(crate) async fn from_peers(core: &Core) {
     let applied = core.state().applied;
     let ahead =
@@ -86,7 +91,7 @@
     }
 }
 
-/// A daemon never goes back to a lower revision.
+/// Publishes `state` unless its revision is not higher: a daemon never returns to a lower revision.
 fn publish_if_newer(core: &Core, state: State) {
     if state.applied > core.state().applied {
         core.publish(Arc::new(state));
--- a/crates/crosspathd/src/claims.rs
+++ b/crates/crosspathd/src/claims.rs
@@ -1,4 +1,4 @@
-//! Claims on payment keys: at their owner, and at the entry VM that asks.
+//! Claims on payment keys: on the owner's side, and on the side of the entry VM that requests them.
 
 use std::time::Duration;
 
@@ -14,11 +14,11 @@
 
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 const SETTLE_ATTEMPTS: u32 = 3;
-/// How long a claim is tried; the caller waits for it.
+/// How long a claim is retried. The caller waits during this time.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(400);
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Decides on a key of a partition that this daemon owns.
+/// Decides on a claim; the key's partition must be owned by this daemon.
 pub(crate) fn claim_locally(core: &Core, claim: &Claim) -> Verdict {
     let state = core.state();
     let owned = state.owner(claim.request.key.partition());
@@ -27,7 +27,8 @@
         return Verdict::NotOwner;
     };
     let mut claims = core.claims();
-    // The lease is read under the lock: a handover takes the lock to freeze the partition first.
+    // Checked while the claims are locked: a handover freezes the partition before it locks the
+    // claims to copy them, so no claim is granted after they were copied.
     if !core.may_decide(claim.request.key.partition()) {
         return Verdict::NotOwner;
     }
@@ -47,19 +48,19 @@
     core.state().owner(key.partition()).map(|own| own.owner.clone())
 }
 
-/// What an entry VM does with a request that carries a key.
+/// How an entry VM proceeds with a request that carries a key.
 #[derive(Debug)]
 pub(crate) enum Decision {
-    /// Send it.
+    /// The request may be sent to an upstream.
     Granted,
-    /// It was answered before.
+    /// An earlier request with this key was answered; its recorded answer is returned.
     Recorded(Verdict),
-    /// Do not send it; answer this.
+    /// The request must not be sent; the caller gets this answer.
     Final(Final),
 }
 
-/// Claims a key with its owner. While the owner cannot be asked, or changes, the claim is made
-/// again for a short time.
+/// Claims a key at its owner. If the owner cannot be reached or has changed, the claim is retried
+/// until [`CLAIM_TIMEOUT`] or the time `left` for the request has passed.
 pub(crate) async fn claim(core: &Core, request: &Request, left: Duration) -> Decision {
     let left_ms = u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
     let nonce = Nonce(rand::random());
@@ -82,13 +83,13 @@
             () = retry => {}
         }
         if Instant::now() >= deadline {
-            // An earlier request with this key may have been run: "not run" would be a guess.
+            // An earlier request with this key may have run, so "not run" could be wrong.
             return Decision::Final(Final::unknown(Unknown::KeyNotAsked));
         }
     }
 }
 
-/// What the owner says; none when it gives no answer.
+/// Requests the owner's verdict; `None` if there is no owner or it does not answer.
 async fn request_claim(core: &Core, claim: &Claim, deadline: Instant) -> Option<Verdict> {
     let owner = owner(core, claim.request.key)?;
     if owner == core.settings.name {
@@ -107,8 +108,8 @@
     }
 }
 
-/// Tells the owner how a claimed request ended. When the owner cannot be told, its claim keeps the
-/// key from being run again.
+/// Reports the outcome of a claimed request to the key's owner. If the owner cannot be reached, its
+/// claim still keeps a request with this key from being run again.
 pub(crate) async fn settle(core: &Core, request: &Request, outcome: Outcome) {
     let settle = Settle { request: request.clone(), outcome };
     for _ in 0..SETTLE_ATTEMPTS {
@@ -128,7 +129,7 @@
     log::warn!("event=outcome_not_recorded key={}", request.key);
 }
 
-/// What is known of a key.
+/// Looks up a key at its owner; `None` if the owner has no record of it.
 pub(crate) async fn look_up(core: &Core, key: Key, caller: &CallerName) -> Option<Verdict> {
     let look_up = LookUp { key, caller: caller.clone() };
     let unavailable = || Some(Verdict::Final(Answer::Unknown(Unknown::KeyNotAsked)));
--- a/crates/crosspathd/src/commands.rs
+++ b/crates/crosspathd/src/commands.rs
@@ -1,4 +1,4 @@
-//! What the program can do, one file each.
+//! The program's commands, one module each.
 
 pub(crate) mod check_settings;
 pub(crate) mod platform;
@@ -7,14 +7,14 @@
 
 use std::process::ExitCode;
 
-/// How the program ends.
+/// Exit status of the program.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ExitStatus {
-    /// As it should.
+    /// The command succeeded (exit code 0).
     Success,
-    /// The settings cannot be used.
+    /// The settings file cannot be read or is invalid (exit code 2).
     BadSettings,
-    /// It could not start.
+    /// The command could not start or produced no result (exit code 1).
     NotStarted,
 }
 
--- a/crates/crosspathd/src/commands/check_settings.rs
+++ b/crates/crosspathd/src/commands/check_settings.rs
@@ -1,4 +1,4 @@
-//! Checks a settings file and says what is wrong with it.
+//! Validates a settings file and reports the first error.
 
 use std::io::Write as _;
 use std::path::Path;
--- a/crates/crosspathd/src/commands/platform.rs
+++ b/crates/crosspathd/src/commands/platform.rs
@@ -11,13 +11,15 @@
 
 use super::ExitStatus;
 
-/// For a call of the log that does not wait; slow answers take some hundred ms.
+/// Limit for a call to the log that does not wait for records; slow responses take several hundred
+/// ms.
 const LOG_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// For an order to a worker; an answer takes some ms, and an order without one is made void.
+/// Limit for an order to a worker. A response takes a few ms; an order without a response is
+/// voided.
 const WORKER_TIMEOUT: Duration = Duration::from_millis(300);
-/// For an order to the list of VMs; it may be slow.
+/// Limit for an order to the VM list, which may respond slowly.
 const VM_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// For advice, of which a call may take some hundred ms for many workers.
+/// Limit for an advice request, which may take several hundred ms for many workers.
 const ADVICE_TIMEOUT: Duration = Duration::from_millis(3_000);
 
 pub(crate) fn run(file: &Path) -> ExitStatus {
@@ -28,7 +30,7 @@
             return ExitStatus::BadSettings;
         }
     };
-    // Entry VMs have a fraction of one core: more threads would only take turns.
+    // Entry VMs have a fraction of one core, so additional threads would not run in parallel.
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let ended = match runtime {
         Ok(runtime) => runtime.block_on(crosspath_node::run(settings.clone(), ports(&settings))),
--- a/crates/crosspathd/src/commands/run.rs
+++ b/crates/crosspathd/src/commands/run.rs
@@ -1,4 +1,4 @@
-//! Runs the daemon.
+//! Runs the daemon with the settings in a file until it is stopped.
 
 use std::path::Path;
 
--- a/crates/crosspathd/src/committer.rs
+++ b/crates/crosspathd/src/committer.rs
@@ -1,9 +1,9 @@
-//! Appends changes, many in one record, and waits until they are folded.
+//! Appends changes to the log, batched into records, and waits until they are applied.
 //!
-//! One batch is on its way at a time. When the log does not say whether it took a batch, the batch
-//! is read for, and appended again under the same id until it is seen: the fold drops a second
-//! copy, and no later batch overtakes it. Whoever waits may give up earlier, and gets an id to ask
-//! for.
+//! One batch is in flight at a time. If an append has an unknown result, the committer waits for
+//! the batch to appear in the log and appends it again under the same id until it does. Applying
+//! the log drops a duplicate, and no later batch overtakes this one. A caller may time out
+//! earlier; it then gets an id with which to query the outcome of its change.
 
 use std::sync::{Arc, OnceLock};
 use std::time::Duration;
@@ -20,7 +20,7 @@
 
 const QUEUE_CAPACITY: usize = 1_024;
 const MAX_BATCH_CHANGES: usize = 512;
-/// At most 20 appends a second from one daemon.
+/// Limits a daemon to 20 appends a second.
 const MIN_APPEND_INTERVAL: Duration = Duration::from_millis(50);
 const APPLY_TIMEOUT: Duration = Duration::from_millis(500);
 
@@ -34,13 +34,13 @@
     reply: Reply,
 }
 
-/// The queue of changes to append.
+/// Sending end of the queue of changes to append.
 #[derive(Debug, Clone)]
 pub(crate) struct Committer {
     queue: mpsc::Sender<Request>,
 }
 
-/// The other end of the queue.
+/// Receiving end of the queue, read by [`run`].
 #[derive(Debug)]
 pub(crate) struct Queue {
     requests: mpsc::Receiver<Request>,
@@ -52,7 +52,8 @@
         (Self { queue: sender }, Queue { requests: receiver })
     }
 
-    /// Commits and waits at most `patience`; the first conflict is the error.
+    /// Commits changes and waits at most `timeout` for their verdicts; the first conflict is
+    /// returned as the error.
     pub(crate) async fn commit(
         &self,
         changes: Vec<Change>,
@@ -68,7 +69,8 @@
             Ok(Ok(verdicts)) => verdicts?,
             Ok(Err(_)) => return Err(CommitError::NotAccepted),
             Err(_) => {
-                // Closed first: the batch is not formed with it after this.
+                // Close the channel before reading the id: a batch formed after this leaves the
+                // request out.
                 response.close();
                 return Err(match change_id.get() {
                     Some(change) => CommitError::Unknown { change: change.clone() },
@@ -79,13 +81,15 @@
         first_conflict(verdicts)
     }
 
-    /// Commits a change of the daemon itself and waits until its fate is certain.
+    /// Commits the daemon's own changes and waits, without a time limit, until their outcome is
+    /// final.
     pub(crate) async fn commit_until_final(&self, changes: Vec<Change>) -> Result<(), CommitError> {
         let verdicts = self.commit_each(changes).await?;
         first_conflict(verdicts).map(|_| ())
     }
 
-    /// Commits changes of the daemon itself; one verdict for each.
+    /// Commits the daemon's own changes like [`Self::commit_until_final`], and returns one verdict
+    /// for each change.
     pub(crate) async fn commit_each(&self, changes: Vec<Change>) -> Result<Verdicts, CommitError> {
         let (reply, response) = oneshot::channel();
         let request = Request { changes, change_id: Arc::default(), reply };
@@ -104,7 +108,7 @@
     Ok(revision)
 }
 
-/// Appends what is queued until the daemon ends.
+/// Appends queued changes until the daemon stops.
 pub(crate) async fn run(core: Arc<Core>, mut queue: Queue) {
     let mut sequence = 0;
     let mut incarnation = core.own_writer().incarnation;
@@ -155,7 +159,7 @@
     }
 }
 
-/// Appends a batch until its fate is certain.
+/// Appends a batch, repeatedly if necessary, until its outcome is final.
 async fn append_until_final(
     core: &Core,
     id: &BatchId,
@@ -176,7 +180,7 @@
             return Ok(verdicts);
         }
         let position = position_of(core, id);
-        // Folded between the last look and this one.
+        // The batch may have been applied since the wait ended.
         let verdicts = core.outcomes().get(id).cloned();
         match (position, verdicts) {
             (Position::Before, _) => {}
@@ -198,13 +202,15 @@
     }
 }
 
-/// Where the state is, seen from a batch without a verdict.
+/// Position of the local state relative to a batch.
 enum Position {
-    /// Before the batch.
+    /// The batch has not been applied.
     Before,
-    /// Past it: a later batch of this daemon's name was folded, so that this one never will be.
+    /// A later batch written under this daemon's name was applied, so this one never takes effect
+    /// if it has not been applied already.
     Fenced,
-    /// Past it, by a state taken from elsewhere: it was folded, with a verdict not known here.
+    /// The batch was applied. Its verdicts are unknown here if the state came from a snapshot or a
+    /// peer.
     Applied,
 }
 
@@ -219,14 +225,14 @@
     }
 }
 
-/// Waits until the batch is folded.
+/// Waits at most `timeout` until the batch is applied.
 async fn wait_until_applied(core: &Core, id: &BatchId, timeout: Duration) -> Option<Verdicts> {
     let mut states = core.state.subscribe();
     let deadline = Instant::now() + timeout;
     loop {
         states.borrow_and_update();
-        // The verdict is there before the state that it led to: whoever is told of a change must be
-        // able to read it.
+        // Verdicts are stored before the resulting state is published. Wait for both, so that a
+        // caller that is told of a change can read it.
         let published = !matches!(position_of(core, id), Position::Before);
         let verdicts = core.outcomes().get(id).cloned();
         if let Some(verdicts) = verdicts.filter(|_| published) {
--- a/crates/crosspathd/src/core.rs
+++ b/crates/crosspathd/src/core.rs
@@ -1,4 +1,4 @@
-//! The tables that the daemon's tasks share.
+//! State shared by the daemon's tasks.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -28,14 +28,14 @@
 
 const MAX_HISTORY: usize = 256;
 
-/// Promises given and got.
+/// Lease grants that this daemon has received (`holder`) and given (`grantor`).
 #[derive(Debug, Default)]
 pub(crate) struct Leases {
     pub(crate) holder: Holder,
     pub(crate) grantor: Grantor,
 }
 
-/// Everything that the tasks share; see the crate for the order of the locks.
+/// State shared by all tasks. The crate documentation defines the lock order.
 #[derive(Debug)]
 pub struct Core {
     pub(crate) settings: Settings,
@@ -62,7 +62,7 @@
     stopping: AtomicBool,
 }
 
-/// What [`Core::new`] is given.
+/// Arguments of [`Core::new`].
 #[derive(Debug)]
 pub(crate) struct Dependencies {
     pub(crate) settings: Settings,
@@ -131,12 +131,12 @@
         lock(&self.outcomes)
     }
 
-    /// The state now.
+    /// The state published last.
     pub(crate) fn state(&self) -> Arc<State> {
         self.state.borrow().clone()
     }
 
-    /// Replaces the state by a later one.
+    /// Publishes a later state and adds it to the history.
     pub(crate) fn publish(&self, state: Arc<State>) {
         self.metrics.set_applied_revision(state.applied.0);
         let mut history = lock(&self.history);
@@ -148,18 +148,20 @@
         self.state.send_replace(state);
     }
 
-    /// The newest kept state that is not after `revision`; none when that is too old.
+    /// The newest state in the history that is not after `revision`; `None` if `revision` is older
+    /// than the history.
     pub(crate) fn state_at(&self, revision: Revision) -> Option<Arc<State>> {
         let history = lock(&self.history);
         history.iter().rev().find(|state| state.applied <= revision).cloned()
     }
 
-    /// This daemon in its present life.
+    /// Name and current incarnation of this daemon, under which it writes to the log.
     pub(crate) fn own_writer(&self) -> Writer {
         self.own_writer.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Starts a new life, after `last` at the earliest: what the old one knew no longer counts.
+    /// Starts a new incarnation, later than `last` and the current one. The leases of the old
+    /// incarnation are dropped.
     pub(crate) fn begin_incarnation(&self, last: Incarnation) {
         let mut own = self.own_writer.write().unwrap_or_else(PoisonError::into_inner);
         let next = clock::wall().0.max(last.0 + 1).max(own.incarnation.0 + 1);
@@ -173,31 +175,32 @@
         Terms { lease: timing.lease, tenure: timing.tenure, drift_ppm: timing.drift_ppm }
     }
 
-    /// Whether this daemon may act as a member now.
+    /// Whether this daemon may currently act as a member.
     pub(crate) fn lease_is_valid(&self) -> bool {
         let (state, own) = (self.state(), self.own_writer());
         self.halted().is_none() && self.leases().holder.is_valid(&state, &own, clock::monotonic())
     }
 
-    /// Stops deciding on partitions that are being handed over.
+    /// Stops deciding on claims in partitions that are being handed over.
     pub(crate) fn freeze(&self, partitions: &BTreeSet<u16>) {
         let mut frozen = self.frozen.write().unwrap_or_else(PoisonError::into_inner);
         frozen.extend(partitions);
     }
 
-    /// Decides again on partitions, if this daemon still owns them.
+    /// Undoes [`Self::freeze`]. Whether this daemon still owns the partitions is checked elsewhere.
     pub(crate) fn unfreeze(&self, partitions: &BTreeSet<u16>) {
         let mut frozen = self.frozen.write().unwrap_or_else(PoisonError::into_inner);
         frozen.retain(|partition| !partitions.contains(partition));
     }
 
-    /// Whether this daemon decides on keys of a partition that it owns.
+    /// Whether this daemon may decide on keys of a partition, provided that it owns the partition.
     pub(crate) fn may_decide(&self, partition: u16) -> bool {
         let frozen = self.frozen.read().unwrap_or_else(PoisonError::into_inner);
         !frozen.contains(&partition) && self.lease_is_valid()
     }
 
-    /// The member that plans: the first by name. An optimisation; the fold checks every plan.
+    /// The member that plans: the first by name. A single planner is an optimization only; every
+    /// planned change is checked when it is applied.
     pub(crate) fn planner(state: &State) -> Option<&DaemonName> {
         state.members.keys().next()
     }
@@ -206,7 +209,8 @@
         Self::planner(&self.state()) == Some(&self.settings.name) && self.lease_is_valid()
     }
 
-    /// Requests in flight here on VMs that take no new work.
+    /// Number of this daemon's requests in flight on each draining VM; VMs without any are left
+    /// out.
     pub(crate) fn draining_in_flight(&self) -> Vec<(VmName, u32)> {
         let state = self.state();
         let draining = state.vms.iter();
@@ -215,7 +219,7 @@
         counts.filter(|(_, count)| *count > 0).collect()
     }
 
-    /// Stops deciding for good, and says why.
+    /// Stops this daemon from deciding until it is restarted. The first cause is kept.
     pub(crate) fn halt(&self, cause: String) {
         let mut halted = self.halted.write().unwrap_or_else(PoisonError::into_inner);
         if halted.is_none() {
@@ -256,7 +260,7 @@
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Whether the balancer should send callers here.
+    /// Whether the load balancer should send callers to this daemon.
     pub(crate) fn is_ready(&self) -> bool {
         self.is_caught_up() && !self.is_stopping() && self.halted().is_none()
     }
--- a/crates/crosspathd/src/daemon.rs
+++ b/crates/crosspathd/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Starts the daemon's listeners and tasks, and waits for the end.
+//! Starts the daemon's listeners and tasks, and runs them until a signal to stop arrives.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -29,27 +29,27 @@
 /// The daemon could not start.
 #[derive(Debug, Snafu)]
 pub enum RunError {
-    /// An address cannot be listened on.
+    /// A listener could not be bound to its address.
     #[snafu(display("cannot listen on {address}: {source}; is another process there?"))]
     Listen {
-        /// The address.
+        /// Address and port of the listener.
         address: SocketAddr,
-        /// What the system says.
+        /// Error returned by the operating system.
         source: std::io::Error,
     },
-    /// A peer cannot be reached with these settings.
-    #[snafu(display("peer {address}: {source}"))]
+    /// The client for a peer could not be created from the settings.
+    #[snafu(display("cannot create client for peer {address}: {source}"))]
     Peer {
-        /// Its address.
+        /// Address and port of the peer.
         address: SocketAddr,
-        /// What is wrong.
+        /// Why the client could not be created.
         #[snafu(source(from(crosspath_peer::BuildError, Box::new)))]
         source: Box<crosspath_peer::BuildError>,
     },
-    /// Signals cannot be listened for.
-    #[snafu(display("cannot listen for signals: {source}"))]
+    /// The signal handlers could not be installed.
+    #[snafu(display("cannot install signal handlers: {source}"))]
     Signals {
-        /// What the system says.
+        /// Error returned by the operating system.
         source: std::io::Error,
     },
 }
@@ -71,16 +71,16 @@
     Ok(links)
 }
 
-/// A call to a peer must fail well before the lease that it renews.
+/// A call to a peer must time out well before the lease that it renews expires.
 fn call_timeout(settings: &Settings) -> Duration {
     (settings.timing.lease / 3).max(Duration::from_millis(100))
 }
 
-/// Runs the daemon until it is told to stop.
+/// Runs the daemon until it receives a signal to stop.
 ///
 /// # Errors
 ///
-/// [`RunError`] when it cannot start.
+/// Returns a [`RunError`] if the daemon cannot start.
 pub async fn run(settings: Settings) -> Result<(), RunError> {
     let mut signals = Signals::new().context(SignalsSnafu)?;
     let callers = bind(settings.callers_listen).await?;
@@ -119,7 +119,7 @@
     Ok(())
 }
 
-/// Starts the listeners; gives the task of the callers' one.
+/// Starts the listeners and returns the task of the callers' listener.
 fn serve(
     core: &Arc<Core>,
     callers: TcpListener,
@@ -150,7 +150,8 @@
     tokio::spawn(crosspath_caller::serve(callers, limits, bounds, stop, handler))
 }
 
-/// Peers are answered to the very end: others may still settle claims here.
+/// Stage that changes only from serving to ended, without a finishing stage. Peers are served until
+/// the end, because they may still settle claims at this daemon.
 struct EndedOnly;
 
 impl EndedOnly {
--- a/crates/crosspathd/src/driver.rs
+++ b/crates/crosspathd/src/driver.rs
@@ -1,8 +1,8 @@
-//! Carries the planner's decisions out.
+//! Executes the planner's decisions.
 //!
-//! Only the planning member does this. Each round it looks at the VMs that are out, commits the
-//! changes that follow, and brings the workers into line with the state. Each order is safe to give
-//! again, so another member can go on from any point; it looks at every worker first.
+//! Only the planning member does this. Each round it polls the VMs that are part of a wave, commits
+//! the resulting changes, and reconciles the workers with the state. All orders are idempotent, so
+//! another member can continue from any point; it polls every worker first.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -20,24 +20,24 @@
 use crate::jobs::Jobs;
 use crate::peers;
 
-/// Rounds between looks at one further worker.
+/// Number of rounds between polls of one further worker.
 const POLL_EVERY_ROUNDS: u32 = 4;
 
-/// Workers looked at together.
+/// Workers polled concurrently by [`poll_all`].
 const MAX_CONCURRENT_POLLS: usize = 16;
 
-/// What this daemon knows while it plans.
+/// Working data of the planning member, discarded when it stops planning.
 #[derive(Debug, Default)]
 struct Planner {
     round: u32,
     jobs: Jobs,
-    /// The revision that the last decisions were made on, if they changed nothing.
+    /// Revision of the last decisions if they resulted in no changes.
     unchanged_at: Option<Revision>,
-    /// The worker looked at last, besides those that are out.
+    /// Worker polled last by [`Self::poll_next`].
     last_polled: Option<VmName>,
 }
 
-/// Decides and carries out until the daemon ends.
+/// Plans and executes the plans, while this daemon is the planner, until the daemon stops.
 pub(crate) async fn run(core: Arc<Core>) {
     let mut planning: Option<Planner> = None;
     loop {
@@ -75,7 +75,7 @@
         commit(core, changes).await;
     }
 
-    /// Looks at one worker after the other, so that what changed there by itself is found in time.
+    /// Polls the next worker in turn, to detect changes that no order caused.
     async fn poll_next(&mut self, core: &Core, state: &State) {
         let after = |vm: &&VmName| self.last_polled.as_ref().is_none_or(|last| *vm > last);
         let next = state.vms.keys().find(after).or_else(|| state.vms.keys().next());
@@ -104,7 +104,7 @@
 
 type Vm = Stored<vm::Spec, vm::Phase>;
 
-/// Looks at every VM that is out, and gives the orders that its phase calls for.
+/// Polls every VM that is part of a wave, and sends the orders that its phase requires.
 async fn observe(core: &Core, state: &State) -> BTreeMap<VmName, Observation> {
     let in_wave = state.vms.iter().filter(|(_, vm)| vm.status.wave().is_some());
     let polls = in_wave.map(|(name, vm)| async move {
@@ -156,13 +156,15 @@
     }
 }
 
-/// One reboot of a VM for each wave, whatever else changes meanwhile.
+/// Identifies the reboot of a VM by its wave and the time when the wave was declared, so that each
+/// wave reboots a VM once.
 fn reboot_id(state: &State, wave: &WaveName, vm: &VmName) -> RebootId {
     let declared_at = state.waves.get(wave).map(|wave| wave.status.declared_at);
     format!("{wave}@{}:{vm}", declared_at.unwrap_or_default())
 }
 
-/// Orders the reboot if it was not ordered yet; whether it is over and the VM takes requests.
+/// Orders the reboot unless it was ordered already. Returns whether it is complete and the VM
+/// accepts requests.
 async fn ensure_rebooted(core: &Core, vm: &VmName, reboot_id: &RebootId, report: &Report) -> bool {
     if report.reboot.as_ref() != Some(reboot_id) {
         if is_idle(report) && core.is_planner() {
@@ -178,7 +180,7 @@
     !report.drained || core.worker.report(vm).await.is_ok_and(|report| !report.drained)
 }
 
-/// Looks at every worker and learns which jobs run where.
+/// Polls every worker and records which jobs run where.
 async fn poll_all(core: &Core) -> Jobs {
     let state = core.state();
     let vms: Vec<(VmName, Vm)> =
@@ -195,7 +197,7 @@
     jobs
 }
 
-/// Looks at a worker, and takes back a drain that an earlier planner left behind.
+/// Polls a worker, and revokes a drain that a previous planner left in place.
 async fn poll(core: &Core, name: &VmName, vm: &Vm) -> Option<Report> {
     let report = core.worker.report(name).await.ok()?;
     if vm.status.takes_work() {
--- a/crates/crosspathd/src/follower.rs
+++ b/crates/crosspathd/src/follower.rs
@@ -1,4 +1,4 @@
-//! Reads the log and folds it.
+//! Reads the log and applies its records to the state.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Follows the log until the daemon ends, or until it meets a record that it must not fold past.
+/// Follows the log until the daemon stops, or halts at a record that it cannot apply or skip.
 pub(crate) async fn run(core: Arc<Core>) {
     while core.halted().is_none() {
         let after = core.state().applied;
@@ -54,7 +54,7 @@
     }
 }
 
-/// Folds one record; whether the daemon may go on.
+/// Applies one record. Returns whether the daemon may continue; if not, it has been halted.
 pub(crate) fn apply_record(core: &Core, state: &mut State, record: &Record) -> bool {
     let entry = match Entry::decode(&record.data) {
         Ok(entry) => entry,
@@ -84,7 +84,8 @@
     }
 }
 
-/// Compares another daemon's digest with that of the own state at the same revision.
+/// Compares the digest in another daemon's snapshot with that of the local state at the same
+/// revision. Returns `false` and halts the daemon if they differ.
 fn verify_digest(core: &Core, chunk: &Chunk) -> bool {
     let own = core.state_at(chunk.at).filter(|state| state.applied == chunk.at);
     let differs = chunk.index == 0 && own.is_some_and(|own| own.digest() != chunk.digest);
--- a/crates/crosspathd/src/gateway.rs
+++ b/crates/crosspathd/src/gateway.rs
@@ -1,4 +1,4 @@
-//! A caller's request, from its arrival to its final answer.
+//! Handles a caller's request from its arrival to the final answer.
 
 mod attempt;
 
@@ -25,7 +25,7 @@
 
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Answers callers.
+/// Runs callers' requests within their quotas and retry budget.
 #[derive(Debug)]
 pub(crate) struct Gateway {
     core: Arc<Core>,
@@ -33,7 +33,8 @@
     budget: Mutex<Budget>,
 }
 
-/// Counts a request from its arrival to its final answer, however it ends.
+/// Counts a request in the caller's quota and in the metrics from its admission until it is
+/// dropped, however the request ends.
 struct InFlight {
     gateway: Arc<Gateway>,
     caller: CallerName,
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Claims the key, runs the request, and records how it ended.
+    /// Claims the key, runs the request, and records its outcome under the key.
     async fn run_keyed(&self, attempts: Attempts<'_>, key: Key) -> Reply {
         let payment = attempts.payment;
         let request = Request { key, caller: payment.caller.clone(), digest: digest(payment) };
@@ -106,7 +107,7 @@
     }
 }
 
-/// Digest of what must be the same when a key is sent again.
+/// Digest of the parts that must be identical when a request is sent again with the same key.
 fn digest(payment: &Payment) -> String {
     let mut hasher = Sha256::new();
     for part in [payment.method.as_str(), &payment.path] {
@@ -117,7 +118,7 @@
     hex::encode(hasher.finalize())
 }
 
-/// The handler's own type, so that requests can outlive their connection.
+/// Handler for callers. It shares the gateway, so that a request can outlive its connection.
 #[derive(Debug)]
 pub(crate) struct CallerHandler(pub(crate) Arc<Gateway>);
 
@@ -145,7 +146,8 @@
         let keyed = payment.key.is_some();
         let running = Arc::clone(&gateway).run_admitted(payment, service);
         let reply = if keyed {
-            // Goes on when the caller is gone, so that a re-send finds the outcome.
+            // Continues after the caller disconnects, so that a retry by the caller finds the
+            // outcome.
             let ended = tokio::spawn(running).await;
             ended.unwrap_or_else(|_| Reply::Final(Final::unknown(Unknown::OutcomeLost)))
         } else {
@@ -170,8 +172,8 @@
     }
 }
 
-/// The answer to a request that was refused before its key was asked for: an earlier request with
-/// the key may have been run.
+/// Answer to a request that is refused before its key was claimed. With a key the outcome is
+/// unknown, because an earlier request with the same key may have run.
 fn refused_before_claim(payment: &Payment, reason: NotRun) -> Final {
     match payment.key {
         None => Final::not_run(reason, RETRY_AFTER),
@@ -179,7 +181,7 @@
     }
 }
 
-/// How a request that ended with `answer` is recorded under its key.
+/// Outcome that is recorded under the key of a request that ended with `answer`.
 fn outcome_of(answer: Answer) -> Outcome {
     match answer {
         Answer::NotRun(_) => Outcome::NotRun,
--- a/crates/crosspathd/src/gateway/attempt.rs
+++ b/crates/crosspathd/src/gateway/attempt.rs
@@ -1,4 +1,4 @@
-//! Sending a request to upstreams until one answers or nothing more may be tried.
+//! Sends a request to upstreams until one responds or no further attempt is permitted.
 
 use std::pin::Pin;
 use std::sync::PoisonError;
@@ -25,13 +25,13 @@
 use crate::clock;
 use crate::pools::{Slot, SlotRequest};
 
-/// Header by which an upstream says that it refused a request before running it.
+/// Header with which an upstream states that it refused a request before running it.
 const NOT_RUN: &str = "request-not-run";
 
-/// Largest answer to a request with a key; it is read whole before it is passed on.
+/// Largest response to a request with a key; it is buffered completely before it is forwarded.
 const MAX_KEYED_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
 
-/// One request on its way to upstreams.
+/// All attempts to run one request.
 pub(super) struct Attempts<'a> {
     pub(super) gateway: &'a Gateway,
     pub(super) payment: &'a Payment,
@@ -39,7 +39,7 @@
     pub(super) deadline: Monotonic,
 }
 
-/// An upstream's answer and the slot that it still uses.
+/// Response of an upstream, and the slot that it occupies until its body ends.
 struct UpstreamResponse {
     response: Response<StreamingBody>,
     slot: Slot,
@@ -47,7 +47,7 @@
 }
 
 impl Attempts<'_> {
-    /// Runs the request and passes the answer on as it streams in.
+    /// Runs the request and forwards the response as it streams in.
     pub(super) async fn run(&self) -> Reply {
         match self.send_until_final().await {
             Ok(upstream_response) => {
@@ -60,7 +60,8 @@
         }
     }
 
-    /// Runs the request, reads the whole answer, and says how to record it.
+    /// Runs the request, reads the complete response, and returns it with the outcome to record. A
+    /// body larger than `max_recorded_bytes` is not recorded.
     pub(super) async fn run_buffered(&self, max_recorded_bytes: u64) -> (Reply, Outcome) {
         let UpstreamResponse { response, mut slot, sent_at } = match self.send_until_final().await {
             Ok(upstream_response) => upstream_response,
@@ -169,7 +170,8 @@
     }
 }
 
-/// A refusal of a further attempt must not deny what an earlier one may have done.
+/// Answer when a further attempt is refused: unknown if an earlier attempt may have run the
+/// request.
 fn refusal_after(refusal: Final, may_have_run: bool) -> Final {
     if may_have_run { Final::unknown(Unknown::UpstreamCut) } else { refusal }
 }
@@ -197,7 +199,8 @@
     Outcome::Answered(Recorded { status, content_type, body: bytes.to_vec() })
 }
 
-/// An answer on its way to the caller; its slot is free when it is whole, or given up.
+/// Body forwarded to the caller. It holds its slot until it is dropped, and records on the slot how
+/// the response ended.
 struct ForwardedBody {
     inner: StreamingBody,
     slot: Slot,
--- a/crates/crosspathd/src/handover.rs
+++ b/crates/crosspathd/src/handover.rs
@@ -1,8 +1,8 @@
-//! Handing partitions of payment keys over, with their claims.
+//! Hands over partitions of payment keys, with their claims, to another member.
 //!
-//! The owner stops deciding on the partitions, sends their claims, and only then records the new
-//! owner. If the peer did not take the claims, or the record was certainly not appended, it goes on
-//! deciding.
+//! The owner freezes the partitions, sends their claims, and only then records the new owner. If
+//! the peer does not accept the claims, or the record was definitely not appended, the owner
+//! resumes deciding on the partitions.
 
 use std::collections::BTreeSet;
 
@@ -14,7 +14,7 @@
 
 use crate::core::Core;
 
-/// Hands partitions to a member; whether it has them now.
+/// Hands partitions over to a member. Returns whether it owns them now.
 pub(crate) async fn hand_over(core: &Core, partitions: Vec<u16>, to: Writer) -> bool {
     let Some(link) = core.links.get(&to.daemon) else {
         return false;
@@ -31,7 +31,7 @@
     let daemon = to.daemon.clone();
     let change = Change::Member(Membership::Handover { partitions, to });
     let result = core.committer.commit_until_final(vec![change]).await;
-    // From here on the state says who owns them.
+    // From here on the state determines the owner.
     core.unfreeze(&moving);
     log::info!(
         "event=handed_over to={daemon} partitions={} claims={count} done={}",
@@ -41,7 +41,7 @@
     result.is_ok()
 }
 
-/// Hands everything to the guard, as before a planned stop.
+/// Hands all partitions over to this daemon's guard before a graceful stop.
 pub(crate) async fn hand_over_all(core: &Core) -> Result<(), CommitError> {
     let state = core.state();
     let own = &core.settings.name;
@@ -61,7 +61,7 @@
     Some(Writer { daemon: daemon.clone(), incarnation: member.incarnation })
 }
 
-/// Gives the member with the fewest partitions what this one has beyond its fair part.
+/// Hands this daemon's surplus over its fair share to the member with the fewest partitions.
 pub(crate) async fn balance(core: &Core) {
     let state = core.state();
     let own = core.settings.name.clone();
--- a/crates/crosspathd/src/jobs.rs
+++ b/crates/crosspathd/src/jobs.rs
@@ -1,4 +1,4 @@
-//! Brings the jobs on the workers into line with the state.
+//! Reconciles the jobs on the workers with the state.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,20 +13,20 @@
 use crate::clock;
 use crate::core::Core;
 
-/// Orders under way at one time.
+/// Orders sent to workers concurrently.
 const MAX_CONCURRENT_ORDERS: usize = 16;
 
 const INITIAL_BACKOFF: Duration = Duration::from_millis(200);
 const MAX_DOUBLINGS: u32 = 7;
 
-/// What the workers were last known to do, by job, and orders that failed.
+/// Last observed state of each job on the workers, and back-offs of failed orders.
 #[derive(Debug, Default)]
 pub(crate) struct Jobs {
     observed: BTreeMap<JobName, BTreeMap<VmName, JobState>>,
     backoffs: BTreeMap<(VmName, JobName), Backoff>,
 }
 
-/// How often an order failed in a row, and when it may be given again.
+/// Back-off of an order after consecutive failures. `failures` is 0 after the first one.
 #[derive(Debug, Clone, Copy)]
 struct Backoff {
     failures: u32,
@@ -42,7 +42,7 @@
 }
 
 impl Jobs {
-    /// Notes what a worker reports, in place of what it was thought to do.
+    /// Replaces what was observed on a worker by its report.
     pub(crate) fn record_report(&mut self, vm: &VmName, report: &Report) {
         for vms in self.observed.values_mut() {
             vms.remove(vm);
@@ -53,7 +53,7 @@
         self.observed.retain(|_, vms| !vms.is_empty());
     }
 
-    /// Gives the orders that are missing. A job that moved is stopped where it was before it is
+    /// Sends the missing orders. A job that moved is stopped on its previous VM before it is
     /// started elsewhere.
     pub(crate) async fn reconcile(&mut self, core: &Core, state: &State) {
         self.forget_failed_vms(state);
@@ -63,7 +63,8 @@
         self.send_orders(core, starts).await;
     }
 
-    /// What ran on a VM that failed runs there no more; if it comes back it is looked at again.
+    /// Discards what was observed on failed VMs: their jobs no longer run. A VM that recovers is
+    /// polled again.
     fn forget_failed_vms(&mut self, state: &State) {
         let failed = |vm: &VmName| {
             let phase = state.vms.get(vm).map(|vm| &vm.status);
--- a/crates/crosspathd/src/lib.rs
+++ b/crates/crosspathd/src/lib.rs
@@ -1,18 +1,19 @@
-//! The daemon of an entry VM, wired from the other crates.
+//! The daemon of an entry VM, assembled from the other crates.
 //!
-//! # Shared tables and lock order
+//! # Shared state and lock order
 //!
-//! Tasks share the tables of [`core::Core`]. A task that holds one lock takes another only further
-//! down this list, and holds none across an await:
+//! Tasks share the state in [`core::Core`]. A task that holds a lock may acquire only locks further
+//! down this list, and it holds no lock across an await:
 //!
-//! 1. `claims` (payment keys of own partitions)
-//! 2. `leases` (promises given and got), `frozen` (partitions being handed over)
-//! 3. `seen` (what peers said last)
+//! 1. `claims` (payment keys in this daemon's partitions)
+//! 2. `leases` (lease grants given and received), `frozen` (partitions being handed over)
+//! 3. `peer_states` (last heartbeat of each peer)
 //! 4. `pools` (the map), then one pool
 //! 5. `outcomes` (verdicts of recent batches)
 //! 6. `history` (recent states)
 //!
-//! The state itself is read without a lock: it is replaced whole.
+//! The replicated state is not in this list: it is replaced as a whole, and readers share a
+//! snapshot.
 
 mod api;
 mod bootstrap;
--- a/crates/crosspathd/src/logging.rs
+++ b/crates/crosspathd/src/logging.rs
@@ -1,7 +1,7 @@
-//! Logs on standard output, one line for each event, that never hold the daemon up.
+//! Non-blocking logging to standard output, one line for each event.
 //!
-//! A reader that does not keep up costs lines, not time: a line that cannot be written at once is
-//! dropped, and the next one that can tells how many were.
+//! A slow reader must not delay the daemon. A line that cannot be written immediately is dropped,
+//! and the number of dropped lines is logged before the next line that can be written.
 
 use std::io;
 use std::os::fd::AsFd as _;
@@ -10,7 +10,7 @@
 use nix::errno::Errno;
 use nix::fcntl::{FcntlArg, OFlag, fcntl};
 
-/// Starts logging as `RUST_LOG` says, from `info` on where it says nothing.
+/// Starts logging with the filter in `RUST_LOG`, or at level `info` if that is not set.
 pub(crate) fn start() {
     let mut builder = Builder::from_env(Env::default().default_filter_or("info"));
     if let Err(error) = make_non_blocking() {
@@ -27,7 +27,7 @@
     fcntl(stdout.as_fd(), FcntlArg::F_SETFL(flags | OFlag::O_NONBLOCK)).map(drop)
 }
 
-/// Writes whole lines, or none of a line.
+/// Writes each line completely or drops it.
 #[derive(Debug, Default)]
 struct LossyWriter {
     dropped: u64,
@@ -47,8 +47,8 @@
         if self.dropped > 0 {
             self.report_dropped();
         }
-        // A pipe takes lines of this length whole or not at all. There is nowhere to tell of a
-        // standard output that is gone.
+        // A pipe accepts a line of this length completely or not at all. If standard output is
+        // closed, there is nowhere to report that.
         if nix::unistd::write(io::stdout().as_fd(), line).is_err() {
             self.dropped += 1;
         }
--- a/crates/crosspathd/src/main.rs
+++ b/crates/crosspathd/src/main.rs
@@ -1,4 +1,4 @@
-//! `crosspathd`: the daemon of an entry VM.
+//! `crosspathd`, the daemon of an entry VM: command line and start of logging.
 
 mod commands;
 mod logging;
@@ -27,11 +27,11 @@
         .argument::<PathBuf>("FILE");
     let platform = construct!(Command::Platform { platform });
     let check_settings = long("check-settings")
-        .help("Check the settings in this JSON file and end")
+        .help("Check the settings in this JSON file and exit")
         .argument::<PathBuf>("FILE");
     let check = construct!(Command::Check { check_settings });
     let schema = long("settings-schema")
-        .help("Print the JSON schema of the settings and end")
+        .help("Print the JSON schema of the settings and exit")
         .req_flag(Command::Schema);
     construct!([run, platform, check, schema]).to_options().descr("The daemon of an entry VM")
 }
--- a/crates/crosspathd/src/membership.rs
+++ b/crates/crosspathd/src/membership.rs
@@ -1,4 +1,4 @@
-//! Joining, naming a guard, evicting, and heartbeats.
+//! Membership: joining, assigning a guard, evicting members, and heartbeats.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,27 +16,28 @@
 use crate::handover;
 use crate::peers;
 
-/// Peers that get a heartbeat in one round; the others take turns.
+/// Number of peers sent a heartbeat in one round; those not due in every round take turns.
 const FAN_OUT: usize = 6;
 
-/// Time between two looks at what is in flight on VMs that drain.
+/// Interval at which the requests in flight on draining VMs are checked.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Sends heartbeats until the daemon ends.
+/// Sends heartbeats until the daemon stops.
 pub(crate) async fn send_heartbeats(core: Arc<Core>) {
     let interval = core.settings.timing.heartbeat;
     let mut next = Instant::now();
     for round in 0.. {
         let peers = heartbeat_targets(&core, round);
         let heartbeats = peers.into_iter().map(|peer| send_heartbeat(Arc::clone(&core), peer));
-        // One slow peer holds up no beat to the others.
+        // Spawned, so that a slow peer does not delay heartbeats to the others.
         drop(tokio::spawn(join_all(heartbeats)));
         next = (next + interval).max(Instant::now());
         sleep_until(next).await;
     }
 }
 
-/// The guard and those guarded in every round, the planner too, and the others in turn.
+/// Peers that get a heartbeat in this round: always this daemon's guard, the members that it guards
+/// and the planner; the others in turn.
 fn heartbeat_targets(core: &Core, round: usize) -> Vec<DaemonName> {
     let names: Vec<_> = core.links.keys().cloned().collect();
     if names.len() <= FAN_OUT {
@@ -70,7 +71,8 @@
     peers::record_heartbeat(&core, reply.heartbeat);
 }
 
-/// While VMs drain, tells the planner at once what changes in flight here on them.
+/// While VMs drain, sends the planner a heartbeat as soon as this daemon's requests in flight on
+/// them change.
 pub(crate) async fn report_draining(core: Arc<Core>) {
     let mut states = core.state.subscribe();
     let mut last_sent = None;
@@ -96,7 +98,8 @@
     }
 }
 
-/// Keeps this daemon a member with a guard, and removes members that are gone.
+/// Keeps this daemon a member with a guard, evicts members whose lease has expired, and balances
+/// partitions.
 pub(crate) async fn run(core: Arc<Core>) {
     let interval = core.settings.timing.heartbeat / 2;
     loop {
@@ -126,7 +129,8 @@
 async fn join(core: &Core, state: &State, own: &Writer) {
     let was_member = state.writers.get(&own.daemon);
     if let Some(last) = was_member.filter(|last| last.incarnation >= own.incarnation) {
-        // Evicted while away, or another life has this name's last word.
+        // This incarnation was evicted, or a later incarnation of this daemon has written to the
+        // log.
         core.begin_incarnation(last.incarnation);
         core.claims().clear();
     }
@@ -141,7 +145,8 @@
     let Some(guard) = member::successor(&state.members, &own.daemon) else {
         return;
     };
-    // Until the record is settled the new guard's promise is needed too, so it is asked for first.
+    // Until the outcome of the record is final the lease needs a grant of the new guard too, so the
+    // holder is informed before the record is appended.
     core.leases().holder.set_pending_guard(Some(guard.clone()));
     let change = Change::Member(Membership::Guard { guard: guard.clone() });
     let result = core.committer.commit_until_final(vec![change]).await;
--- a/crates/crosspathd/src/outcomes.rs
+++ b/crates/crosspathd/src/outcomes.rs
@@ -1,4 +1,4 @@
-//! Verdicts of recent batches, for whoever waits for them or asks later.
+//! Verdicts of recent batches, for requests that wait for them or query them later.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -11,7 +11,7 @@
 /// One verdict for each change of a batch.
 pub(crate) type Verdicts = Vec<Result<Revision, Conflict>>;
 
-/// Verdicts by batch, the oldest of which are forgotten.
+/// Verdicts by batch; the oldest are evicted. `incomplete` is set once some verdicts are missing.
 #[derive(Debug, Default)]
 pub(crate) struct Outcomes {
     verdicts: BTreeMap<BatchId, Verdicts>,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Notes that batches before the state's revision were not seen.
+    /// Records that the state was restored, so that the verdicts of some batches are missing.
     pub(crate) fn mark_incomplete(&mut self) {
         self.incomplete = true;
     }
@@ -39,7 +39,7 @@
         self.verdicts.get(id)
     }
 
-    /// What became of one change.
+    /// Outcome of the change with the id `change`, as returned by [`change_id`].
     pub(crate) fn outcome(&self, state: &State, change: &str) -> Outcome {
         let Some((id, index)) = parse_change_id(change) else {
             return Outcome::Unrecorded;
@@ -53,7 +53,7 @@
         }
         let last = state.writers.get(&id.writer.daemon);
         let last = last.map(|last| (last.incarnation, last.sequence));
-        // The fold drops it from now on, should it still arrive.
+        // If the batch still arrives in the log, it is dropped when it is applied.
         let fenced = last > Some((id.writer.incarnation, id.sequence));
         match (fenced, self.incomplete) {
             (true, false) => Outcome::NotAccepted,
@@ -63,7 +63,7 @@
     }
 }
 
-/// The id of one change, as it is given to an operator.
+/// Id of one change, as returned to an operator.
 pub(crate) fn change_id(id: &BatchId, index: usize) -> String {
     format!("{}.{}.{}.{index}", id.writer.daemon, id.writer.incarnation.0, id.sequence)
 }
--- a/crates/crosspathd/src/peers.rs
+++ b/crates/crosspathd/src/peers.rs
@@ -1,4 +1,4 @@
-//! What peers are told and asked.
+//! Heartbeats and requests between peers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,7 +17,7 @@
 use crate::clock;
 use crate::core::Core;
 
-/// What a peer said last.
+/// Contents of the last heartbeat received from a peer.
 #[derive(Debug, Clone)]
 pub(crate) struct PeerState {
     pub(crate) writer: Writer,
@@ -28,7 +28,8 @@
 }
 
 impl PeerState {
-    /// Whether the peer, in this life, sends nothing to a VM that began to drain at `revision`.
+    /// Whether the peer, in the incarnation `writer`, knows that `vm` drains since `revision` and
+    /// has no requests in flight on it.
     pub(crate) fn has_drained(&self, writer: &Writer, vm: &VmName, revision: Revision) -> bool {
         self.writer == *writer
             && self.applied >= revision
@@ -36,9 +37,9 @@
     }
 }
 
-/// This daemon's own heartbeat.
+/// Heartbeat that this daemon sends.
 pub(crate) fn own_heartbeat(core: &Core) -> Heartbeat {
-    // Read first: what is in flight then is at least as new as the revision says.
+    // Read first, so that the numbers of requests in flight are at least as recent as the revision.
     let applied = core.state().applied;
     Heartbeat {
         from: core.own_writer(),
@@ -48,7 +49,8 @@
     }
 }
 
-/// Notes a peer's heartbeat; one from an earlier life, or overtaken, is dropped.
+/// Records a peer's heartbeat, unless a later one, or one of a later incarnation, was received
+/// before.
 pub(crate) fn record_heartbeat(core: &Core, heartbeat: Heartbeat) {
     let reported = PeerState {
         applied: heartbeat.applied,
@@ -67,7 +69,7 @@
     }
 }
 
-/// Members that may still send to a VM that drains, or have something in flight there.
+/// Members that may still send requests to a draining VM, or have some in flight on it.
 pub(crate) fn undrained_members(core: &Core, state: &State, vm: &VmName) -> Vec<DaemonName> {
     let Some(stored) = state.vms.get(vm) else {
         return Vec::new();
@@ -83,7 +85,7 @@
     behind.map(|(name, _)| name.clone()).collect()
 }
 
-/// Answers peers.
+/// Handles peers' requests.
 #[derive(Debug)]
 pub(crate) struct PeerHandler(pub(crate) Arc<Core>);
 
--- a/crates/crosspathd/src/pools.rs
+++ b/crates/crosspathd/src/pools.rs
@@ -1,4 +1,4 @@
-//! Slots of every pool, and the requests that wait for them.
+//! Slots of all pools, and the queues of requests for them.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -19,7 +19,7 @@
 
 use crate::clock;
 
-/// Slots of every pool.
+/// Slots of all pools at this daemon.
 #[derive(Debug)]
 pub(crate) struct Pools {
     pools: RwLock<BTreeMap<PoolName, Arc<Pool>>>,
@@ -40,7 +40,7 @@
     waiters: HashMap<Ticket, oneshot::Sender<Slot>>,
 }
 
-/// A slot of a VM; it is free again when this is dropped.
+/// A slot of a VM, released when dropped.
 #[derive(Debug)]
 pub(crate) struct Slot {
     pool: Arc<Pool>,
@@ -54,7 +54,7 @@
         &self.vm
     }
 
-    /// Says how the use ended; without a word it counts as abandoned.
+    /// Sets how the use of the slot ended. It counts as abandoned if this is never called.
     pub(crate) fn set_completion(&mut self, completion: Completion) {
         self.completion = completion;
     }
@@ -79,7 +79,7 @@
     Waiting(oneshot::Receiver<Slot>),
 }
 
-/// Takes a request out of the queue when whoever waits goes away.
+/// Removes a request from the queue when its waiting task ends or is cancelled.
 struct CancelOnDrop<'a> {
     pool: &'a Arc<Pool>,
     ticket: Ticket,
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Hands granted slots over; one that nobody waits for any more is freed again at once.
+    /// Delivers granted slots to their waiters. A slot without a waiter is released immediately.
     fn deliver(self: &Arc<Self>, grants: Vec<Grant>) {
         for grant in grants {
             let waiter = self.lock().waiters.remove(&grant.ticket);
@@ -143,7 +143,7 @@
     }
 }
 
-/// A request for a slot.
+/// Request for a slot, valid until its deadline.
 #[derive(Debug)]
 pub(crate) struct SlotRequest<'a> {
     pub(crate) pool: &'a PoolName,
@@ -195,7 +195,7 @@
         Arc::clone(pool)
     }
 
-    /// Says which VMs take work: those that serve, less those that are known to be leaving.
+    /// Updates the VMs that accept work: those whose phase allows it, except `leaving` ones.
     pub(crate) fn update(&self, state: &State, leaving: &BTreeSet<VmName>) {
         for name in state.pools.keys() {
             let serving = state
@@ -214,7 +214,7 @@
         }
     }
 
-    /// Gives out slots that became free by time alone.
+    /// Grants slots that became available by the passage of time alone.
     pub(crate) fn tick(&self) {
         for pool in self.all() {
             let grants = pool.lock().dispatch.grant(clock::monotonic(), &mut rand::rng());
@@ -222,12 +222,12 @@
         }
     }
 
-    /// Requests in flight on a VM, in whatever pool it was.
+    /// Number of requests in flight on a VM, over all pools: the VM may have changed its pool.
     pub(crate) fn in_flight(&self, vm: &VmName) -> u32 {
         self.all().iter().map(|pool| pool.lock().dispatch.in_flight(vm)).sum()
     }
 
-    /// Waits for a slot.
+    /// Waits for a slot until the deadline of the request.
     pub(crate) async fn acquire(&self, request: SlotRequest<'_>) -> Result<Slot, Final> {
         let Some(pool) = self.pool(request.pool) else {
             return Err(Final::not_run(NotRun::NoUpstream, Duration::from_secs(1)));
--- a/crates/crosspathd/src/snapshotter.rs
+++ b/crates/crosspathd/src/snapshotter.rs
@@ -1,4 +1,4 @@
-//! Writes snapshots into the log, well before its records expire.
+//! Writes snapshots to the log, well before its records expire.
 
 use std::sync::Arc;
 
@@ -7,7 +7,8 @@
 
 use crate::core::Core;
 
-/// Writes one whenever enough records have come since the last, while this daemon plans.
+/// While this daemon is the planner, writes a snapshot whenever `snapshot_every` revisions have
+/// passed since the last one.
 pub(crate) async fn run(core: Arc<Core>) {
     let mut last = Revision::default();
     let mut states = core.state.subscribe();
@@ -18,7 +19,7 @@
             continue;
         }
         for chunk in snapshot::split(&state, &core.own_writer()) {
-            // A snapshot with a chunk missing is ignored; one written twice does no harm.
+            // An incomplete snapshot is ignored, and a snapshot written twice is harmless.
             if core.log.append(Entry::Snapshot(chunk).encode()).await.is_err() {
                 break;
             }
--- a/crates/crosspathd/src/stop.rs
+++ b/crates/crosspathd/src/stop.rs
@@ -1,8 +1,9 @@
-//! The planned stop.
+//! Graceful stop.
 //!
-//! Unready first, so that the balancer sends callers elsewhere; then no further connections, while
-//! what is in flight finishes and partitions go to the guard with their claims; then out of the
-//! members. A second signal ends at once.
+//! The daemon first reports that it is not ready, so that the load balancer sends callers
+//! elsewhere. It then accepts no further connections, lets requests in flight finish, and hands its
+//! partitions with their claims over to its guard. Finally it leaves the members. A second signal
+//! stops the daemon immediately.
 
 use std::sync::Arc;
 
@@ -14,7 +15,7 @@
 use crate::core::Core;
 use crate::handover;
 
-/// Waits for a signal to stop.
+/// Receives the signals to stop, SIGTERM and SIGINT.
 #[derive(Debug)]
 pub(crate) struct Signals {
     terminate: Signal,
@@ -22,7 +23,7 @@
 }
 
 impl Signals {
-    /// Listens from now on.
+    /// Installs the signal handlers.
     pub(crate) fn new() -> std::io::Result<Self> {
         Ok(Self {
             terminate: signal(SignalKind::terminate())?,
@@ -38,7 +39,8 @@
     }
 }
 
-/// Stops as planned; `callers` ends when nothing of theirs is in flight any more.
+/// Stops gracefully. `callers` is the task of the callers' listener, which ends when no request of
+/// theirs is in flight.
 pub(crate) async fn graceful(core: &Arc<Core>, callers: JoinHandle<()>) {
     let timing = &core.settings.timing;
     log::info!("event=stopping");
--- a/crates/crosspathd/src/watcher.rs
+++ b/crates/crosspathd/src/watcher.rs
@@ -1,8 +1,8 @@
-//! Watches for VMs that fail, come back, or leave.
+//! Detects VMs that fail, recover, or leave.
 //!
-//! The platform's list lags, so it only raises the question; a VM is recorded as failed when its
-//! worker does not say that it is up either. A VM that is listed as leaving gets no new work from
-//! this daemon, whatever the log says.
+//! The platform's VM list lags, so a difference from the state is only a suspicion: a VM is
+//! recorded as failed if its worker does not report that it is up either. A VM that is listed as
+//! leaving gets no new work from this daemon, whatever its phase in the log.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -18,11 +18,12 @@
 use crate::core::Core;
 
 const MIN_INTERVAL: Duration = Duration::from_secs(1);
-/// Keeps the list, at about 35 bytes a VM, under 3 KB a second however many VMs there are.
+/// Limits the transfer of the list, about 35 bytes a VM, to less than 3 KB a second for any number
+/// of VMs.
 const INTERVAL_PER_VM: Duration = Duration::from_millis(12);
 const POOL_TICK: Duration = Duration::from_millis(100);
 
-/// Keeps the pools' VMs up to date with the state and with the list.
+/// Keeps the VMs of the pools up to date with the state and the VM list.
 pub(crate) async fn run(core: Arc<Core>) {
     let mut leaving = BTreeSet::new();
     let mut states = core.state.subscribe();
@@ -72,11 +73,11 @@
     log::info!("event=vm_failures_recorded done={}", result.is_ok());
 }
 
-/// What the list says, where it differs from the state.
+/// Liveness of a VM according to the list, if it differs from the state.
 fn differing_liveness(state: &State, entry: &Entry) -> Option<Liveness> {
     let phase = &state.vms.get(&entry.vm)?.status;
     let differs = match (phase, entry.liveness) {
-        // The platform brings it back, or the wave shows that it does not.
+        // The platform restarts the VM; if it does not, the wave detects that.
         (vm::Phase::Rebooting { .. }, _) => false,
         (vm::Phase::Failed { .. }, liveness) => liveness == Liveness::Live,
         (_, liveness) => liveness == Liveness::Down,
