--- a/crates/crosspath_log/src/http.rs
+++ b/crates/crosspath_log/src/http.rs
@@ -1,4 +1,4 @@
-//! The log over HTTP.
+//! Client of the log over HTTP.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,21 +10,21 @@
 
 use crate::{AppendError, Log, Page, ReadError};
 
-/// Body of an append.
+/// Body of an append request.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Append {
-    /// The record.
+    /// Content of the record.
     pub data: String,
 }
 
-/// Answer to an append.
+/// Response to an append request.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct Appended {
-    /// Its offset.
+    /// Offset of the appended record.
     pub offset: Revision,
 }
 
-/// The log of the platform at one address.
+/// HTTP client of the platform's log at one address.
 #[derive(Debug, Clone)]
 pub struct HttpLog {
     client: Client,
@@ -32,7 +32,7 @@
 }
 
 impl HttpLog {
-    /// Makes a client; each call takes at most `timeout`, beside the wait of a read.
+    /// Creates a client. Each call takes at most `timeout`; a read may wait its `wait` in addition.
     #[must_use]
     pub fn new(address: SocketAddr, timeout: Duration) -> Self {
         Self { client: Client::new(address, timeout), timeout }
@@ -71,7 +71,7 @@
     }
 }
 
-/// Whether the status says that nothing was appended, by the contract of the platform.
+/// Whether the platform's contract guarantees for this status that nothing was appended.
 fn is_refusal(status: StatusCode) -> bool {
     status.is_client_error() || status == StatusCode::SERVICE_UNAVAILABLE
 }
--- a/crates/crosspath_log/src/lib.rs
+++ b/crates/crosspath_log/src/lib.rs
@@ -1,6 +1,6 @@
-//! The platform's append-only log, the only thing that is kept.
+//! The platform's append-only log, the only durable storage of the system.
 //!
-//! [`Log`] is the border; [`HttpLog`] is its one real implementation, over the contract of
+//! [`Log`] is the interface; [`HttpLog`] is its production implementation, after the contract in
 //! `docs/PLATFORM.md`.
 
 mod http;
@@ -14,65 +14,66 @@
 
 pub use crate::http::{Append, Appended, HttpLog};
 
-/// An append without an offset.
+/// Why an append returned no offset.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum AppendError {
     /// Nothing was appended.
-    #[snafu(display("the log did not take the record"))]
+    #[snafu(display("the log did not append the record"))]
     NotAppended,
-    /// It may have been appended, or still be; only reading tells.
-    #[snafu(display("the log did not say whether it took the record"))]
+    /// The record may have been appended, or may still be; only reading the log shows it.
+    #[snafu(display("the log did not confirm whether it appended the record"))]
     Unknown,
 }
 
-/// A read without records.
+/// Why a read returned no page.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum ReadError {
-    /// The log gives no answer.
-    #[snafu(display("the log gives no answer"))]
+    /// The call failed, or the log did not respond in time.
+    #[snafu(display("the log is unavailable"))]
     Unavailable,
-    /// The records asked for are no longer kept.
-    #[snafu(display("the log keeps records only from {first}"))]
+    /// The log has already deleted the first of the requested records.
+    #[snafu(display("the log retains records only from offset {first}"))]
     Expired {
-        /// The oldest that is kept.
+        /// Offset of the oldest retained record.
         first: Revision,
     },
 }
 
-/// One record.
+/// A record of the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Its offset, from 1.
+    /// Offset in the log; the first record has 1.
     pub offset: Revision,
-    /// Its content.
+    /// Content, which the log does not interpret.
     pub data: String,
 }
 
-/// Some records in order.
+/// Consecutive records of the log, and the range that it retains.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Page {
-    /// The records.
+    /// Records in the order of their offsets; empty if none arrived in time.
     pub records: Vec<Record>,
-    /// Offset of the oldest record that is kept.
+    /// Offset of the oldest retained record.
     pub first: Revision,
-    /// Offset of the newest record; 0 when there never was one.
+    /// Offset of the newest record; 0 if nothing was ever appended.
     pub last: Revision,
 }
 
-/// An append-only log with offsets.
+/// An append-only log that numbers its records.
 #[async_trait]
 pub trait Log: Send + Sync + std::fmt::Debug {
-    /// Appends a record and gives its offset.
+    /// Appends a record and returns its offset.
     ///
     /// # Errors
     ///
-    /// [`AppendError`].
+    /// [`AppendError`] states whether the record may have been appended all the same.
     async fn append(&self, data: String) -> Result<Revision, AppendError>;
 
-    /// Reads records after an offset, waiting up to `wait` for the first.
+    /// Reads records after an offset, waiting up to `wait` for the first one.
     ///
     /// # Errors
     ///
-    /// [`ReadError`].
+    /// [`ReadError::Expired`] if the record after `after` is no longer retained,
+    /// [`ReadError::Unavailable`] if the log cannot be read.
     async fn read(&self, after: Revision, wait: Duration) -> Result<Page, ReadError>;
 }
--- a/crates/crosspath_state/src/apply.rs
+++ b/crates/crosspath_state/src/apply.rs
@@ -1,4 +1,4 @@
-//! The fold: one record in, the next state out.
+//! Application of log records: one record in, the next state out.
 
 mod jobs;
 mod members;
@@ -12,18 +12,18 @@
 use crate::state::{LastWrite, State};
 use crate::time::Wall;
 
-/// What one record did.
+/// Effect of one record on the state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Applied {
-    /// A batch was folded; one verdict for each change.
+    /// A batch was applied; one result for each of its changes, in order.
     Batch(Vec<Result<Revision, Conflict>>),
-    /// A second copy, or one from an earlier life of its writer; dropped.
+    /// The batch was a duplicate or came from an earlier incarnation of its writer; it was ignored.
     Dropped,
-    /// A part of a snapshot; nothing changed.
+    /// A chunk of a snapshot; only the offset advanced.
     Snapshot,
 }
 
-/// A record that is not the next one.
+/// The offset of a record does not follow the last applied one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 #[snafu(display("record {offset} does not follow {applied}; start from a snapshot"))]
 pub struct Gap {
@@ -31,7 +31,7 @@
     offset: Revision,
 }
 
-/// What a change is told of the batch around it.
+/// Properties of the batch that a change belongs to.
 pub(crate) struct Context<'a> {
     pub(crate) offset: Revision,
     pub(crate) writer: &'a Writer,
@@ -39,11 +39,11 @@
 }
 
 impl State {
-    /// Folds the record at `offset`.
+    /// Applies the record at `offset`.
     ///
     /// # Errors
     ///
-    /// [`Gap`] when `offset` is not the next one; the state is as it was.
+    /// [`Gap`] if `offset` is not the next one; the state is then unchanged.
     pub fn apply(&mut self, offset: Revision, entry: &Entry) -> Result<Applied, Gap> {
         let applied = self.applied;
         ensure!(offset == applied.next(), GapSnafu { applied, offset });
--- a/crates/crosspath_state/src/apply/jobs.rs
+++ b/crates/crosspath_state/src/apply/jobs.rs
@@ -1,4 +1,4 @@
-//! Placing, suspending and moving jobs.
+//! Placement, suspension and moves of jobs.
 
 use snafu::{OptionExt as _, ensure};
 
@@ -14,7 +14,7 @@
 use crate::state::{State, Stored};
 use crate::vm;
 
-/// What the jobs of a VM take together.
+/// Resources that a set of jobs takes together.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Allocation {
     cores: u32,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// What `vm` has too little of, if anything.
+    /// Name of the first resource of which `vm` has too little, if any.
     pub(super) fn shortage_on(self, vm: &vm::Spec) -> Option<&'static str> {
         match () {
             () if self.cores > vm.cores => Some("cores"),
@@ -43,7 +43,7 @@
 }
 
 impl State {
-    /// What the jobs on a VM take.
+    /// Resources that the running and suspended jobs on a VM take.
     pub(super) fn allocation_on(&self, vm: &VmName) -> Allocation {
         self.jobs_on(vm)
             .fold(Allocation::default(), |allocation, (_, job)| allocation.plus(&job.spec))
@@ -55,7 +55,8 @@
         name: &JobName,
         action: &JobAction,
     ) -> Result<(), Conflict> {
-        let id = ResourceName::new(name.as_str()).expect("a name of one kind is one of every kind");
+        let id =
+            ResourceName::new(name.as_str()).expect("all kinds of names follow the same rules");
         let id = Id::new(Kind::Job, id);
         let job = self.jobs.get(name).context(NotFoundSnafu { id })?;
         let status = self.next_status(name, job, action)?;
--- a/crates/crosspath_state/src/apply/members.rs
+++ b/crates/crosspath_state/src/apply/members.rs
@@ -1,4 +1,4 @@
-//! Daemons that join, name their guard, evict, hand over and leave.
+//! Membership changes: joining, naming a guard, eviction, handover of partitions and leaving.
 
 use snafu::{OptionExt as _, ensure};
 
@@ -41,7 +41,8 @@
         Ok(())
     }
 
-    /// A new life knows no claim of the one before, so its knowledge starts now.
+    /// Makes the writer a member. A new incarnation knows no claim of the previous one, so the
+    /// partitions that it already owns are known to it only from now on.
     fn join(&mut self, context: &Context<'_>) {
         let daemon = &context.writer.daemon;
         let incarnation = context.writer.incarnation;
@@ -82,7 +83,7 @@
         Ok(())
     }
 
-    /// Takes a member out; its partitions and the members it guarded go to `heir`.
+    /// Removes a member; its partitions and the members that it guarded pass to `successor`.
     fn remove_member(&mut self, daemon: &DaemonName, successor: Option<&DaemonName>, since: Wall) {
         self.members.remove(daemon);
         let guarded = self.members.iter().filter(|(_, other)| other.guard.as_ref() == Some(daemon));
--- a/crates/crosspath_state/src/apply/resources.rs
+++ b/crates/crosspath_state/src/apply/resources.rs
@@ -1,4 +1,4 @@
-//! Declaring and removing resources.
+//! Declaration and deletion of resources.
 
 use snafu::{OptionExt as _, ensure};
 
@@ -16,13 +16,13 @@
 use crate::state::{State, Stored};
 use crate::{job, vm, wave};
 
-/// The name of a resource of a known kind; the rules for names are the same for all.
+/// Name of the resource as the type of its kind; all kinds of names follow the same rules.
 fn parse_name<N: std::str::FromStr>(id: &Id) -> Result<N, Conflict> {
     id.name.as_str().parse().ok().context(KindMismatchSnafu { id: id.clone() })
 }
 
 fn id(kind: Kind, name: &str) -> Id {
-    Id::new(kind, ResourceName::new(name).expect("a name of one kind is one of every kind"))
+    Id::new(kind, ResourceName::new(name).expect("all kinds of names follow the same rules"))
 }
 
 impl State {
@@ -119,7 +119,8 @@
         Ok(())
     }
 
-    /// A VM leaves its pool only when no step is under way and no job runs there.
+    /// Checks that a VM may leave its pool: it must be in no maintenance step and hold no job, and
+    /// the pool must keep its minimum of serving VMs.
     fn check_removal(
         &self,
         name: &VmName,
@@ -141,14 +142,14 @@
         }
     }
 
-    /// A failed VM uses up the budget of the pool that it comes to.
+    /// Checks the budget of the pool that a VM moves to: a failed VM counts against it.
     fn check_arrival(&self, phase: &vm::Phase, to: &PoolName) -> Result<(), Conflict> {
         let Some(pool) = self.pools.get(to) else { return Ok(()) };
         let usage = Usage::of(self, to).add(phase);
         budget::check_limit(to, &pool.spec, usage)
     }
 
-    /// A VM never gets smaller than the jobs that it holds.
+    /// Checks that a changed VM still has enough resources for the jobs that it holds.
     fn check_capacity(&self, name: &VmName, spec: &vm::Spec) -> Result<(), Conflict> {
         let allocation = self.allocation_on(name);
         let shortage = allocation.shortage_on(spec);
--- a/crates/crosspath_state/src/apply/steps.rs
+++ b/crates/crosspath_state/src/apply/steps.rs
@@ -1,4 +1,4 @@
-//! Steps of VMs and waves.
+//! Maintenance steps, failures and recoveries of VMs, and phases of waves.
 
 use snafu::{OptionExt as _, ensure};
 
@@ -18,7 +18,7 @@
 type Wave = Stored<wave::Spec, wave::Status>;
 
 fn not_found(kind: Kind, name: &str) -> NotFoundSnafu<Id> {
-    let name = ResourceName::new(name).expect("a name of one kind is one of every kind");
+    let name = ResourceName::new(name).expect("all kinds of names follow the same rules");
     NotFoundSnafu { id: Id::new(kind, name) }
 }
 
@@ -80,7 +80,7 @@
         budget::check_disruption(pool, spec, Usage::of(self, pool))
     }
 
-    /// A reboot would end a running job; a suspended one waits for it.
+    /// Checks that no job runs on the VM: a reboot would end it. A suspended job survives a reboot.
     fn check_no_running_job(&self, name: &VmName) -> Result<(), Conflict> {
         let mut jobs = self.jobs_on(name);
         let running = jobs.find(|(_, job)| matches!(job.status.phase, job::Phase::Running { .. }));
@@ -142,7 +142,7 @@
         });
     }
 
-    /// Lets `update` change every wave in turn.
+    /// Calls `update` on every wave, in name order.
     pub(super) fn update_waves(&mut self, update: impl Fn(&mut Wave)) {
         let names: Vec<_> = self.waves.keys().cloned().collect();
         for name in names {
--- a/crates/crosspath_state/src/budget.rs
+++ b/crates/crosspath_state/src/budget.rs
@@ -1,8 +1,8 @@
-//! The availability budget of a pool: what is used, and what a voluntary step may still take.
+//! Availability budget of a pool: what is used, and what voluntary disruptions may still use.
 //!
-//! A failure cannot be refused, a voluntary step can. So a voluntary step counts the failed VMs,
-//! or the pool's reserve for failures where that is more, as taken already: then a declared
-//! failure in the middle of a wave exceeds nothing.
+//! A failure cannot be refused, a voluntary disruption can. The check of a voluntary disruption
+//! therefore counts the failed VMs, or the pool's reserve for failures if that is larger, as
+//! already unavailable, so that a failure reported during a wave does not exceed the budget.
 
 use serde::{Deserialize, Serialize};
 
@@ -13,19 +13,19 @@
 use crate::vm;
 use snafu::ensure;
 
-/// VMs of a pool, counted by what they do.
+/// Number of VMs of a pool by availability.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Take work.
+    /// VMs that accept work.
     pub serving: u32,
-    /// Drain or reboot.
+    /// VMs that drain or reboot for maintenance.
     pub voluntary: u32,
-    /// Failed.
+    /// VMs that are reported as failed.
     pub failed: u32,
 }
 
 impl Usage {
-    /// Counts the VMs of `pool`.
+    /// Counts the VMs of `pool` in `state`.
     #[must_use]
     pub fn of(state: &State, pool: &PoolName) -> Self {
         state.vms_of(pool).fold(Self::default(), |usage, (_, vm)| usage.add(&vm.status))
@@ -40,13 +40,13 @@
         self
     }
 
-    /// Whether voluntary steps made the pool exceed its budget.
+    /// Whether voluntary disruptions made the pool exceed its budget.
     #[must_use]
     pub fn exceeds(self, pool: &Pool) -> bool {
         self.voluntary > 0 && self.voluntary + self.failed.min(pool.reserve) > pool.max_unavailable
     }
 
-    /// VMs that voluntary steps may still take out.
+    /// Number of VMs that voluntary disruptions may still make unavailable.
     #[must_use]
     pub fn allowed_disruptions(self, pool: &Pool) -> u32 {
         pool.max_unavailable.saturating_sub(self.voluntary + self.withheld(pool))
@@ -57,13 +57,13 @@
     }
 }
 
-/// Checks that one more VM of the pool may be taken out.
+/// Checks that one more VM of the pool may be taken out of service voluntarily.
 pub(crate) fn check_disruption(name: &PoolName, pool: &Pool, usage: Usage) -> Result<(), Conflict> {
     let voluntary = usage.voluntary + 1;
     check_limit(name, pool, Usage { voluntary, ..usage })
 }
 
-/// Checks that what is taken out already stays within the budget of `pool`.
+/// Checks that the VMs already out of service stay within the budget of `pool`.
 pub(crate) fn check_limit(name: &PoolName, pool: &Pool, usage: Usage) -> Result<(), Conflict> {
     let withheld = usage.withheld(pool);
     let within = usage.voluntary == 0 || usage.voluntary + withheld <= pool.max_unavailable;
@@ -76,7 +76,7 @@
     Ok(())
 }
 
-/// Checks that one serving VM may leave the pool for good.
+/// Checks that one serving VM may leave the pool permanently.
 pub(crate) fn check_removal(name: &PoolName, pool: &Pool, usage: Usage) -> Result<(), Conflict> {
     let serving = usage.serving.saturating_sub(1);
     let min_available = pool.min_available;
--- a/crates/crosspath_state/src/conflict.rs
+++ b/crates/crosspath_state/src/conflict.rs
@@ -1,4 +1,4 @@
-//! Why the fold rejects a change.
+//! Reasons for which a change in a log record is rejected.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -8,172 +8,176 @@
 use crate::record::Revision;
 use crate::resource::Id;
 
-/// Why a change was rejected; the state is as it was.
+/// Why a change was rejected; the state is unchanged.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu, Serialize, Deserialize, JsonSchema)]
 #[serde(tag = "reason", rename_all = "snake_case")]
 #[snafu(visibility(pub(crate)))]
 pub enum Conflict {
-    /// Someone else changed the resource first.
-    #[snafu(display("{id} has changed: it is at revision {current}; read it and decide anew"))]
+    /// The resource is not at the expected revision: usually another writer changed it first.
+    #[snafu(display(
+        "{id} is at revision {current}, not the expected one; read it again and retry"
+    ))]
     Stale {
-        /// Which resource.
+        /// Resource that the change concerns.
         id: Id,
-        /// Where it is; 0 when it does not exist.
+        /// Current revision of the resource; 0 if it does not exist.
         current: Revision,
     },
-    /// The resource does not exist.
+    /// The resource to be deleted, or one that the change acts on, does not exist.
     #[snafu(display("{id} does not exist"))]
     NotFound {
-        /// Which resource.
+        /// Resource that the change concerns.
         id: Id,
     },
-    /// A spec does not fit the kind or name it was declared under.
+    /// The spec, or the name, does not fit the kind of resource that it was declared for.
     #[snafu(display("{id} was declared with the spec of another kind"))]
     KindMismatch {
-        /// Which resource.
+        /// Resource that the change concerns.
         id: Id,
     },
-    /// The spec names something that does not exist.
+    /// The spec refers to a resource that does not exist.
     #[snafu(display("{id} refers to {to}, which does not exist; declare that first"))]
     MissingReference {
-        /// Which resource.
+        /// Resource that the change concerns.
         id: Id,
-        /// What it refers to.
+        /// The missing resource.
         to: Id,
     },
-    /// Something still refers to the resource.
+    /// Another resource still refers to this one.
     #[snafu(display("{id} is still used by {by}; change or delete that first"))]
     StillUsed {
-        /// Which resource.
+        /// Resource that the change concerns.
         id: Id,
-        /// A resource that uses it.
+        /// A resource that refers to it.
         by: Id,
     },
-    /// The pool's availability budget leaves no room for the step.
+    /// The change would exceed the pool's availability budget.
     #[snafu(display(
-        "budget of pool {pool} is used up: {voluntary} taken out and {withheld} failed or kept \
-         for failures, of {max_unavailable}"
+        "budget of pool {pool} is exceeded: {voluntary} VMs out for maintenance and {withheld} \
+         failed or reserved for failures, of {max_unavailable} allowed"
     ))]
     BudgetExceeded {
-        /// Which pool.
+        /// Name of the pool.
         pool: PoolName,
-        /// Its budget.
+        /// VMs of the pool that may be unavailable at one time.
         max_unavailable: u32,
-        /// VMs taken out, this step included.
+        /// VMs out for maintenance after the change.
         voluntary: u32,
-        /// VMs failed, or kept free for failures if that is more.
+        /// VMs failed, or reserved for failures if that is more.
         withheld: u32,
     },
-    /// The step would leave too few VMs serving.
+    /// The change would leave too few VMs of the pool serving.
     #[snafu(display("pool {pool} would have {serving} VMs serving, fewer than {min_available}"))]
     BelowMinimum {
-        /// Which pool.
+        /// Name of the pool.
         pool: PoolName,
-        /// VMs serving after the step.
+        /// VMs that would serve after the change.
         serving: u32,
-        /// VMs that must serve.
+        /// VMs that must remain serving.
         min_available: u32,
     },
-    /// The VM is not where the step starts.
-    #[snafu(display("VM {vm} is {phase}, where this step does not start"))]
+    /// The change is not allowed in the VM's current phase.
+    #[snafu(display("VM {vm} is in phase {phase}, in which this change is not allowed"))]
     WrongPhase {
-        /// Which VM.
+        /// Name of the VM.
         vm: VmName,
-        /// Where it is.
+        /// Current phase of the VM, for humans.
         phase: String,
     },
-    /// The wave does not start VMs now, or not this one.
-    #[snafu(display("wave {wave} does not take out VM {vm} now"))]
+    /// The wave is not running, or does not have this VM left to service.
+    #[snafu(display("wave {wave} is not running or VM {vm} is not due for service in it"))]
     NotInWave {
-        /// Which wave.
+        /// Name of the wave.
         wave: WaveName,
-        /// Which VM.
+        /// Name of the VM.
         vm: VmName,
     },
-    /// The wave cannot go there from where it is.
+    /// The wave has ended, or was set to a phase that cannot be set by request.
     #[snafu(display("wave {wave} is finished"))]
     WaveFinished {
-        /// Which wave.
+        /// Name of the wave.
         wave: WaveName,
     },
     /// A pool is in another unfinished wave.
     #[snafu(display("pool {pool} is in wave {wave}, which is not finished"))]
     WaveOverlap {
-        /// Which pool.
+        /// Name of the pool.
         pool: PoolName,
-        /// The other wave.
+        /// The other, unfinished wave.
         wave: WaveName,
     },
-    /// What the spec changes is fixed once declared.
-    #[snafu(display("{id}: field {field} is fixed once declared; delete and declare it anew"))]
+    /// The spec changes a field that is fixed after the declaration.
+    #[snafu(display(
+        "{id}: field {field} cannot be changed; delete the resource and declare it again"
+    ))]
     Fixed {
-        /// Which resource.
+        /// Resource that the change concerns.
         id: Id,
-        /// Which field.
+        /// Name of the field.
         field: String,
     },
-    /// A job still runs where the reboot would end it.
+    /// A job still runs on the VM; a reboot would end it.
     #[snafu(display("job {job} still runs on VM {vm}"))]
     JobRunning {
-        /// Which VM.
+        /// Name of the VM.
         vm: VmName,
-        /// Which job.
+        /// Name of the job.
         job: JobName,
     },
-    /// The VM has no room for the job.
+    /// The VM has too few free resources for the job.
     #[snafu(display("VM {vm} has too few free {what} for job {job}"))]
     NoRoom {
-        /// Which VM.
+        /// Name of the VM.
         vm: VmName,
-        /// Which job.
+        /// Name of the job.
         job: JobName,
-        /// Cores, memory or accelerators.
+        /// The resource that is short: cores, memory or accelerators.
         what: String,
     },
     /// The VM is not in the job's pool.
     #[snafu(display("VM {vm} is not in the pool of job {job}"))]
     OtherPool {
-        /// Which VM.
+        /// Name of the VM.
         vm: VmName,
-        /// Which job.
+        /// Name of the job.
         job: JobName,
     },
-    /// The job is not where the action starts.
-    #[snafu(display("job {job} is not where this action starts"))]
+    /// The action is not allowed in the job's current phase.
+    #[snafu(display("job {job} is in a phase in which this action is not allowed"))]
     JobPhase {
-        /// Which job.
+        /// Name of the job.
         job: JobName,
     },
-    /// The team has used up its quota.
+    /// The action would exceed the team's quota.
     #[snafu(display("team {team} would use {cores} cores, more than {max_cores}"))]
     QuotaExceeded {
-        /// Which team.
+        /// Name of the team.
         team: TeamName,
-        /// Cores after the action.
+        /// Cores that the team would use after the action.
         cores: u32,
-        /// Its quota.
+        /// Cores that the team may use.
         max_cores: u32,
     },
-    /// The writer is not a member, or no longer in this life.
-    #[snafu(display("daemon {daemon} is not a member in this life"))]
+    /// The daemon is not a member, or not in this incarnation.
+    #[snafu(display("daemon {daemon} is not a member in this incarnation"))]
     NotMember {
-        /// Which daemon.
+        /// Name of the daemon.
         daemon: DaemonName,
     },
     /// The writer is not the guard of the member.
     #[snafu(display("daemon {daemon} is not the guard of {member}"))]
     NotGuard {
-        /// Which daemon.
+        /// Name of the daemon.
         daemon: DaemonName,
-        /// Which member.
+        /// Name of the member to be evicted.
         member: DaemonName,
     },
     /// The writer does not own the partition.
     #[snafu(display("daemon {daemon} does not own partition {partition}"))]
     NotOwner {
-        /// Which daemon.
+        /// Name of the daemon.
         daemon: DaemonName,
-        /// Which partition.
+        /// Index of the partition.
         partition: u16,
     },
 }
--- a/crates/crosspath_state/src/job.rs
+++ b/crates/crosspath_state/src/job.rs
@@ -1,19 +1,19 @@
-//! Jobs: what an operator declares of one, and where it runs.
+//! Jobs: their specification and placement.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
 use crate::name::{PoolName, TeamName, VmName};
 
-/// How urgent work is.
+/// Urgency of work.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, JsonSchema,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Class {
-    /// Someone waits for the answer.
+    /// Interactive work: a caller waits for the response.
     Urgent,
-    /// May wait.
+    /// Background work, which may be delayed.
     Batch,
 }
 
@@ -21,7 +21,7 @@
     /// Every class, most urgent first.
     pub const ALL: [Self; 2] = [Self::Urgent, Self::Batch];
 
-    /// The class as a metric label.
+    /// Value of the class in metric labels.
     #[must_use]
     pub fn label(self) -> &'static str {
         match self {
@@ -39,13 +39,13 @@
     pub pool: PoolName,
     /// The team whose quota it uses.
     pub team: TeamName,
-    /// How urgent it is.
+    /// Urgency of the job.
     pub class: Class,
-    /// Processors, in cores.
+    /// Processor cores that it takes.
     pub cores: u32,
-    /// Memory, in MB.
+    /// Memory that it takes, in MB.
     pub memory_mb: u64,
-    /// Accelerators.
+    /// Number of accelerators that it takes.
     #[serde(default)]
     pub accelerators: u32,
     /// Whether it can be suspended on its VM and resumed there.
@@ -53,27 +53,27 @@
     pub checkpointable: bool,
 }
 
-/// Where a job is.
+/// Phase of a job.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(tag = "phase", rename_all = "snake_case")]
 pub enum Phase {
-    /// Waits for a VM.
+    /// Waits for placement on a VM.
     #[default]
     Pending,
-    /// Runs.
+    /// Runs on a VM.
     Running {
-        /// On this VM.
+        /// Name of the VM.
         vm: VmName,
     },
-    /// Is checkpointed and keeps its place.
+    /// Is checkpointed and keeps its resources on the VM.
     Suspended {
-        /// On this VM.
+        /// Name of the VM.
         vm: VmName,
     },
 }
 
 impl Phase {
-    /// The VM whose room the job takes, running or suspended.
+    /// The VM whose resources the job takes, running or suspended.
     #[must_use]
     pub fn vm(&self) -> Option<&VmName> {
         match self {
@@ -83,11 +83,11 @@
     }
 }
 
-/// What the fold keeps of a job beside its spec.
+/// Status of a job.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct Status {
-    /// Where it is.
+    /// Current phase of the job.
     pub phase: Phase,
-    /// How often it has been moved from one VM to another.
+    /// Number of moves from one VM to another.
     pub moves: u32,
 }
--- a/crates/crosspath_state/src/lease.rs
+++ b/crates/crosspath_state/src/lease.rs
@@ -1,16 +1,17 @@
-//! Leases between a member and its guard, without the log.
+//! Leases between a member and its guard, which work without the log.
 //!
-//! The guard promises in each heartbeat answer not to evict the member for a while; the member
-//! counts the promise from before it asked, the guard from after it answered, each on its own
-//! clock and with the drift of the rates on the safe side. So a member that is paused or cut off
-//! stops before it can be evicted, and an outage of the log alone stops nobody.
+//! With each heartbeat reply the guard grants a lease: it will not evict the member for a given
+//! time. The member counts that time from before its request, the guard from when it grants the
+//! lease, each on its own clock and with the clocks' drift on the safe side. A member that is
+//! paused or cut off therefore stops before it can be evicted, and an outage of the log alone
+//! stops no member.
 //!
-//! A guard that was evicted must stop promising, or the members that it guarded could never be
-//! evicted by whoever inherits them. It may not know of its eviction, so it promises only for a
-//! bounded time, the tenure, after its own lease was last valid, and the heir waits that long. The
-//! tenure is longer than a lease: were a valid lease needed at every promise, one daemon that is
-//! gone during an outage of the log, or one moment without heartbeats, would end every lease around
-//! the ring, with nobody left to promise first.
+//! A guard that was evicted must stop granting leases, otherwise its successor could never evict
+//! the members that it guarded. It may not know of its eviction, so it grants leases only for a
+//! bounded time after its own lease was last valid, the tenure, and the successor waits that long.
+//! The tenure is longer than a lease. If every grant required a valid lease, then a single daemon
+//! that is gone during an outage of the log, or a moment without heartbeats, would end every lease
+//! around the ring, and no daemon could grant the first new one.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -22,24 +23,24 @@
 
 const MILLION: u64 = 1_000_000;
 
-/// Length of a promise and the largest drift between two clocks' rates.
+/// Durations of leases and the largest drift between the rates of two clocks.
 #[derive(Debug, Clone, Copy)]
 pub struct Terms {
-    /// Length of a promise.
+    /// Length of a lease.
     pub lease: Duration,
-    /// How long a guard goes on promising after its own lease was last valid.
+    /// How long a guard goes on granting leases after its own lease was last valid.
     pub tenure: Duration,
-    /// Largest drift, in parts per million.
+    /// Largest drift between two clocks, in parts per million.
     pub drift_ppm: u32,
 }
 
 impl Terms {
-    /// How long the member counts on a promise of `span`.
+    /// How long the member relies on a lease of `duration`.
     fn shortened_by_drift(self, duration: Duration) -> Duration {
         scale(duration, MILLION - u64::from(self.drift_ppm))
     }
 
-    /// How long the guard waits after a promise of `span`.
+    /// How long the guard must wait for a lease of `duration` to expire at the member.
     fn lengthened_by_drift(self, duration: Duration) -> Duration {
         scale(duration, MILLION + u64::from(self.drift_ppm))
     }
@@ -50,7 +51,7 @@
     Duration::from_millis(millis.saturating_mul(ppm) / MILLION)
 }
 
-/// The member's side: promises that this daemon got.
+/// The member's side: leases that other daemons granted to this one.
 #[derive(Debug, Default)]
 pub struct Holder {
     valid_until: BTreeMap<DaemonName, Monotonic>,
@@ -58,7 +59,7 @@
 }
 
 impl Holder {
-    /// Notes a promise of `span` from `guard`, asked for at `asked_at`.
+    /// Records a lease of `duration` from `guard` that was requested at `requested_at`.
     pub fn record_grant(
         &mut self,
         terms: Terms,
@@ -71,8 +72,8 @@
         *entry = until.max(*entry);
     }
 
-    /// Notes that a record that names `guard` is on its way; until it is settled, the promise of
-    /// that guard is needed too.
+    /// Sets the guard that a record being appended names. Until the fate of that record is known,
+    /// a lease from that guard is required too.
     pub fn set_pending_guard(&mut self, guard: Option<DaemonName>) {
         self.pending_guard = guard;
     }
@@ -90,7 +91,8 @@
     }
 }
 
-/// Since when this daemon guards a member, and whether another one did before.
+/// Since when this daemon guards a member, and whether it inherited it from an evicted guard or
+/// from one that left.
 #[derive(Debug, Clone, Copy)]
 struct Assignment {
     since: Monotonic,
@@ -98,19 +100,20 @@
 }
 
 impl Assignment {
-    /// When no promise can be left that was given before this daemon's own.
+    /// When every lease that a previous guard may have granted has expired.
     fn earlier_leases_expired_at(self, terms: Terms) -> Monotonic {
         let previous_tenure = if self.inherited { terms.tenure } else { Duration::ZERO };
         self.since.after(terms.lengthened_by_drift(previous_tenure + terms.lease))
     }
 }
 
-/// The guard's side: promises that this daemon gave, and whom it may evict.
+/// The guard's side: leases that this daemon granted, and the members it may evict.
 #[derive(Debug, Default)]
 pub struct Grantor {
     last_valid: Option<Monotonic>,
     was_valid: bool,
-    /// Evicts nobody before this: heartbeats may have been missed here, not there.
+    /// No eviction before this time: after this daemon's own lease became invalid, missing
+    /// heartbeats may be its own fault and not the member's.
     no_eviction_before: Monotonic,
     granted_until: BTreeMap<Writer, Monotonic>,
     assignments: BTreeMap<Writer, Assignment>,
@@ -118,7 +121,7 @@
 }
 
 impl Grantor {
-    /// Notes at `now` whom this daemon guards, and whether its own lease is valid.
+    /// Updates at `now` which members this daemon guards, and whether its own lease is valid.
     pub fn observe(
         &mut self,
         terms: Terms,
@@ -143,7 +146,7 @@
         self.granted_until.retain(|member, _| state.is_member(member));
     }
 
-    /// The promise for `member` at `now`, if this daemon can give one.
+    /// Grants `member` a lease at `now` and returns its length, if this daemon may grant one.
     ///
     /// `valid` says whether this daemon's own lease is valid.
     pub fn grant(
@@ -169,7 +172,7 @@
         Some(terms.lease)
     }
 
-    /// Members that may be evicted at `now`; from then on they get no promise.
+    /// Members that may be evicted at `now`; from then on they are granted no lease.
     pub fn evictable(&mut self, terms: Terms, now: Monotonic) -> Vec<Writer> {
         let expired = |member: &Writer, assignment: Assignment| {
             let granted_until = self.granted_until.get(member).copied().unwrap_or_default();
@@ -184,13 +187,13 @@
         expired
     }
 
-    /// Notes that an eviction was certainly not recorded.
+    /// Allows leases for `member` again after its eviction has certainly not been recorded.
     pub fn cancel_eviction(&mut self, member: &Writer) {
         self.evicting.remove(member);
     }
 }
 
-/// Members that `own` may evict, and whether it inherited them.
+/// Members that `own` guards, and whether it inherited each of them.
 fn guarded(state: &State, own: &Writer) -> impl Iterator<Item = (Writer, bool)> {
     let member = state.is_member(own);
     let members = state.members.iter().filter(move |_| member);
--- a/crates/crosspath_state/src/lib.rs
+++ b/crates/crosspath_state/src/lib.rs
@@ -1,9 +1,10 @@
-//! Resources, log records and the fold that turns records into state.
+//! Resources, log records and the replicated state that results from applying the records.
 //!
-//! The platform's append-only log orders everything that must be agreed. Each daemon reads the
-//! same [`record::Batch`]es in the same order and applies them with [`State::apply`], which is
-//! pure: no clock, no randomness, no I/O. A record that breaks a rule is rejected by the fold, by
-//! the same rule on every daemon, so a stale or faulty writer cannot break an invariant.
+//! The platform's append-only log orders everything that daemons must agree on. Each daemon reads
+//! the same [`record::Batch`]es in the same order and applies them with [`State::apply`], which is
+//! pure: no clock, no randomness, no I/O. A change that breaks a rule is rejected while it is
+//! applied, by the same rule on every daemon, so a stale or faulty writer cannot break an
+//! invariant.
 
 mod apply;
 pub mod budget;
--- a/crates/crosspath_state/src/member.rs
+++ b/crates/crosspath_state/src/member.rs
@@ -1,9 +1,9 @@
-//! The daemons that are members, and who may remove whom.
+//! Members, and which of them may evict which.
 //!
-//! A member names one peer as its guard. Only the guard may evict it, and the guard promises it in
-//! each heartbeat not to do so for a while: the promise is the member's lease. Since the right to
-//! evict changes only by the member's own record, or with the eviction of the guard, a member that
-//! is cut off from the log knows whose promise it needs.
+//! A member names one peer as its guard. Only the guard may evict it, and with each heartbeat the
+//! guard grants it a lease, during which it does not. Since the right to evict changes only by the
+//! member's own record, or with the eviction of the guard, a member that is cut off from the log
+//! knows whose lease it needs.
 
 use imbl::OrdMap;
 use serde::{Deserialize, Serialize};
@@ -11,20 +11,20 @@
 use crate::name::DaemonName;
 use crate::record::{Incarnation, Revision};
 
-/// What the fold keeps of a member.
+/// State of a member.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Its life.
+    /// Incarnation in which the daemon joined.
     pub incarnation: Incarnation,
-    /// Where it joined.
+    /// Offset of the record with which it joined.
     pub joined: Revision,
-    /// The peer that may evict it.
+    /// The peer that may evict it; `None` until it names one.
     pub guard: Option<DaemonName>,
-    /// Whether the guard came by the eviction of the one that the member had named.
+    /// Whether the guard inherited this member when the previous guard was removed.
     pub inherited: bool,
 }
 
-/// The member that follows `of` in name order, around the end; none when there is no other.
+/// The next member after `of` in name order, wrapping around; `None` if there is no other.
 #[must_use]
 pub fn successor<'a>(
     members: &'a OrdMap<DaemonName, Member>,
--- a/crates/crosspath_state/src/name.rs
+++ b/crates/crosspath_state/src/name.rs
@@ -37,17 +37,17 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Checks `text` and makes it a name.
+            /// Creates a name from `text`.
             ///
             /// # Errors
             ///
-            /// [`InvalidName`] when `text` breaks the rules for names.
+            /// [`InvalidName`] if `text` breaks the rules for names.
             pub fn new(text: &str) -> Result<Self, InvalidName> {
                 validate(text)?;
                 Ok(Self(Arc::from(text)))
             }
 
-            /// The name as text.
+            /// Returns the name as a string.
             #[must_use]
             pub fn as_str(&self) -> &str {
                 &self.0
@@ -83,26 +83,26 @@
 }
 
 name_types! {
-    /// A caller: a shop agent, a donation page or a feed.
+    /// Name of a caller: a shop agent, a donation page or a feed.
     CallerName;
-    /// A data centre (a hall, a zone).
+    /// Name of a data centre (a hall or a zone).
     DataCentre;
-    /// A daemon of the system.
+    /// Name of a `crosspathd` daemon.
     DaemonName;
-    /// A job.
+    /// Name of a job.
     JobName;
-    /// A pool of VMs.
+    /// Name of a pool of VMs.
     PoolName;
-    /// A rack inside a data centre.
+    /// Name of a rack inside a data centre.
     Rack;
-    /// A service that callers ask for.
+    /// Name of a service that callers send requests to.
     ServiceName;
-    /// A team that owns jobs.
+    /// Name of a team that owns jobs.
     TeamName;
-    /// A VM of a pool.
+    /// Name of a VM in a pool.
     VmName;
-    /// A maintenance wave.
+    /// Name of a maintenance wave.
     WaveName;
-    /// Any resource, its kind known from elsewhere.
+    /// Name of a resource whose kind is stated elsewhere.
     ResourceName;
 }
--- a/crates/crosspath_state/src/partition.rs
+++ b/crates/crosspath_state/src/partition.rs
@@ -1,4 +1,4 @@
-//! Partitions of the payment keys and their owners.
+//! Partitions of the payment keys, and their owners.
 
 use std::hash::Hasher;
 
@@ -9,19 +9,19 @@
 use crate::name::DaemonName;
 use crate::time::Wall;
 
-/// How many partitions there are.
+/// Number of partitions.
 pub const COUNT: u16 = 64;
 
-/// Who decides on the keys of one partition.
+/// Ownership of a partition: its owner decides on the claims on its keys.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ownership {
-    /// The daemon.
+    /// Daemon that owns the partition.
     pub owner: DaemonName,
-    /// It knows every claim on keys created after this.
+    /// The owner knows every claim on keys that were created after this time.
     pub since: Wall,
 }
 
-/// The partition of a payment key.
+/// Partition that a payment key belongs to.
 #[must_use]
 pub fn of(key: &Uuid) -> u16 {
     let mut hasher = SipHasher13::new();
--- a/crates/crosspath_state/src/record.rs
+++ b/crates/crosspath_state/src/record.rs
@@ -1,9 +1,10 @@
-//! What is written to the log, and its encoding.
+//! Records of the log and their encoding.
 //!
 //! A daemon groups its changes into a [`Batch`], one append each. The id of a batch is its writer,
-//! the writer's incarnation and a sequence number: the fold drops a second copy, so a batch whose
-//! append was not answered is simply appended again under the same id. The encoding is JSON with a
-//! version; a daemon that meets a newer version must stop deciding, not skip the record.
+//! the writer's incarnation and a sequence number. Duplicates are ignored when records are applied,
+//! so a batch whose append was not confirmed is simply appended again under the same id. The
+//! encoding is JSON with a version; a daemon that reads a newer version must stop deciding, not
+//! skip the record.
 
 use std::fmt;
 
@@ -17,7 +18,7 @@
 use crate::time::Wall;
 use crate::wave;
 
-/// Newest encoding that this program reads and the one that it writes.
+/// Version of the encoding that this program writes, and the newest that it reads.
 pub const VERSION: u32 = 1;
 
 /// Offset of a record in the log; 0 is before the first.
@@ -52,7 +53,7 @@
     }
 }
 
-/// One life of a daemon: higher for each process that takes the same name.
+/// Incarnation of a daemon: higher for each process that takes the same name.
 #[derive(
     Debug,
     Clone,
@@ -70,14 +71,14 @@
 #[serde(transparent)]
 pub struct Incarnation(pub u64);
 
-/// A daemon in one of its lives.
+/// A daemon in one of its incarnations.
 #[derive(
     Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, JsonSchema,
 )]
 pub struct Writer {
-    /// Its name.
+    /// Name of the daemon.
     pub daemon: DaemonName,
-    /// Its life.
+    /// Incarnation of the daemon.
     pub incarnation: Incarnation,
 }
 
@@ -87,12 +88,12 @@
     }
 }
 
-/// Id of one batch.
+/// Identifier of a batch.
 #[derive(
     Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, JsonSchema,
 )]
 pub struct BatchId {
-    /// Who wrote it.
+    /// Daemon that wrote the batch.
     pub writer: Writer,
     /// Its number among the writer's batches, from 1.
     pub sequence: u64,
@@ -101,13 +102,13 @@
 /// Changes that one daemon appended together.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Batch {
-    /// Its id.
+    /// Identifier by which duplicates are recognised.
     pub id: BatchId,
     /// The revision that the writer had applied when it decided.
     pub decided_on: Revision,
     /// When it was written, by the writer's clock.
     pub written_at: Wall,
-    /// The changes, in order.
+    /// Changes, applied in this order.
     pub changes: Vec<Change>,
 }
 
@@ -117,64 +118,64 @@
 pub enum Change {
     /// Declares a resource, or declares it anew.
     Put {
-        /// Which.
+        /// Kind and name of the resource.
         id: Id,
-        /// As declared.
+        /// Specification as the operator declared it.
         spec: Box<Spec>,
-        /// The revision it must still have; none for "whatever it is".
+        /// State that the resource must still be in; `None` for any.
         expected: Option<Expected>,
     },
     /// Removes a resource.
     Delete {
-        /// Which.
+        /// Kind and name of the resource.
         id: Id,
-        /// The revision it must still have; none for "whatever it is".
+        /// State that the resource must still be in; `None` for any.
         expected: Option<Expected>,
     },
-    /// Moves a VM on in its maintenance.
+    /// Moves a VM to the next phase of its maintenance.
     Step {
-        /// Which VM.
+        /// Name of the VM.
         vm: VmName,
-        /// Where to.
+        /// Maintenance step to take.
         step: Step,
     },
     /// Reports a VM as failed.
     Failure {
-        /// Which VM.
+        /// Name of the VM.
         vm: VmName,
-        /// When it was seen, by the observer's clock.
+        /// When the failure was observed, by the observer's clock.
         seen_at: Wall,
     },
-    /// Reports a failed VM as back.
+    /// Reports a failed VM as recovered.
     Recovery {
-        /// Which VM.
+        /// Name of the VM.
         vm: VmName,
     },
     /// Pauses, resumes or cancels a wave.
     Steer {
-        /// Which wave.
+        /// Name of the wave.
         wave: WaveName,
-        /// What it should do.
+        /// Phase that the wave is set to.
         phase: wave::Phase,
     },
-    /// Moves a job on.
+    /// Places, suspends, resumes or unplaces a job.
     Job {
-        /// Which job.
+        /// Name of the job.
         job: JobName,
-        /// What happens to it.
+        /// Action on the job.
         action: JobAction,
     },
-    /// Moves the writer, or a peer, in or out of the daemons.
+    /// Changes the membership of the writer or of a peer, or the owners of partitions.
     Member(Membership),
 }
 
-/// What a writer knew of a resource.
+/// State in which a writer expects a resource to be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Expected {
-    /// That it does not exist.
+    /// The resource does not exist.
     Absent,
-    /// That it is at this revision.
+    /// The resource is at this revision.
     At(Revision),
 }
 
@@ -184,7 +185,7 @@
 pub enum Step {
     /// Serving to draining.
     Drain {
-        /// For this wave.
+        /// Wave that the VM is drained for.
         wave: WaveName,
     },
     /// Draining back to serving, not serviced.
@@ -195,24 +196,24 @@
     Return,
 }
 
-/// Something that happens to a job.
+/// An action on a job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobAction {
-    /// Starts on a VM, or moves there.
+    /// Starts the job on a VM, or moves it there.
     Place {
-        /// Which VM.
+        /// Name of the VM.
         vm: VmName,
     },
-    /// Is checkpointed and keeps its place.
+    /// Checkpoints the job; it keeps its resources on the VM.
     Suspend,
-    /// Goes on where it was checkpointed.
+    /// Continues the job from its checkpoint, on the same VM.
     Resume,
-    /// Loses its place.
+    /// Takes the job off its VM; it is pending again.
     Unplace,
 }
 
-/// A change among the daemons.
+/// A change of the membership or of the owners of partitions.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Membership {
@@ -220,32 +221,32 @@
     Join,
     /// The writer names the peer that may evict it.
     Guard {
-        /// The peer.
+        /// Name of the peer.
         guard: DaemonName,
     },
     /// The writer, its guard, removes a peer and takes over its partitions.
     Evict {
-        /// The peer, in the life that is removed.
+        /// The peer, in the incarnation that is removed.
         member: Writer,
     },
     /// The writer hands partitions over, whose claims it has already sent.
     Handover {
-        /// Which partitions.
+        /// Indices of the partitions.
         partitions: Vec<u16>,
-        /// To whom, in the life that got the claims.
+        /// New owner, in the incarnation that received the claims.
         to: Writer,
     },
     /// The writer leaves; partitions that it still owns go to its guard.
     Leave,
 }
 
-/// What one offset of the log holds.
+/// Content of one record of the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "entry", rename_all = "snake_case")]
 pub enum Entry {
-    /// Changes.
+    /// Changes that a daemon appended together.
     Batch(Batch),
-    /// A part of a snapshot.
+    /// A chunk of a snapshot.
     Snapshot(Chunk),
 }
 
@@ -267,34 +268,34 @@
     /// The record has a newer version.
     #[snafu(display("record has version {version}, newer than {VERSION}; upgrade this daemon"))]
     Newer {
-        /// Its version.
+        /// Version of the record's encoding.
         version: u32,
     },
     /// The record is malformed.
     #[snafu(display("record is malformed"))]
     Malformed {
-        /// What the decoder says.
+        /// Error of the JSON decoder.
         source: serde_json::Error,
     },
 }
 
 impl Entry {
-    /// The entry as it stands in the log.
+    /// Encodes the entry for the log.
     ///
     /// # Panics
     ///
-    /// Never: every entry has a JSON form.
+    /// Never: every entry can be serialised to JSON.
     #[must_use]
     pub fn encode(&self) -> String {
         serde_json::to_string(&Envelope { version: VERSION, entry: self })
-            .expect("entries have a JSON form")
+            .expect("an entry can be serialised to JSON")
     }
 
-    /// Reads an entry as it stands in the log.
+    /// Decodes an entry of the log.
     ///
     /// # Errors
     ///
-    /// [`DecodeError`] when the record is newer than this program or malformed.
+    /// [`DecodeError`] if the record is newer than this program or malformed.
     pub fn decode(text: &str) -> Result<Self, DecodeError> {
         let header: Header = serde_json::from_str(text).context(MalformedSnafu)?;
         ensure!(header.version <= VERSION, NewerSnafu { version: header.version });
--- a/crates/crosspath_state/src/resource.rs
+++ b/crates/crosspath_state/src/resource.rs
@@ -9,7 +9,7 @@
 use crate::name::{PoolName, ResourceName};
 use crate::{job, vm, wave};
 
-/// The kinds of resources.
+/// Kind of a resource.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, JsonSchema,
 )]
@@ -17,15 +17,15 @@
 pub enum Kind {
     /// Pools of VMs.
     Pool,
-    /// Services that callers ask for.
+    /// Services that callers send requests to.
     Service,
     /// Teams with quotas.
     Team,
-    /// Callers.
+    /// Callers of services.
     Caller,
-    /// VMs.
+    /// VMs, each in one pool.
     Vm,
-    /// Jobs.
+    /// Jobs, each in one pool.
     Job,
     /// Maintenance waves.
     Wave,
@@ -36,7 +36,7 @@
     pub const ALL: [Self; 7] =
         [Self::Pool, Self::Service, Self::Team, Self::Caller, Self::Vm, Self::Job, Self::Wave];
 
-    /// The kind as it stands in a path: `pools`.
+    /// Plural of the kind, as used in paths: `pools`.
     #[must_use]
     pub fn plural(self) -> &'static str {
         match self {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The kind whose plural is `text`, or whose singular is.
+    /// Parses the plural or singular of a kind.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         Self::ALL
@@ -70,14 +70,14 @@
     Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, JsonSchema,
 )]
 pub struct Id {
-    /// Its kind.
+    /// Kind of the resource.
     pub kind: Kind,
-    /// Its name.
+    /// Name, unique within the kind.
     pub name: ResourceName,
 }
 
 impl Id {
-    /// Makes an id.
+    /// Identifies the resource of this kind and name.
     #[must_use]
     pub fn new(kind: Kind, name: ResourceName) -> Self {
         Self { kind, name }
@@ -90,23 +90,23 @@
     }
 }
 
-/// What an operator declares of one resource.
+/// Specification of a resource, as an operator declares it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(tag = "kind", content = "spec", rename_all = "snake_case")]
 pub enum Spec {
-    /// A pool.
+    /// Specification of a pool.
     Pool(Pool),
-    /// A service.
+    /// Specification of a service.
     Service(Service),
-    /// A team.
+    /// Specification of a team.
     Team(Team),
-    /// A caller.
+    /// Specification of a caller.
     Caller(Caller),
-    /// A VM.
+    /// Specification of a VM.
     Vm(vm::Spec),
-    /// A job.
+    /// Specification of a job.
     Job(job::Spec),
-    /// A wave.
+    /// Specification of a wave.
     Wave(wave::Spec),
 }
 
@@ -132,26 +132,26 @@
 pub struct Pool {
     /// VMs that may be unavailable at one time, for any cause.
     pub max_unavailable: u32,
-    /// Part of `max_unavailable` that voluntary steps leave free for failures.
+    /// Part of `max_unavailable` that voluntary disruptions leave free for failures.
     #[serde(default)]
     pub reserve: u32,
-    /// VMs that a move out of the pool must leave serving.
+    /// VMs that must remain serving when a VM moves out of the pool.
     #[serde(default)]
     pub min_available: u32,
 }
 
-/// A service: what callers ask for, and which pool answers.
+/// A service that callers send requests to, and the pool that runs them.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// The pool whose VMs answer.
+    /// The pool whose VMs run the requests.
     pub pool: PoolName,
-    /// How urgent its requests are.
+    /// Urgency of its requests.
     pub class: Class,
     /// Whether a request may run more than once without harm.
     #[serde(default)]
     pub repeatable: bool,
-    /// Longest time until the final answer, in ms.
+    /// Longest time until the final response, in ms.
     #[serde(default = "default_timeout_ms")]
     pub timeout_ms: u64,
 }
@@ -164,7 +164,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Team {
-    /// Cores that its jobs may take together.
+    /// Cores that its running and suspended jobs may take in total.
     pub max_cores: u32,
 }
 
--- a/crates/crosspath_state/src/snapshot.rs
+++ b/crates/crosspath_state/src/snapshot.rs
@@ -1,8 +1,8 @@
-//! Snapshots: the whole state, written into the log in chunks.
+//! Snapshots: the whole state, written to the log in chunks.
 //!
-//! Records expire. Before they do, a daemon writes the state it has folded, cut into chunks of
+//! Records expire. Before they do, a daemon writes its state to the log, split into chunks of
 //! bounded size. Every daemon compares the digest with that of its own state at the same revision;
-//! a fresh daemon starts from the newest snapshot of which it has every chunk.
+//! a new daemon starts from the newest snapshot of which it has every chunk.
 
 use std::collections::BTreeMap;
 
@@ -12,53 +12,53 @@
 use crate::record::{Revision, Writer};
 use crate::state::State;
 
-/// Bytes of state in one chunk.
+/// Largest part of the state's JSON form in one chunk, in bytes.
 pub const CHUNK_BYTES: usize = 48 * 1024;
 
-/// A part of a snapshot.
+/// A chunk of a snapshot.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chunk {
-    /// Who wrote it.
+    /// Daemon that wrote the snapshot.
     pub writer: Writer,
-    /// Revision of the state.
+    /// Revision of the state in the snapshot.
     pub at: Revision,
-    /// Digest of the state.
+    /// Digest of the whole state, as [`State::digest`] returns it.
     pub digest: String,
-    /// Its place, from 0.
+    /// Index of the chunk, from 0.
     pub index: u32,
-    /// How many chunks there are.
+    /// Number of chunks of the snapshot.
     pub total: u32,
-    /// Its part of the state's JSON form.
+    /// Part of the state's JSON form that this chunk carries.
     pub data: String,
 }
 
-/// A snapshot that does not hold what it says.
+/// A complete snapshot from which no state can be restored.
 #[derive(Debug, Snafu)]
 pub enum RestoreError {
-    /// The state is malformed.
+    /// The state cannot be decoded.
     #[snafu(display("snapshot at revision {} is malformed", at.0))]
     Malformed {
-        /// Its revision.
+        /// Revision of the snapshot.
         at: Revision,
-        /// What the decoder says.
+        /// Error of the JSON decoder.
         source: serde_json::Error,
     },
-    /// The state has another digest.
-    #[snafu(display("snapshot at revision {} has another digest than it says", at.0))]
+    /// The digest of the restored state differs from the one in the chunks.
+    #[snafu(display("snapshot at revision {} does not match its digest", at.0))]
     Digest {
-        /// Its revision.
+        /// Revision of the snapshot.
         at: Revision,
     },
 }
 
-/// Cuts a state into chunks.
+/// Splits a state into chunks.
 ///
 /// # Panics
 ///
-/// Never: the state has a JSON form.
+/// Never: the state can always be serialised to JSON.
 #[must_use]
 pub fn split(state: &State, writer: &Writer) -> Vec<Chunk> {
-    let json = serde_json::to_string(state).expect("the state has a JSON form");
+    let json = serde_json::to_string(state).expect("the state can be serialised to JSON");
     let parts = split_json(&json);
     let total = u32::try_from(parts.len()).unwrap_or(u32::MAX);
     let digest = state.digest();
@@ -83,18 +83,18 @@
     parts
 }
 
-/// Puts chunks together as they are read.
+/// Assembles snapshots from chunks as they are read from the log.
 #[derive(Debug, Default)]
 pub struct Assembler {
     parts: BTreeMap<(Revision, Writer), BTreeMap<u32, Chunk>>,
 }
 
 impl Assembler {
-    /// Adds a chunk; gives the state when it was the last one missing.
+    /// Adds a chunk; returns the state if it was the last chunk missing.
     ///
     /// # Errors
     ///
-    /// [`RestoreError`] when the chunks are whole but do not hold what they say.
+    /// [`RestoreError`] if all chunks are present but cannot be decoded or do not match the digest.
     pub fn add(&mut self, chunk: Chunk) -> Result<Option<State>, RestoreError> {
         let key = (chunk.at, chunk.writer.clone());
         let total = chunk.total;
--- a/crates/crosspath_state/src/state.rs
+++ b/crates/crosspath_state/src/state.rs
@@ -1,7 +1,7 @@
-//! The state that every daemon folds from the log.
+//! The state that every daemon builds by replaying the log.
 //!
-//! Tables share their structure between versions, so that a reader can keep the version it decided
-//! on while the fold goes on.
+//! Tables are persistent data structures that share memory between versions, so that a reader can
+//! keep the version it decided on while further records are applied.
 
 use imbl::{OrdMap, Vector};
 use serde::{Deserialize, Serialize};
@@ -17,55 +17,55 @@
 use crate::resource::{Caller, Id, Kind, Pool, Service, Spec, Team};
 use crate::{job, vm, wave};
 
-/// A resource in a table.
+/// A resource as a table holds it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stored<T, S = ()> {
     /// Offset of the last accepted change of its spec or status.
     pub revision: Revision,
-    /// As declared.
+    /// Specification as the operator declared it.
     pub spec: T,
-    /// What the fold keeps beside.
+    /// Status derived from the log.
     pub status: S,
 }
 
-/// The last batch of a daemon that was folded.
+/// Identifier of the last batch of a daemon that was applied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LastWrite {
-    /// In this life.
+    /// Incarnation of the daemon that wrote the batch.
     pub incarnation: Incarnation,
-    /// With this number.
+    /// Number of the batch within that incarnation.
     pub sequence: u64,
 }
 
-/// Everything that is agreed.
+/// The replicated state: everything that the daemons agree on.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct State {
-    /// Offset of the last folded record.
+    /// Offset of the last applied record; 0 before the first.
     pub applied: Revision,
-    /// Pools by name.
+    /// Pools, keyed by name.
     pub pools: OrdMap<PoolName, Stored<Pool>>,
-    /// Services by name.
+    /// Services, keyed by name.
     pub services: OrdMap<ServiceName, Stored<Service>>,
-    /// Teams by name.
+    /// Teams, keyed by name.
     pub teams: OrdMap<TeamName, Stored<Team>>,
-    /// Callers by name.
+    /// Callers, keyed by name.
     pub callers: OrdMap<CallerName, Stored<Caller>>,
-    /// VMs by name; the spec of each names its one pool.
+    /// VMs, keyed by name; the spec of each names its one pool.
     pub vms: OrdMap<VmName, Stored<vm::Spec, vm::Phase>>,
-    /// Jobs by name.
+    /// Jobs, keyed by name.
     pub jobs: OrdMap<JobName, Stored<job::Spec, job::Status>>,
-    /// Waves by name.
+    /// Maintenance waves, keyed by name.
     pub waves: OrdMap<WaveName, Stored<wave::Spec, wave::Status>>,
-    /// Daemons that are members.
+    /// Daemons that are currently members, keyed by name.
     pub members: OrdMap<DaemonName, Member>,
-    /// Owners by partition; empty until the first daemon joins.
+    /// Owner of each partition, by index; empty until the first daemon joins.
     pub partitions: Vector<Ownership>,
-    /// Last batch of every daemon, which drops second copies.
+    /// Last applied batch of every daemon, by which duplicates are recognised.
     pub writers: OrdMap<DaemonName, LastWrite>,
 }
 
 impl State {
-    /// VMs of a pool.
+    /// Iterates over the VMs of a pool.
     pub fn vms_of(
         &self,
         pool: &PoolName,
@@ -73,7 +73,7 @@
         self.vms.iter().filter(move |(_, vm)| vm.spec.pool == *pool)
     }
 
-    /// Jobs that take room on a VM.
+    /// Iterates over the running and suspended jobs that occupy a VM.
     pub fn jobs_on(
         &self,
         vm: &VmName,
@@ -81,44 +81,44 @@
         self.jobs.iter().filter(move |(_, job)| job.status.phase.vm() == Some(vm))
     }
 
-    /// Whether `writer` is a member in this life.
+    /// Whether `writer` is a member in its current incarnation.
     #[must_use]
     pub fn is_member(&self, writer: &Writer) -> bool {
         let member = self.members.get(&writer.daemon);
         member.is_some_and(|member| member.incarnation == writer.incarnation)
     }
 
-    /// The owner of a partition.
+    /// Owner of a partition; `None` if no daemon has joined.
     #[must_use]
     pub fn owner(&self, partition: u16) -> Option<&Ownership> {
         self.partitions.get(usize::from(partition))
     }
 
-    /// Partitions of a daemon.
+    /// Iterates over the partitions that a daemon owns.
     pub fn partitions_of(&self, daemon: &DaemonName) -> impl Iterator<Item = u16> {
         let owners = (0..partition::COUNT).zip(self.partitions.iter());
         owners.filter(move |(_, own)| own.owner == *daemon).map(|(partition, _)| partition)
     }
 
-    /// Digest of the whole state, in lower-case hexadecimal.
+    /// SHA-256 of the state's JSON form, in lower-case hexadecimal.
     ///
     /// # Panics
     ///
-    /// Never: the state has a JSON form.
+    /// Never: the state can always be serialised to JSON.
     #[must_use]
     pub fn digest(&self) -> String {
-        let json = serde_json::to_vec(self).expect("the state has a JSON form");
+        let json = serde_json::to_vec(self).expect("the state can be serialised to JSON");
         let digest = Sha256::digest(&json);
         digest.iter().map(|byte| format!("{byte:02x}")).collect()
     }
 
-    /// Revision of a resource.
+    /// Current revision of a resource; `None` if it does not exist.
     #[must_use]
     pub fn revision(&self, id: &Id) -> Option<Revision> {
         self.resource(id).map(|(revision, _)| revision)
     }
 
-    /// Revision and spec of a resource.
+    /// Current revision and spec of a resource; `None` if it does not exist.
     #[must_use]
     pub fn resource(&self, id: &Id) -> Option<(Revision, Spec)> {
         let text = id.name.as_str();
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Names of all resources of a kind.
+    /// Names of all resources of a kind, sorted.
     #[must_use]
     pub fn names(&self, kind: Kind) -> Vec<ResourceName> {
         macro_rules! keys {
--- a/crates/crosspath_state/src/time.rs
+++ b/crates/crosspath_state/src/time.rs
@@ -1,7 +1,7 @@
-//! Points in time, as numbers that the caller passes in.
+//! Points in time, which callers pass in: the pure crates read no clock.
 //!
-//! The pure crates read no clock. [`Wall`] is for what is written into records and compared across
-//! machines within a stated skew; [`Monotonic`] is for leases and deadlines of one process.
+//! [`Wall`] is written into records and compared across machines within a stated skew;
+//! [`Monotonic`] is for leases and deadlines of one process.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -18,13 +18,13 @@
         pub struct $name(pub u64);
 
         impl $name {
-            /// The point `span` later.
+            /// The point in time that is `span` later.
             #[must_use]
             pub fn after(self, span: Duration) -> Self {
                 Self(self.0.saturating_add(millis(span)))
             }
 
-            /// Time since `earlier`, zero when `earlier` is later.
+            /// Time since `earlier`; zero if `earlier` is in fact later.
             #[must_use]
             pub fn since(self, earlier: Self) -> Duration {
                 Duration::from_millis(self.0.saturating_sub(earlier.0))
@@ -36,7 +36,7 @@
 time_points! {
     /// Milliseconds since the Unix epoch, by the writer's clock.
     Wall;
-    /// Milliseconds since an arbitrary start of this process.
+    /// Milliseconds since an arbitrary origin that is fixed for the process.
     Monotonic;
 }
 
--- a/crates/crosspath_state/src/vm.rs
+++ b/crates/crosspath_state/src/vm.rs
@@ -1,4 +1,4 @@
-//! VMs: what an operator declares of one, and where it is in its maintenance.
+//! VMs: their specification and maintenance phase.
 
 use std::net::SocketAddr;
 
@@ -14,51 +14,51 @@
 pub struct Spec {
     /// The one pool that it belongs to.
     pub pool: PoolName,
-    /// Its data centre.
+    /// Data centre that it is in.
     pub data_centre: DataCentre,
-    /// Its rack.
+    /// Rack within the data centre.
     pub rack: Rack,
-    /// Where it takes requests.
+    /// Address at which it accepts requests.
     pub address: SocketAddr,
     /// Processors, in cores.
     pub cores: u32,
-    /// Memory, in MB.
+    /// Memory of the VM, in MB.
     pub memory_mb: u64,
-    /// Accelerators.
+    /// Number of accelerators.
     #[serde(default)]
     pub accelerators: u32,
-    /// Requests it runs at one time, over all daemons.
+    /// Requests that it runs concurrently, over all daemons.
     pub slots: u32,
-    /// Connections it accepts, over all daemons.
+    /// Connections that it accepts, over all daemons.
     pub connections: u32,
 }
 
-/// Where a VM is in its life.
+/// Phase of a VM.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(tag = "phase", rename_all = "snake_case")]
 pub enum Phase {
-    /// Takes work.
+    /// Accepts work.
     #[default]
     Serving,
-    /// Takes no new work, finishes what it has.
+    /// Accepts no new work and finishes what it has.
     Draining {
-        /// For this wave.
+        /// Wave that took the VM out of service.
         wave: WaveName,
     },
     /// Is being rebooted or moved by the platform.
     Rebooting {
-        /// For this wave.
+        /// Wave that took the VM out of service.
         wave: WaveName,
     },
-    /// Was seen failed.
+    /// Was reported as failed.
     Failed {
-        /// When, by the observer's clock.
+        /// When the failure was observed, by the observer's clock.
         seen_at: Wall,
     },
 }
 
 impl Phase {
-    /// The wave that took the VM out, if one did.
+    /// The wave that took the VM out of service, if any.
     #[must_use]
     pub fn wave(&self) -> Option<&WaveName> {
         match self {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Whether new work may go there.
+    /// Whether new work may be placed on the VM.
     #[must_use]
     pub fn takes_work(&self) -> bool {
         matches!(self, Self::Serving)
--- a/crates/crosspath_state/src/wave.rs
+++ b/crates/crosspath_state/src/wave.rs
@@ -1,4 +1,4 @@
-//! Maintenance waves: what an operator declares of one, and how far it is.
+//! Maintenance waves: their specification and progress.
 
 use imbl::OrdSet;
 use schemars::JsonSchema;
@@ -13,10 +13,10 @@
 pub struct Spec {
     /// Pools whose VMs are serviced.
     pub pools: Vec<PoolName>,
-    /// Serve one VM of each pool alone first, and go on only when it is back.
+    /// Service one VM of each pool alone first, and continue only once it serves again.
     #[serde(default)]
     pub canary: bool,
-    /// Failures during the wave, among the VMs it serviced, after which it pauses itself.
+    /// Number of failed VMs among the wave's targets at which the wave pauses itself.
     #[serde(default = "default_pause_after_failures")]
     pub pause_after_failures: u32,
 }
@@ -25,21 +25,21 @@
     2
 }
 
-/// Whether a wave goes on.
+/// Phase of a wave.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(tag = "phase", rename_all = "snake_case")]
 pub enum Phase {
-    /// Starts the next VM when a budget allows.
+    /// Drains further VMs as the pools' budgets allow.
     #[default]
     Running,
-    /// Starts no further VM.
+    /// Drains no further VM until it is set to running again.
     Paused {
-        /// Why.
+        /// Why the wave is paused.
         cause: Cause,
     },
-    /// Starts no further VM, ever.
+    /// Ended by an operator; drains no further VM.
     Cancelled,
-    /// Every target is serviced.
+    /// Ended: no target is left to service.
     Done,
 }
 
@@ -47,24 +47,25 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
-    /// An operator asked for it.
+    /// An operator paused the wave.
     Operator,
-    /// Too many of the VMs it serviced have failed.
+    /// The number of failed targets reached `pause_after_failures`.
     CorrelatedFailures,
 }
 
-/// What the fold keeps of a wave beside its spec.
+/// Progress of a wave.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// Whether it goes on.
+    /// Current phase of the wave.
     pub phase: Phase,
-    /// Where it was declared first; tells it from an earlier wave of the same name.
+    /// Offset of the record that first declared it; distinguishes it from earlier waves of the same
+    /// name.
     pub declared_at: Revision,
     /// VMs to be serviced: those of the pools when the wave was declared.
     pub targets: OrdSet<VmName>,
-    /// VMs that came back from their reboot.
+    /// VMs that returned from their reboot.
     pub serviced: OrdSet<VmName>,
-    /// VMs of the wave that failed while it took them out, or after it serviced them.
+    /// Targets that failed during the wave and have not recovered.
     pub failed: OrdSet<VmName>,
 }
 
@@ -83,7 +84,7 @@
         self.targets.iter().filter(handled)
     }
 
-    /// Ends the wave when nothing is due any more.
+    /// Ends a running wave if no target remains.
     pub(crate) fn complete_if_finished(&mut self) {
         let finished = self.remaining().next().is_none();
         if finished && self.phase == Phase::Running {
--- a/crates/crosspath_state/tests/state/common.rs
+++ b/crates/crosspath_state/tests/state/common.rs
@@ -1,4 +1,4 @@
-//! A small universe of resources and writers for tests of the fold.
+//! Builders and generators of resources, writers and changes.
 
 use crosspath_state::State;
 use crosspath_state::budget::Usage;
@@ -74,7 +74,7 @@
     Spec::Team(Team { max_cores })
 }
 
-/// Declares a small fleet, so that made-up changes find something to act on.
+/// Changes that declare a small fleet, on which generated changes can act.
 pub(crate) fn fleet() -> Vec<Change> {
     let pools = (0..2).map(|number| put(Kind::Pool, &format!("pool-{number}"), pool(3, 1)));
     let team = put(Kind::Team, "team", team(40));
@@ -85,7 +85,7 @@
     pools.chain([team]).chain(vms).chain(jobs).chain(waves).collect()
 }
 
-/// Any change over 2 pools, 6 VMs, 6 jobs, 2 waves and 4 daemons.
+/// Generates a change over 2 pools, 6 VMs, 6 jobs, 2 waves and 4 daemons.
 pub(crate) fn any_change() -> impl Strategy<Value = Change> {
     let vm_name = (0..6_u8).prop_map(|vm| name(format!("vm-{vm}")));
     let job_name = (0..6_u8).prop_map(|job| name(format!("job-{job}")));
@@ -172,7 +172,7 @@
     ]
 }
 
-/// Panics when something that must always hold does not.
+/// Panics if an invariant of the state does not hold.
 pub(crate) fn check_invariants(state: &State) {
     for (name, pool) in &state.pools {
         let usage = Usage::of(state, name);
--- a/crates/crosspath_state/tests/state/lease.rs
+++ b/crates/crosspath_state/tests/state/lease.rs
@@ -1,9 +1,9 @@
-//! A member that was evicted never acts, whatever is delayed, cut or paused.
+//! An evicted member never acts, whatever is delayed, cut off or paused.
 //!
-//! A few daemons with clocks of their own, whose rates drift as far as allowed, go through their
-//! rounds: read the log, think, exchange heartbeats. Links and the way to the log are cut and healed,
-//! daemons stop and go on, heartbeats and appends take their time. After every round, whoever still
-//! believes that its lease is valid must be a member by the head of the log.
+//! A few simulated daemons, whose clocks drift as far as allowed, read the log, run their
+//! membership task and exchange heartbeats in rounds. Links and connections to the log are cut and
+//! restored, daemons pause and resume, heartbeats and appends are delayed. After every round, each
+//! daemon that considers its lease valid must be a member according to the head of the log.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -31,11 +31,11 @@
 
 #[derive(Debug, Clone)]
 enum Fault {
-    /// Cuts the way of one daemon to the log, or heals it.
+    /// Cuts the connection of a daemon to the log, or restores it.
     Log(u8),
-    /// Cuts the heartbeats from one daemon to another, or heals them.
+    /// Cuts the heartbeats from one daemon to another, or restores them.
     Link(u8, u8),
-    /// Stops a daemon, or lets it go on.
+    /// Pauses a daemon, or resumes it.
     Pause(u8),
 }
 
@@ -69,7 +69,7 @@
     )
 }
 
-/// A heartbeat on its way: the question, then the answer.
+/// A heartbeat in flight: a request without a response, then the response.
 #[derive(Clone)]
 struct Message {
     due: usize,
@@ -85,7 +85,7 @@
     holder: Holder,
     grantor: Grantor,
     sequence: u64,
-    /// Number of the batch that is on its way; the next waits for it.
+    /// Sequence number of the append in flight; the daemon appends nothing else meanwhile.
     pending: Option<u64>,
 }
 
@@ -134,7 +134,7 @@
         }
     }
 
-    /// The daemon's own clock: an offset, and a rate up to half the drift off on either side.
+    /// The daemon's own clock: it has an offset, and its rate deviates by up to half the drift.
     fn clock(&self, daemon: u8) -> Monotonic {
         let half = u64::from(DRIFT_PPM / 2);
         let rate = [1_000_000 - half, 1_000_000 + half, 1_000_000];
@@ -167,7 +167,7 @@
         self.check();
     }
 
-    /// Appends whose time has come reach the log.
+    /// Adds the appends that are due to the log.
     fn deliver_appends(&mut self) {
         let round = self.round;
         let (due, later) =
@@ -210,7 +210,7 @@
                 None if self.cut_links.contains(&(from, to)) || self.paused.contains(&to) => {}
                 None => {
                     let response = Some(self.respond(from, to));
-                    // The answer comes at once, or much later.
+                    // The response arrives at once or some rounds later.
                     let delay = usize::from(from) * usize::from(round.is_multiple_of(3));
                     self.messages.push(Message { response, due: round + delay, ..message });
                 }
@@ -247,7 +247,7 @@
         }
     }
 
-    /// What the daemon's membership task does.
+    /// Does what the membership task of a daemon does.
     fn run_membership_task(&mut self, number: u8, due: usize) {
         let now = self.clock(number);
         let daemon = &mut self.daemons[usize::from(number)];
@@ -307,7 +307,7 @@
     }
 }
 
-/// The made-up histories do evict, so that the property is not held by silence.
+/// The generated histories contain evictions; otherwise the property would hold trivially.
 #[test]
 fn generated_histories_contain_evictions() {
     let mut runner = TestRunner::new(config());
@@ -330,7 +330,7 @@
     (0..DAEMONS).filter(acts).count()
 }
 
-/// Without faults every daemon acts, and none is evicted.
+/// Without faults, every daemon acts and none is evicted.
 #[test]
 fn without_faults_every_member_stays() {
     let mut simulation = Simulation::new();
@@ -338,7 +338,7 @@
     assert_eq!((count_acting(&simulation), simulation.evictions), (3, 0));
 }
 
-/// A moment in which every lease lapses at once, with the log away, ends for good.
+/// If every lease expires at once during an outage of the log, all leases are renewed without it.
 #[test]
 fn leases_are_renewed_without_the_log() {
     let mut simulation = Simulation::new();
@@ -350,7 +350,7 @@
     assert_eq!(count_acting(&simulation), 3);
 }
 
-/// The whole site stops for a while: within the tenure nobody is evicted, beyond it someone goes on.
+/// All daemons stop for a while: within the tenure none is evicted, after it at least one acts.
 #[test]
 fn a_pause_of_all_daemons_is_survived() {
     let after = |stop_ms| {
@@ -364,7 +364,7 @@
     assert!(after(10_000).0 > 0);
 }
 
-/// One daemon that is gone while the log is away stops itself and the one that it guarded only.
+/// A daemon that is lost during an outage of the log stops only itself and the member it guards.
 #[test]
 fn one_loss_without_the_log_stops_only_its_guarded_member() {
     let mut simulation = Simulation::new();
--- a/crates/crosspath_state/tests/state/main.rs
+++ b/crates/crosspath_state/tests/state/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the state and its fold.
+//! Tests of the state and of the application of records.
 
 mod common;
 mod lease;
--- a/crates/crosspath_state/tests/state/replay.rs
+++ b/crates/crosspath_state/tests/state/replay.rs
@@ -1,4 +1,4 @@
-//! The fold under any interleaving of writers, copies, losses, restarts and snapshots.
+//! Replay of generated logs with interleaved writers, duplicates, restarts and snapshots.
 
 use crate::common::{any_change, batch, check_invariants, fleet, writer};
 use crosspath_state::record::{Change, Entry, Revision};
@@ -11,13 +11,13 @@
 const CASES: u32 = 600;
 const RECORDS: usize = 200;
 
-/// One record of the log as a test makes it up.
+/// A generated record of the log.
 #[derive(Debug, Clone)]
 struct GeneratedRecord {
     daemon: u8,
-    /// Whether the daemon was replaced before it wrote this.
+    /// Whether the daemon was restarted before it wrote this record.
     restarted: bool,
-    /// Whether the record stands twice, the second copy so many records later.
+    /// If set, a duplicate of the record follows this many generated records later.
     duplicate_after: Option<usize>,
     changes: Vec<Change>,
 }
@@ -35,7 +35,7 @@
     )
 }
 
-/// Lays the records out in the order of the log, copies among them.
+/// Builds the log from the records and their duplicates, in order.
 fn build_log(records: &[GeneratedRecord]) -> Vec<Entry> {
     let mut incarnations = [1_u64; 4];
     let mut sequences = [1_u64, 0, 0, 0];
@@ -102,7 +102,7 @@
                 from_snapshot = Some(restore_from_snapshot(&state));
             }
         }
-        // A daemon that started from a snapshot, and one that read through JSON, agree.
+        // Starting from a snapshot, or replaying decoded records, gives the same state.
         let mut from_snapshot = from_snapshot.expect("the cut is inside");
         replay(&mut from_snapshot, &log[snapshot_index + 1..]);
         prop_assert_eq!(from_snapshot.digest(), state.digest());
@@ -112,7 +112,7 @@
         prop_assert_eq!(decoded, state);
     }
 
-    /// A second copy changes nothing but the offset.
+    /// A duplicate of a batch changes nothing but the offset.
     #[test]
     fn duplicate_batches_are_dropped(records in prop::collection::vec(any_record(), 1..60)) {
         let mut state = State::default();
@@ -143,7 +143,8 @@
     assert!(Entry::decode("{").is_err());
 }
 
-/// The made-up logs reach every kind of change, so that the invariants are not held by silence.
+/// The generated logs contain accepted changes of every kind; otherwise the invariants could hold
+/// merely because every change is rejected.
 #[test]
 fn generated_logs_cover_every_change() {
     let accepted = accepted_changes();
--- a/crates/crosspath_state/tests/state/rules.rs
+++ b/crates/crosspath_state/tests/state/rules.rs
@@ -1,4 +1,4 @@
-//! Single rules of the fold, each by the shortest case that breaks it.
+//! Single rules for changes, each with a short case that breaks it.
 
 use crate::common::{batch, id, job, name, pool, put, team, vm, wave, writer};
 use crosspath_state::record::{Change, Entry, Expected, JobAction, Membership, Revision, Step};
@@ -6,7 +6,7 @@
 use crosspath_state::time::Wall;
 use crosspath_state::{Applied, Conflict, State};
 
-/// Folds changes of one writer, each in a batch of its own, and gives the last verdict.
+/// Applies changes, each in a batch of its own, and returns their results.
 struct Log {
     state: State,
     sequence: u64,
@@ -39,7 +39,7 @@
         let offset = self.state.applied.next();
         match self.state.apply(offset, &entry).expect("the next offset") {
             Applied::Batch(mut verdicts) => verdicts.remove(0),
-            other => panic!("not folded: {other:?}"),
+            other => panic!("batch not applied: {other:?}"),
         }
     }
 
@@ -232,9 +232,9 @@
     log.apply_from(0, member(Membership::Join)).expect("joined");
     let newer = batch(writer(0, 2), 1, vec![member(Membership::Join)]);
     let offset = log.state.applied.next();
-    log.state.apply(offset, &Entry::Batch(newer)).expect("folded");
+    log.state.apply(offset, &Entry::Batch(newer)).expect("the next offset");
     let old = batch(writer(0, 1), 99, vec![member(Membership::Leave)]);
     let offset = log.state.applied.next();
-    let applied = log.state.apply(offset, &Entry::Batch(old)).expect("folded");
+    let applied = log.state.apply(offset, &Entry::Batch(old)).expect("the next offset");
     assert_eq!(applied, Applied::Dropped);
 }
