--- a/crates/crosspath_state/tests/state/replay.rs
+++ b/crates/crosspath_state/tests/state/replay.rs
@@ -70,8 +70,8 @@
 fn restore_from_snapshot(state: &State) -> State {
     let mut assembly = Assembler::default();
     let chunks = snapshot::split(state, &writer(0, 1));
-    let states = chunks.into_iter().map(|chunk| assembly.add(chunk).expect("a good chunk"));
-    states.last().flatten().expect("a whole snapshot")
+    let states = chunks.into_iter().map(|chunk| assembly.add(chunk).expect("a valid chunk"));
+    states.last().flatten().expect("a complete snapshot")
 }
 
 fn config() -> ProptestConfig {
@@ -103,7 +103,7 @@
             }
         }
         // Starting from a snapshot, or replaying decoded records, gives the same state.
-        let mut from_snapshot = from_snapshot.expect("the cut is inside");
+        let mut from_snapshot = from_snapshot.expect("the log is longer than the index");
         replay(&mut from_snapshot, &log[snapshot_index + 1..]);
         prop_assert_eq!(from_snapshot.digest(), state.digest());
         let mut decoded = State::default();
