--- a/crates/crosspath_peer/src/message.rs
+++ b/crates/crosspath_peer/src/message.rs
@@ -31,14 +31,15 @@
     pub heartbeat: Heartbeat,
     /// Time for which the replying daemon will not evict the requester, in ms; none if it grants
     /// none.
-    pub promise_ms: Option<u64>,
+    #[serde(rename = "promise_ms")]
+    pub grant_ms: Option<u64>,
 }
 
 impl HeartbeatReply {
     /// Time for which the replying daemon will not evict the requester.
     #[must_use]
-    pub fn promise(&self) -> Option<Duration> {
-        self.promise_ms.map(Duration::from_millis)
+    pub fn grant(&self) -> Option<Duration> {
+        self.grant_ms.map(Duration::from_millis)
     }
 }
 
--- a/crates/crosspathd/src/membership.rs
+++ b/crates/crosspathd/src/membership.rs
@@ -65,7 +65,7 @@
     let reply = link.heartbeat(peers::own_heartbeat(&core)).await;
     core.metrics.count_heartbeat(if reply.is_ok() { "answered" } else { "unanswered" });
     let Ok(reply) = reply else { return };
-    if let Some(grant) = reply.promise() {
+    if let Some(grant) = reply.grant() {
         core.leases().holder.record_grant(core.terms(), &peer, requested_at, grant);
     }
     peers::record_heartbeat(&core, reply.heartbeat);
--- a/crates/crosspathd/src/peers.rs
+++ b/crates/crosspathd/src/peers.rs
@@ -99,7 +99,7 @@
         let (state, terms, now) = (core.state(), core.terms(), clock::monotonic());
         let grant = core.leases().grantor.grant(terms, &state, &member, valid, now);
         let millis = |span: Duration| u64::try_from(span.as_millis()).unwrap_or_default();
-        HeartbeatReply { heartbeat: own_heartbeat(core), promise_ms: grant.map(millis) }
+        HeartbeatReply { heartbeat: own_heartbeat(core), grant_ms: grant.map(millis) }
     }
 
     async fn claim(&self, claim: Claim) -> Verdict {
