--- a/crates/crosspath_fakes/src/config.rs
+++ b/crates/crosspath_fakes/src/config.rs
@@ -1,44 +1,45 @@
-//! What the stand-ins play.
+//! Configuration of the fakes.
 
 use std::net::SocketAddr;
 
 use crosspath_state::name::VmName;
 use serde::{Deserialize, Serialize};
 
-/// Everything that the stand-ins play.
+/// Configuration of the fake platform and of all upstream VMs.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// Address of the platform's interfaces; port 0 for any.
+    /// Listen address of the platform's interfaces; port 0 selects a free port.
     pub platform: SocketAddr,
-    /// The VMs.
+    /// Upstream VMs to serve.
     pub vms: Vec<VmConfig>,
-    /// Time that an append takes, in ms.
+    /// Latency of an append to the log, in ms.
     #[serde(default)]
     pub log_latency_ms: u64,
-    /// Records that the log keeps.
+    /// Number of records that the log retains; older ones expire.
     #[serde(default = "default_retention")]
     pub log_retention: usize,
-    /// Time that a reboot takes, in ms.
+    /// Duration of a reboot, in ms.
     #[serde(default = "default_reboot_ms")]
     pub reboot_ms: u64,
-    /// Time that a request takes, in ms, by the first part of its path.
+    /// Service time of a request in ms, by the first segment of its path; 0 for paths not listed.
     #[serde(default)]
     pub service_ms: std::collections::BTreeMap<String, u64>,
-    /// How late the VM list is, in ms.
+    /// Delay after which the VM list shows a change of state, in ms.
     #[serde(default)]
     pub vm_list_lag_ms: u64,
 }
 
-/// One VM.
+/// Configuration of one VM.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct VmConfig {
-    /// Its name.
+    /// Name of the VM in the platform's interfaces.
     pub name: VmName,
-    /// Where it takes requests; port 0 for any.
+    /// Listen address for requests; port 0 selects a free port.
     pub address: SocketAddr,
-    /// Requests that it should run at one time at most.
+    /// Maximum number of concurrent requests that the VM should receive. Not enforced, only
+    /// compared with what is observed.
     pub slots: u32,
 }
 
--- a/crates/crosspath_fakes/src/fault.rs
+++ b/crates/crosspath_fakes/src/fault.rs
@@ -1,31 +1,31 @@
-//! Faults to inject.
+//! Faults that can be injected.
 
 use serde::{Deserialize, Serialize};
 
-/// Faults of the log.
+/// Faults of the log. The default is none.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LogFault {
-    /// It answers nothing and appends nothing.
+    /// Requests fail and nothing is appended.
     pub down: bool,
-    /// It takes this much longer, in ms.
+    /// Additional latency of reads and appends, in ms.
     pub slow_ms: u64,
-    /// So many appends take effect and are never answered.
+    /// Number of further appends that take effect and are not answered.
     pub lose_answers: u32,
 }
 
-/// Faults of one VM.
+/// Faults of one VM. The default is none.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct VmFault {
-    /// Runs a request and then waits this much longer, in ms.
+    /// Additional delay between running a request and responding, in ms.
     pub late_ms: u64,
-    /// Breaks the connection before it runs the request.
+    /// Closes the connection without running the request.
     pub break_before: bool,
-    /// Runs the request and breaks the connection before it answers.
+    /// Runs the request and closes the connection before responding.
     pub break_after: bool,
-    /// Runs the request and breaks the connection in the middle of the answer.
+    /// Runs the request and closes the connection in the middle of the response.
     pub half_answer: bool,
-    /// Answers 500 at once and runs nothing.
+    /// Responds immediately with status 500 and does not run the request.
     pub fail: bool,
 }
--- a/crates/crosspath_fakes/src/lib.rs
+++ b/crates/crosspath_fakes/src/lib.rs
@@ -1,9 +1,9 @@
-//! Small stand-ins for the platform and the upstreams, with faults to inject.
+//! Fakes of the platform and the upstreams, with fault injection.
 //!
-//! One process plays the log, the workers and pools, the VM list, and every upstream VM, each VM on
-//! an address of its own. Tests, the quick start and the bench start it as a program or run it in
-//! their own process. It counts what the system must not do: payments run twice, requests cut off
-//! by a reboot, more requests at one time than a VM has slots.
+//! One process provides the log, the workers and pools, the VM list and all upstream VMs; each VM
+//! has its own address. Tests, the quick start and the benchmark run the fakes in their own process
+//! or start them as a program. The fakes count violations of what the system guarantees: payments
+//! run twice, requests interrupted by a reboot, and more concurrent requests than a VM has slots.
 
 pub mod config;
 pub mod fault;
--- a/crates/crosspath_fakes/src/log_store.rs
+++ b/crates/crosspath_fakes/src/log_store.rs
@@ -1,4 +1,4 @@
-//! The log.
+//! In-memory log with a retention limit and fault injection.
 
 use std::collections::VecDeque;
 use std::sync::{Mutex, PoisonError};
@@ -12,9 +12,10 @@
 use crate::fault::LogFault;
 
 const MAX_PAGE_RECORDS: usize = 500;
+/// Delay of an answer that is to be lost; longer than any client waits.
 const UNANSWERED_DELAY: Duration = Duration::from_secs(3600);
 
-/// Records, the oldest of which expire.
+/// Log that drops the oldest records beyond its retention limit.
 #[derive(Debug)]
 pub(crate) struct LogStore {
     records: Mutex<VecDeque<Record>>,
@@ -37,7 +38,7 @@
 
     pub(crate) fn set_fault(&self, fault: LogFault) {
         *self.fault.lock().unwrap_or_else(PoisonError::into_inner) = fault;
-        // Whoever waits looks again.
+        // Wakes waiting readers so that they check the fault.
         self.last.send_modify(|_| ());
     }
 
@@ -52,7 +53,8 @@
         loses
     }
 
-    /// Appends; none when the log is down and nothing was appended.
+    /// Appends a record and returns its offset. `None` means that the log is down and that nothing
+    /// was appended.
     pub(crate) async fn append(&self, data: String) -> Option<Revision> {
         let slow = Duration::from_millis(self.fault().slow_ms);
         tokio::time::sleep(self.latency + slow).await;
@@ -77,7 +79,8 @@
         offset
     }
 
-    /// Reads, waiting for the first record; none when the log is down.
+    /// Reads the records after `after`, waiting at most `wait` for the first. `None` means that the
+    /// log is down.
     pub(crate) async fn read(&self, after: Revision, wait: Duration) -> Option<Page> {
         let mut last = self.last.subscribe();
         let until = Instant::now() + wait;
--- a/crates/crosspath_fakes/src/main.rs
+++ b/crates/crosspath_fakes/src/main.rs
@@ -1,4 +1,4 @@
-//! The stand-ins as a program: `crosspath_fakes FILE.json`.
+//! Runs the fakes as a program: `crosspath_fakes FILE.json`.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -9,13 +9,13 @@
 
 #[derive(Debug, Snafu)]
 enum Error {
-    #[snafu(display("{}: cannot be read: {source}", file.display()))]
+    #[snafu(display("cannot read {}: {source}", file.display()))]
     Read { file: PathBuf, source: std::io::Error },
-    #[snafu(display("{}: {source}", file.display()))]
+    #[snafu(display("cannot parse {}: {source}", file.display()))]
     Parse { file: PathBuf, source: serde_json::Error },
     #[snafu(display("{source}"))]
     Start { source: crosspath_fakes::StartError },
-    #[snafu(display("cannot wait for the end: {source}"))]
+    #[snafu(display("cannot wait for the interrupt signal: {source}"))]
     Wait { source: std::io::Error },
 }
 
@@ -30,8 +30,8 @@
 #[tokio::main]
 async fn main() -> ExitCode {
     env_logger::init();
-    let file = bpaf::positional::<PathBuf>("FILE").help("What the stand-ins play, as JSON");
-    let file = file.to_options().descr("Stand-ins for the platform and the upstreams").run();
+    let file = bpaf::positional::<PathBuf>("FILE").help("Configuration of the fakes, as JSON");
+    let file = file.to_options().descr("Fake platform and upstreams for tests").run();
     match run(file).await {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
--- a/crates/crosspath_fakes/src/memory_store.rs
+++ b/crates/crosspath_fakes/src/memory_store.rs
@@ -1,7 +1,9 @@
-//! The platform's log in memory: keyed partitions, fenced appends, a group that deals shards.
+//! In-memory store of the platform: keyed partitions, fenced appends, and a group that assigns
+//! shards to its members.
 //!
-//! Answers can be lost on order. It deals shards evenly by member, takes no notice of silence, and
-//! moves a shard at once; what the daemon does in between is tested elsewhere.
+//! Answers to appends can be lost by fault injection. Shards are spread evenly over the members.
+//! Membership does not expire, and shards move to other members immediately; the daemon's behaviour
+//! between these steps is tested elsewhere.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -15,14 +17,14 @@
 };
 use crosspath_border::worker;
 
-/// Appends of an owner whose answers can be asked for again.
+/// Number of most recent appends of an owner that can be retried and then get the same result.
 const MAX_CACHED_RESULTS: usize = 5;
 
 #[derive(Debug, Default)]
 struct Log {
     records: Vec<Stored>,
     epoch: u64,
-    /// The last appends of the epoch and their answers.
+    /// Sequence numbers and results of the most recent appends of the current epoch.
     results: VecDeque<(u64, Appended)>,
 }
 
@@ -88,7 +90,7 @@
     lose_answers: u32,
 }
 
-/// The log in memory.
+/// In-memory [`Store`].
 #[derive(Debug, Default)]
 pub struct MemoryStore {
     shards: u32,
@@ -96,18 +98,18 @@
 }
 
 impl MemoryStore {
-    /// A store whose group deals so many shards.
+    /// Creates an empty store whose group assigns `shards` shards.
     #[must_use]
     pub fn new(shards: u32) -> Self {
         Self { shards, state: Mutex::default() }
     }
 
-    /// The next so many appends are done and not answered.
+    /// Makes the next `count` appends take effect and return [`Error::NoAnswer`].
     pub fn lose_answers(&self, count: u32) {
         self.state().lose_answers = count;
     }
 
-    /// All records of a partition.
+    /// All records of a partition, including superseded ones.
     #[must_use]
     pub fn records(&self, partition: Partition) -> Vec<Stored> {
         self.state().logs.get(&partition).map(|log| log.records.clone()).unwrap_or_default()
@@ -119,7 +121,7 @@
 }
 
 fn unsupported(record: &Stored) -> DecodeError {
-    let detail = "this stand-in has no records of others".to_owned();
+    let detail = "the in-memory store holds no records of operators or workers".to_owned();
     DecodeError { key: record.key.clone(), offset: record.offset, detail }
 }
 
--- a/crates/crosspath_fakes/src/platform.rs
+++ b/crates/crosspath_fakes/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's interfaces over HTTP, and orders to the stand-ins themselves under `/fakes`.
+//! HTTP interfaces of the fake platform. Requests under `/fakes` control the fakes themselves.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -29,7 +29,7 @@
 const MAX_BODY_BYTES: u64 = 16 * 1024 * 1024;
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The stand-ins could not start.
+/// Failure to bind an address while the fakes start.
 #[derive(Debug, Snafu)]
 #[snafu(display("cannot listen on {address}: {source}"))]
 pub struct StartError {
@@ -37,12 +37,12 @@
     source: std::io::Error,
 }
 
-/// Running stand-ins; they stop when this is dropped.
+/// Running fakes; they stop when this is dropped.
 #[derive(Debug)]
 pub struct Fakes {
-    /// Where the platform's interfaces are.
+    /// Listen address of the platform's interfaces.
     pub platform: SocketAddr,
-    /// Where each VM takes requests.
+    /// Listen address of each VM.
     pub vms: BTreeMap<VmName, SocketAddr>,
     inner: Arc<Inner>,
     tasks: Vec<tokio::task::JoinHandle<()>>,
@@ -63,11 +63,11 @@
 }
 
 impl Fakes {
-    /// Starts the stand-ins.
+    /// Starts the platform and all VMs of the configuration.
     ///
     /// # Errors
     ///
-    /// [`StartError`] when an address is taken.
+    /// [`StartError`] if an address cannot be bound.
     pub async fn start(config: &Config) -> Result<Self, StartError> {
         let service = config.service_ms.iter();
         let service = service.map(|(name, ms)| (name.clone(), Duration::from_millis(*ms)));
@@ -101,31 +101,31 @@
         Ok(Self { platform, vms: addresses, inner, tasks, _stop: stop })
     }
 
-    /// What upstreams ran.
+    /// Counts of the payments that upstreams ran.
     #[must_use]
     pub fn ledger(&self) -> &Ledger {
         &self.inner.shared.ledger
     }
 
-    /// What was seen of every VM.
+    /// State and counters of every VM.
     #[must_use]
     pub fn audits(&self) -> Vec<Audit> {
         self.inner.vms.values().map(|vm| vm.audit()).collect()
     }
 
-    /// Sets the log's faults.
+    /// Replaces the injected faults of the log.
     pub fn set_log_fault(&self, fault: crate::fault::LogFault) {
         self.inner.log.set_fault(fault);
     }
 
-    /// Sets a VM's faults; an unknown VM has none.
+    /// Replaces the injected faults of a VM. Unknown names are ignored.
     pub fn set_vm_fault(&self, vm: &VmName, fault: crate::fault::VmFault) {
         if let Some(vm) = self.inner.vms.get(vm) {
             vm.set_fault(fault);
         }
     }
 
-    /// Takes a VM down or brings it up.
+    /// Takes a VM down or brings it up. Unknown names are ignored.
     pub fn set_up(&self, vm: &VmName, up: bool) {
         if let Some(vm) = self.inner.vms.get(vm) {
             vm.set_up(up);
--- a/crates/crosspath_fakes/src/site.rs
+++ b/crates/crosspath_fakes/src/site.rs
@@ -1,5 +1,5 @@
-//! A whole site for tests, the quick start and the bench: stand-ins in this process and real
-//! daemons as processes, which can be killed, frozen and replaced.
+//! Complete site for tests, the quick start and the benchmark: fakes in this process, and daemons
+//! as separate processes that can be killed, suspended and restarted.
 
 mod port;
 mod relay;
@@ -25,101 +25,102 @@
 use crate::platform::{Fakes, StartError};
 use relay::Relay;
 
-/// The operator's token at every site.
+/// Token of the operator who may read and write.
 pub const OPERATOR_TOKEN: &str = "operator-demo-token";
 
-/// The token of an operator who may only read.
+/// Token of the operator who may only read.
 pub const READER_TOKEN: &str = "reader-demo-token";
 
-/// What the daemons of every site show each other.
+/// Token with which the daemons of a site authenticate to each other.
 pub const PEER_TOKEN: &str = "peer-demo-token-0123456789";
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 const START_TIMEOUT: Duration = Duration::from_secs(20);
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A site that does not do what it was started for.
+/// Failure to start or control a site.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The stand-ins did not start.
+    /// The fakes could not be started.
     #[snafu(display("{source}"))]
     Fakes {
-        /// Why.
+        /// Error that the fakes reported.
         source: StartError,
     },
-    /// A file cannot be used.
-    #[snafu(display("{}: {source}", file.display()))]
+    /// A file, directory or local listener cannot be opened or used.
+    #[snafu(display("cannot use {}: {source}", file.display()))]
     File {
-        /// Which.
+        /// Path, or a description of what has no path.
         file: PathBuf,
-        /// Why.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// A file is not of the right shape.
-    #[snafu(display("{}: {source}", file.display()))]
+    /// The content of a file cannot be parsed.
+    #[snafu(display("cannot parse {}: {source}", file.display()))]
     Parse {
-        /// Which.
+        /// Path of the rejected file.
         file: PathBuf,
-        /// Why.
+        /// Position and cause of the parse error.
         source: serde_json::Error,
     },
-    /// A process cannot be started.
+    /// A daemon process cannot be started.
     #[snafu(display("cannot start {}: {source}", program.display()))]
     Spawn {
-        /// Which.
+        /// Path of the program.
         program: PathBuf,
-        /// Why.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// A call failed.
+    /// A call to a daemon failed.
     #[snafu(display("{source}"))]
     Call {
-        /// Why.
+        /// Error of the HTTP client.
         source: client::Error,
     },
-    /// Something did not happen in time.
-    #[snafu(display("{what} did not happen within {} ms", limit.as_millis()))]
+    /// A condition was not met in time.
+    #[snafu(display("condition not met within {} ms: {what}", limit.as_millis()))]
     Timeout {
-        /// What.
+        /// Description of the condition.
         what: String,
-        /// The limit.
+        /// Time limit that was exceeded.
         limit: Duration,
     },
 }
 
-/// A resource as it stands in a deployment's file.
+/// Resource as it is written in a deployment's file.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Manifest {
-    /// Its kind.
+    /// Kind of the resource.
     pub kind: crosspath_state::resource::Kind,
-    /// Its name.
+    /// Name of the resource, unique within its kind.
     pub name: String,
-    /// Its spec.
+    /// Desired state, as accepted by the resource API.
     pub spec: Value,
 }
 
-/// What a site is made of.
+/// Composition and settings of a site.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// The daemon's program.
+    /// Path of the daemon's program.
     pub program: PathBuf,
-    /// How many daemons.
+    /// Number of daemons.
     pub daemons: usize,
-    /// Data centres, which the daemons are spread over.
+    /// Data centres over which the daemons are spread; not empty.
     pub data_centres: Vec<String>,
-    /// What is declared; the addresses of VMs are replaced by those of the stand-ins.
+    /// Resources to declare. The addresses of VMs are replaced by those of the fakes.
     pub resources: Vec<Manifest>,
-    /// Timing of the daemons, as in their settings.
+    /// Section `timing` of the daemons' settings.
     pub timing: Value,
-    /// Limits of the daemons, as in their settings.
+    /// Section `limits` of the daemons' settings.
     pub limits: Value,
-    /// What the stand-ins play; VMs are taken from the resources.
+    /// Configuration of the fakes. The VMs of `resources` are added to it.
     pub fakes: Config,
-    /// Whether links between daemons, and to the platform, can be cut.
+    /// Whether connections between daemons and to the platform go through relays, so that daemons
+    /// can be isolated.
     pub relayed_links: bool,
 }
 
 impl Plan {
-    /// A plan without resources and with short leases.
+    /// Creates a plan without resources and with short leases.
     #[must_use]
     pub fn new(program: impl Into<PathBuf>, daemons: usize) -> Self {
         Self {
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Adds a resource.
+    /// Adds a resource to declare.
     #[must_use]
     pub fn with(mut self, kind: crosspath_state::resource::Kind, name: &str, spec: Value) -> Self {
         self.resources.push(Manifest { kind, name: name.to_owned(), spec });
@@ -153,22 +154,22 @@
     }
 }
 
-/// Any free loopback address.
+/// Loopback address with port 0, which selects a free port.
 #[must_use]
 pub fn any_address() -> SocketAddr {
     SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
 }
 
-/// One daemon of a site.
+/// Daemon process of a site.
 #[derive(Debug)]
 pub struct Daemon {
-    /// Its name.
+    /// Name of the daemon, as in its settings.
     pub name: String,
-    /// Where callers connect.
+    /// Listen address for callers.
     pub callers: SocketAddr,
-    /// Where operators connect.
+    /// Listen address for operators.
     pub operators: SocketAddr,
-    /// Where peers connect.
+    /// Listen address for other daemons.
     pub peers: SocketAddr,
     settings: PathBuf,
     child: Option<Child>,
@@ -182,7 +183,7 @@
         }
     }
 
-    /// Ends the process at once.
+    /// Kills the process and waits for its end.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -190,22 +191,22 @@
         }
     }
 
-    /// Stops the process from running until it is thawed.
+    /// Suspends the process with SIGSTOP until [`Self::thaw`] is called.
     pub fn freeze(&self) {
         self.signal(Signal::SIGSTOP);
     }
 
-    /// Lets the process run again.
+    /// Resumes a suspended process.
     pub fn thaw(&self) {
         self.signal(Signal::SIGCONT);
     }
 
-    /// Asks for a planned stop.
+    /// Requests a graceful shutdown with SIGTERM.
     pub fn terminate(&self) {
         self.signal(Signal::SIGTERM);
     }
 
-    /// Whether the process has ended.
+    /// Whether the process has ended or was never started.
     pub fn has_ended(&mut self) -> bool {
         match &mut self.child {
             Some(child) => matches!(child.try_wait(), Ok(Some(_))),
@@ -213,19 +214,19 @@
         }
     }
 
-    /// Id of the process.
+    /// Identifier of the process; `None` if it was killed or never started.
     #[must_use]
     pub fn pid(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
 
-    /// A client of the resource API.
+    /// Creates a client of the resource API that may read and write.
     #[must_use]
     pub fn operator(&self) -> Client {
         Client::new(self.operators, CALL_TIMEOUT).with_token(OPERATOR_TOKEN)
     }
 
-    /// Whether the daemon says that it is ready.
+    /// Whether the daemon reports that it is ready.
     pub async fn is_ready(&self) -> bool {
         let client = Client::new(self.operators, Duration::from_millis(300));
         let answer = client.send(Request::get("/readyz"), Bytes::new()).await;
@@ -239,33 +240,33 @@
     }
 }
 
-/// Running stand-ins and daemons.
+/// Running fakes and daemons.
 #[derive(Debug)]
 pub struct Site {
-    /// The stand-ins.
+    /// Fakes of the platform and the upstreams.
     pub fakes: Fakes,
-    /// The daemons.
+    /// Daemons in the order of their index.
     pub daemons: Vec<Daemon>,
     links: Vec<Link>,
     program: PathBuf,
     directory: TempDir,
 }
 
-/// A link that one daemon uses, to another or to the platform.
+/// Relayed link from one daemon to another or to the platform.
 #[derive(Debug)]
 struct Link {
     from: usize,
-    /// The other daemon; none for the platform.
+    /// Index of the other daemon; `None` for the platform.
     to: Option<usize>,
     relay: Relay,
 }
 
 impl Site {
-    /// Starts the stand-ins and the daemons, and waits until every daemon is ready.
+    /// Starts the fakes and the daemons, and waits until every daemon is ready.
     ///
     /// # Errors
     ///
-    /// [`Error`].
+    /// Any [`Error`] except [`Error::Call`] and [`Error::Parse`].
     pub async fn start(plan: &Plan) -> Result<Self, Error> {
         let mut fakes = plan.fakes.clone();
         fakes.vms.extend(plan.resources.iter().filter_map(vm_config));
@@ -289,11 +290,12 @@
         Ok(site)
     }
 
-    /// Starts a daemon again under its name, as when its VM is replaced.
+    /// Kills a daemon and starts it again under the same name, as when its VM is replaced.
     ///
     /// # Errors
     ///
-    /// [`Error::Spawn`] or [`Error::File`].
+    /// [`Error::Spawn`] if the process cannot be started, [`Error::File`] if its log cannot be
+    /// opened.
     pub fn restart(&mut self, index: usize) -> Result<(), Error> {
         let daemon = &mut self.daemons[index];
         daemon.kill();
@@ -314,11 +316,11 @@
         Ok(())
     }
 
-    /// Waits until a daemon is ready and a member.
+    /// Waits until a daemon is ready and holds a valid member lease.
     ///
     /// # Errors
     ///
-    /// [`Error::Timeout`].
+    /// [`Error::Timeout`] after the time limit.
     pub async fn wait_ready(&self, index: usize) -> Result<(), Error> {
         let daemon = &self.daemons[index];
         self.wait(START_TIMEOUT, &format!("{} ready", daemon.name), async || {
@@ -327,24 +329,25 @@
         .await
     }
 
-    /// Cuts a daemon off from the platform and from every other daemon, or heals that. Callers and
-    /// upstreams still reach it.
+    /// Isolates a daemon from the platform and all other daemons, or ends the isolation. Its
+    /// connections with callers and upstreams remain. Needs [`Plan::relayed_links`].
     pub fn set_isolated(&self, index: usize, isolated: bool) {
         let affected = self.links.iter().filter(|l| l.from == index || l.to == Some(index));
         affected.for_each(|link| link.relay.set_blocked(isolated));
     }
 
-    /// Cuts a daemon off from the platform only, or heals that.
+    /// Isolates a daemon from the platform only, or ends the isolation. Needs
+    /// [`Plan::relayed_links`].
     pub fn set_isolated_from_platform(&self, index: usize, isolated: bool) {
         let affected = self.links.iter().filter(|link| link.from == index && link.to.is_none());
         affected.for_each(|link| link.relay.set_blocked(isolated));
     }
 
-    /// Waits until `met` says so.
+    /// Polls `condition` until it returns `true`.
     ///
     /// # Errors
     ///
-    /// [`Error::Timeout`].
+    /// [`Error::Timeout`] after the time limit.
     pub async fn wait(
         &self,
         limit: Duration,
@@ -361,11 +364,11 @@
         Ok(())
     }
 
-    /// Declares resources through one daemon.
+    /// Writes resources through one daemon's resource API, in their order.
     ///
     /// # Errors
     ///
-    /// [`Error::Call`].
+    /// [`Error::Call`] for the first resource that the daemon does not accept.
     pub async fn declare(&self, index: usize, resources: &[Manifest]) -> Result<(), Error> {
         let operator = self.daemons[index].operator();
         for resource in resources {
@@ -382,18 +385,18 @@
         Ok(())
     }
 
-    /// What a daemon wrote to its log.
+    /// Content of the log of a daemon, over all its restarts; empty if it cannot be read.
     #[must_use]
     pub fn log_of(&self, index: usize) -> String {
         let file = self.directory.path().join(format!("{}.log", self.daemons[index].name));
         std::fs::read_to_string(file).unwrap_or_default()
     }
 
-    /// Sends a request as a caller and reads the whole answer.
+    /// Sends a request as a caller and reads the whole response.
     ///
     /// # Errors
     ///
-    /// [`client::Error`].
+    /// [`client::Error`] if no whole response arrives in time.
     pub async fn send(
         &self,
         index: usize,
@@ -435,7 +438,7 @@
     (0..plan.daemons).map(daemon).collect()
 }
 
-/// Relays for every link, if links can be cut.
+/// Starts a relay for every link if the plan asks for relayed links.
 async fn links(plan: &Plan, platform: SocketAddr, daemons: &[Daemon]) -> Result<Vec<Link>, Error> {
     let mut links = Vec::new();
     let all = || 0..daemons.len();
@@ -487,11 +490,11 @@
     })
 }
 
-/// Reads the resources of a deployment.
+/// Reads the resources from a deployment's file.
 ///
 /// # Errors
 ///
-/// [`Error::File`] or [`Error::Shape`].
+/// [`Error::File`] if the file cannot be read, [`Error::Parse`] if it is not a list of resources.
 pub fn read_resources(file: &Path) -> Result<Vec<Manifest>, Error> {
     let text = std::fs::read_to_string(file).context(FileSnafu { file })?;
     serde_json::from_str(&text).context(ParseSnafu { file })
--- a/crates/crosspath_fakes/src/site/port.rs
+++ b/crates/crosspath_fakes/src/site/port.rs
@@ -1,16 +1,18 @@
-//! Ports for daemons that must know each other's address before they start.
+//! Free ports for daemons that must know each other's addresses before they start.
 
 use std::net::{Ipv4Addr, TcpListener};
 use std::sync::atomic::{AtomicU32, Ordering};
 
 const FIRST_PORT: u32 = 10_000;
-/// Below the range from which the system gives ports to outgoing connections.
+/// Exclusive upper limit, below the range from which the system assigns ports to outgoing
+/// connections.
 const END_PORT: u32 = 32_000;
 const STRIDE: u32 = 160;
 
 static NEXT: AtomicU32 = AtomicU32::new(0);
 
-/// So many ports that are free now, looked for from a place that differs between processes.
+/// Finds `count` ports that are free now. The search starts at a position that differs between
+/// processes and calls.
 pub(super) fn find_free(count: usize) -> Vec<u16> {
     let call = NEXT.fetch_add(1, Ordering::Relaxed);
     let start = std::process::id().wrapping_mul(7).wrapping_add(call).wrapping_mul(STRIDE);
--- a/crates/crosspath_fakes/src/site/relay.rs
+++ b/crates/crosspath_fakes/src/site/relay.rs
@@ -1,4 +1,4 @@
-//! Links that can be cut: every connection between two processes goes through one of these.
+//! Relays that simulate network partitions by blocking the connections between two processes.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -6,7 +6,7 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// Passes connections on to one address until it is cut.
+/// Forwards connections to one address unless it is blocked.
 #[derive(Debug)]
 pub(super) struct Relay {
     pub(super) address: SocketAddr,
@@ -23,7 +23,7 @@
         Ok(Self { address, blocked, task })
     }
 
-    /// Ends every connection and lets none through, or lets them through again.
+    /// Closes all connections and rejects new ones, or forwards new ones again.
     pub(super) fn set_blocked(&self, blocked: bool) {
         self.blocked.send_replace(blocked);
     }
--- a/crates/crosspath_fakes/src/upstream.rs
+++ b/crates/crosspath_fakes/src/upstream.rs
@@ -1,4 +1,4 @@
-//! The upstream side of a VM.
+//! HTTP server of an upstream VM.
 
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -20,20 +20,20 @@
 use crate::ledger::{Ledger, PAYMENT_ID, Receipt};
 use crate::vm::{Power, Vm};
 
-/// Header by which an upstream says that it refused a request before running it.
+/// Response header with which an upstream states that it refused a request without running it.
 pub(crate) const NOT_RUN: &str = "request-not-run";
 
 const MAX_BODY_BYTES: u64 = 16 * 1024 * 1024;
 const BODY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What all upstreams share.
+/// State shared by all upstream VMs.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) ledger: Ledger,
     pub(crate) service: BTreeMap<String, Duration>,
 }
 
-/// Serves one VM until the process ends. While the VM is down nothing listens there.
+/// Serves one VM until the process ends. While the VM is down, its address refuses connections.
 pub(crate) async fn serve(listener: TcpListener, vm: Arc<Vm>, shared: Arc<Shared>) {
     let mut power = vm.power.subscribe();
     let mut listener = Some(listener);
@@ -56,7 +56,7 @@
     }
 }
 
-/// Leaves the VM when a request ends, however it ends.
+/// Ends the request on its VM when dropped, also if the connection is closed or the VM goes down.
 struct RequestGuard(Arc<Vm>);
 
 impl Drop for RequestGuard {
@@ -89,7 +89,7 @@
 
 async fn break_connection(close: &mpsc::Sender<()>) -> Response<Body> {
     let _ = close.send(()).await;
-    // The connection ends before this is answered.
+    // The connection is closed before a response is sent.
     std::future::pending().await
 }
 
@@ -138,11 +138,12 @@
     response
 }
 
-/// An answer that breaks in the middle.
+/// Response whose body ends with an error after the first half.
 fn truncated_response(receipt: &Receipt) -> Response<Body> {
     let whole = serde_json::to_vec(receipt).unwrap_or_default();
     let part = Bytes::copy_from_slice(&whole[..whole.len() / 2]);
-    let frames = [Ok(Frame::data(part)), Err(BoxError::from("broken on purpose"))];
+    let frames =
+        [Ok(Frame::data(part)), Err(BoxError::from("connection closed by an injected fault"))];
     let stream = futures::stream::iter(frames).then(|frame| async {
         tokio::time::sleep(Duration::from_millis(5)).await;
         frame
--- a/crates/crosspath_fakes/src/vm.rs
+++ b/crates/crosspath_fakes/src/vm.rs
@@ -1,4 +1,4 @@
-//! Workers: what each VM does.
+//! State of an upstream VM and of the worker on it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,30 +13,30 @@
 
 use crate::fault::VmFault;
 
-/// What the stand-in saw of a VM, for checks.
+/// State and counters of a VM, for checks by tests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Audit {
-    /// Which VM.
+    /// Name of the observed VM.
     pub vm: VmName,
-    /// Whether it is up.
+    /// Whether the VM is up.
     pub up: bool,
-    /// Whether it refuses requests.
+    /// Whether the VM is drained and refuses requests.
     pub drained: bool,
-    /// Reboots so far.
+    /// Number of reboots so far.
     pub reboots: u32,
-    /// Requests that reboots cut off.
+    /// Number of requests that reboots interrupted.
     pub cut_off: u32,
-    /// Requests that it refused while drained.
+    /// Number of requests refused while the VM was drained or down.
     pub refused: u32,
-    /// Most requests at one time.
+    /// Highest number of concurrent requests.
     pub max_in_flight: u32,
-    /// Its slots.
+    /// Maximum number of concurrent requests that the VM should receive.
     pub slots: u32,
-    /// Job starts so far, resumptions not among them.
+    /// Number of job starts so far, without resumptions.
     pub job_starts: u32,
-    /// Jobs that a reboot ended while they ran.
+    /// Number of jobs that a reboot ended while they ran.
     pub jobs_cut_off: u32,
-    /// Time since a request last came in, in ms.
+    /// Time since the last accepted request, in ms; `None` before the first.
     pub last_request_ms_ago: Option<u64>,
 }
 
@@ -53,14 +53,14 @@
     history: Vec<(Instant, bool)>,
 }
 
-/// Whether a VM is up, and how often it went down; each time ends its connections.
+/// Whether a VM is up, and how often it went down. Each outage closes its connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Power {
     pub(crate) up: bool,
     pub(crate) outages: u32,
 }
 
-/// One VM.
+/// Fake VM with its worker.
 #[derive(Debug)]
 pub(crate) struct Vm {
     pub(crate) name: VmName,
@@ -139,7 +139,7 @@
         self.inner().fault = fault;
     }
 
-    /// Whether a new ticket came, so that the VM reboots now.
+    /// Starts a reboot unless it is the one that was requested last. Returns whether it started.
     pub(crate) fn begin_reboot(&self, id: String) -> bool {
         let mut inner = self.inner();
         if inner.reboot.as_ref() == Some(&id) {
@@ -169,7 +169,7 @@
         });
     }
 
-    /// What the list says, `lag` late.
+    /// Liveness that the VM list shows: the state of the VM `lag` ago.
     pub(crate) fn liveness(&self, lag: Duration) -> Liveness {
         let inner = self.inner();
         let observed = inner.history.iter().rev().find(|(at, _)| at.elapsed() >= lag);
@@ -179,7 +179,7 @@
         }
     }
 
-    /// Brings a job into a state; a VM that is down does nothing.
+    /// Sets the state of a job. Returns whether this was done; a VM that is down does nothing.
     pub(crate) fn set_job(&self, job: JobName, state: JobState) -> bool {
         let mut inner = self.inner();
         if !inner.up {
@@ -195,7 +195,7 @@
         true
     }
 
-    /// Takes a request in unless the VM refuses it.
+    /// Counts a request as in flight. Returns `false` if the VM is drained or down and refuses it.
     pub(crate) fn begin_request(&self) -> bool {
         let mut inner = self.inner();
         if inner.drained || !inner.up {
--- a/crates/crosspathd/examples/quickstart/audit.rs
+++ b/crates/crosspathd/examples/quickstart/audit.rs
@@ -1,4 +1,4 @@
-//! Watches the site from outside: what the stand-ins saw, and what the daemons say.
+//! Monitors the site through the fakes' counters and the daemons' operator interfaces.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -23,7 +23,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 const COMPARE_INTERVAL_ROUNDS: u32 = 25;
 
-/// What was seen.
+/// Violations and figures collected during the run.
 #[derive(Debug, Default)]
 pub(crate) struct Audit {
     pub(crate) budget_violations: u64,
@@ -49,7 +49,7 @@
     Monitor { stop, task }
 }
 
-/// Pool of each VM, and VMs that may be unavailable in each pool.
+/// Pool of each VM, and maximum number of unavailable VMs in each pool.
 struct Budgets {
     pool_of: BTreeMap<String, String>,
     max_unavailable: BTreeMap<String, u64>,
@@ -91,7 +91,7 @@
     audit
 }
 
-/// VMs that two daemons put into different pools at the same revision.
+/// Number of VMs that daemons assign to different pools at the same revision.
 async fn count_pool_conflicts(operators: &[std::net::SocketAddr]) -> u64 {
     let lists = operators.iter().map(|address| async move {
         let client = Client::new(*address, Duration::from_millis(300));
@@ -110,7 +110,7 @@
 }
 
 impl Monitor {
-    /// Ends the watch and reads the log once more, as a daemon of its own would.
+    /// Ends the monitoring and replays the log independently of the daemons.
     pub(crate) async fn stop(self, site: &Shared, wave: &str) -> Audit {
         self.stop.store(true, Ordering::Relaxed);
         let mut audit = self.task.await.unwrap_or_default();
--- a/crates/crosspathd/examples/quickstart/faults.rs
+++ b/crates/crosspathd/examples/quickstart/faults.rs
@@ -1,4 +1,5 @@
-//! The faults on the way: a daemon killed and replaced, another frozen, the log away.
+//! Injects faults during the wave: one daemon is killed and restarted, another is suspended, and
+//! the log has an outage.
 
 use std::time::Duration;
 
@@ -10,7 +11,7 @@
 const FREEZE_TIME: Duration = Duration::from_millis(2_500);
 const LOG_OUTAGE: Duration = Duration::from_millis(1_500);
 
-/// The planner, so that another daemon has to go on with the wave.
+/// The planner, so that another daemon must continue the wave.
 const FROZEN_DAEMON: usize = 0;
 const KILLED_DAEMON: usize = 2;
 
--- a/crates/crosspathd/examples/quickstart/main.rs
+++ b/crates/crosspathd/examples/quickstart/main.rs
@@ -1,5 +1,5 @@
-//! Starts a whole site, sends payments through a maintenance wave and through faults, and counts
-//! what must not happen.
+//! Starts a complete site, sends payments during a maintenance wave with injected faults, and
+//! counts violations of the system's guarantees.
 //!
 //! `cargo run --release -p crosspathd --example quickstart -- [--deployment association] [--json]`
 
@@ -31,18 +31,19 @@
 const WAVE_LIMIT: Duration = Duration::from_secs(40);
 const WAVE: &str = "quickstart";
 
-/// The running site; faults need it alone, everyone else shares it.
+/// Running site. Killing and restarting a daemon takes the write lock; all else takes the read
+/// lock.
 type Shared = Arc<RwLock<Site>>;
 
 #[derive(Debug, Snafu)]
 enum Error {
     #[snafu(display("{source}"))]
     Site { source: site::Error },
-    #[snafu(display("{}: {source}", file.display()))]
+    #[snafu(display("cannot access {}: {source}", file.display()))]
     File { file: PathBuf, source: std::io::Error },
-    #[snafu(display("{}: {source}", file.display()))]
+    #[snafu(display("cannot parse {}: {source}", file.display()))]
     Parse { file: PathBuf, source: serde_json::Error },
-    #[snafu(display("the daemon's program was not built"))]
+    #[snafu(display("the crosspathd binary cannot be built or found"))]
     Build,
     #[snafu(display("{source}"))]
     Call { source: crosspath_http::client::Error },
@@ -62,10 +63,10 @@
 
 fn options() -> Options {
     let deployment = long("deployment")
-        .help("A folder of examples/: cobros-unidos or association")
+        .help("Deployment, a directory of examples/: cobros-unidos or association")
         .argument::<String>("NAME")
         .fallback("cobros-unidos".to_owned());
-    let json = long("json").help("Print one JSON object as the last line").switch();
+    let json = long("json").help("Print the results as a JSON object on the last line").switch();
     construct!(Options { deployment, json }).to_options().run()
 }
 
@@ -73,13 +74,14 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// The daemon's program, built beside this one if it is not there yet.
+/// Builds the daemon's program beside this one and returns its path. An existing program is used if
+/// the build fails.
 fn program() -> Result<PathBuf, Error> {
     let own = std::env::current_exe().context(FileSnafu { file: "this program" })?;
     let folder = own.parent().and_then(Path::parent).context(BuildSnafu)?;
     let program = folder.join("crosspathd");
     let mut build = Command::new(std::env::var_os("CARGO").unwrap_or_else(|| "cargo".into()));
-    // With the example named too, the features are those that this program was built with.
+    // Building the example as well resolves to the same features with which this program was built.
     build.args(["build", "--quiet", "-p", "crosspathd", "--bin", "crosspathd"]);
     build.args(["--example", "quickstart"]);
     if folder.ends_with("release") {
@@ -129,11 +131,11 @@
     Ok(Report::new(&traffic, &audit, wave_time))
 }
 
-/// How long the wave took; none when it was not done in time.
+/// Waits for the wave and returns its duration; `None` if it was not done within [`WAVE_LIMIT`].
 async fn wait_for_wave(site: &Shared, started: Instant) -> Option<Duration> {
     while started.elapsed() < WAVE_LIMIT {
         tokio::time::sleep(Duration::from_millis(50)).await;
-        // The last daemon is neither killed nor frozen.
+        // No fault is injected into the last daemon.
         let operator = site.read().await.daemons[DAEMONS - 1].operator();
         let path = format!("/v1/waves/{WAVE}");
         let wave = operator.call::<Value>(Method::GET, &path, None::<&()>).await;
--- a/crates/crosspathd/examples/quickstart/report.rs
+++ b/crates/crosspathd/examples/quickstart/report.rs
@@ -1,4 +1,4 @@
-//! What the run showed.
+//! Results of the run, as text and as JSON.
 
 use std::time::Duration;
 
--- a/crates/crosspathd/examples/quickstart/traffic.rs
+++ b/crates/crosspathd/examples/quickstart/traffic.rs
@@ -1,4 +1,4 @@
-//! Callers: they send payments to the daemons that say they are ready, and note every answer.
+//! Callers that send payments to ready daemons and record every outcome.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -25,7 +25,7 @@
 const RETRY_DELAY: Duration = Duration::from_millis(300);
 const REFRESH_INTERVAL: Duration = Duration::from_millis(150);
 
-/// What a caller was told in the end.
+/// Final outcome of a payment, as the caller knows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Outcome {
     Answered,
@@ -34,7 +34,7 @@
     Nothing,
 }
 
-/// Everything that callers noted.
+/// Outcomes and latencies recorded by all callers.
 #[derive(Debug, Default)]
 pub(crate) struct Results {
     pub(crate) outcomes: BTreeMap<String, Outcome>,
@@ -66,7 +66,7 @@
     idempotent: bool,
 }
 
-/// The platform's balancer: knows which daemons are ready.
+/// Load balancer of the platform, which distributes requests over the ready daemons.
 #[derive(Debug, Default)]
 struct Balancer {
     ready: Mutex<Vec<Client>>,
@@ -119,7 +119,8 @@
     Traffic { stop, results, tasks }
 }
 
-/// The token of the first caller; the examples' tokens follow from the names.
+/// Token of the first caller. In the example deployments tokens are derived from the callers'
+/// names.
 fn token(resources: &[Manifest]) -> String {
     let caller = resources.iter().find(|resource| resource.kind == Kind::Caller);
     format!("{}-demo-token", caller.map(|caller| caller.name.as_str()).unwrap_or_default())
@@ -162,7 +163,8 @@
         }
     }
 
-    /// Sends a payment; one with a key is sent again, through any daemon, until its end is known.
+    /// Sends a payment. With a payment key it is retried through any daemon until its outcome is
+    /// known or the attempts are used up.
     async fn pay(&self, payment: &str) -> Outcome {
         let mut outcome = Outcome::Nothing;
         for _ in 0..MAX_ATTEMPTS {
@@ -176,7 +178,7 @@
             let response = client.send(request, Bytes::from_static(b"{\"amount\":125}")).await;
             outcome = match response {
                 Ok(response) => self.read(payment, &response),
-                // Without a key, a request that broke off may have been run: no second try.
+                // Without a key, a failed request may have been run and is not retried.
                 Err(_) => Outcome::Nothing,
             };
             let is_final = matches!(outcome, Outcome::Answered | Outcome::NotRun) || !self.keyed;
--- a/crates/crosspathd/tests/site/api.rs
+++ b/crates/crosspathd/tests/site/api.rs
@@ -1,4 +1,4 @@
-//! Bad input gets a clear typed error, and the daemon goes on.
+//! Invalid requests get a specific error, and the daemon keeps serving others.
 
 use std::io::{Read as _, Write as _};
 use std::net::TcpStream;
@@ -100,7 +100,8 @@
     assert_eq!(Payment::new("pay", false).send(&site, 0).await.summary(), "upstream/");
 }
 
-/// Writes bytes as they are, and gives what comes back until the connection ends.
+/// Writes raw bytes to the caller interface and returns all that is received until the connection
+/// ends.
 fn raw(site: &Site, parts: &[&[u8]], pause: Duration) -> String {
     let mut stream = TcpStream::connect(site.daemons[0].callers).expect("connected");
     stream.set_read_timeout(Some(Duration::from_secs(3))).expect("set");
@@ -131,7 +132,8 @@
     let huge = format!("GET /pay/x HTTP/1.1\r\nhost: a\r\nx: {}\r\n\r\n", "y".repeat(70_000));
     let huge = raw(&site, &[huge.as_bytes()], none);
     assert!(huge.starts_with("HTTP/1.1 4") || huge.is_empty(), "{huge}");
-    // Two lengths, or a length beside chunks: one request to us, two to someone else.
+    // Ambiguous framing allows request smuggling: another server could read two requests where the
+    // daemon reads one.
     for framing in [
         "content-length: 3\r\ncontent-length: 30\r\n\r\nabc",
         "content-length: 4\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\nGET /pay/hidden HTTP/1.1\r\n\r\n",
@@ -192,7 +194,7 @@
     }
 }
 
-/// An operator that may only read changes nothing.
+/// An operator without the write right must not be able to change a resource.
 #[tokio::test(flavor = "multi_thread")]
 async fn reads_and_writes_are_separate_rights() {
     let site = common::start(&common::plan(1)).await;
--- a/crates/crosspathd/tests/site/common.rs
+++ b/crates/crosspathd/tests/site/common.rs
@@ -1,4 +1,4 @@
-//! A small site and what tests ask of it.
+//! Small site for the tests, and helpers to query it and to send payments.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,8 +15,8 @@
 pub(crate) const WAIT_LIMIT: Duration = Duration::from_secs(10);
 pub(crate) const DAEMONS: usize = 3;
 
-/// Three daemons; a pool of `vms` VMs with an urgent service that may not be repeated, one that
-/// may, and a batch service.
+/// Plan with three daemons and a pool of `vms` VMs. The pool has a non-idempotent urgent service,
+/// an idempotent urgent service and a batch service.
 pub(crate) fn plan(vms: usize) -> Plan {
     let mut plan = Plan::new(env!("CARGO_BIN_EXE_crosspathd"), DAEMONS);
     let token = crosspath_settings::token::Hash::of(TOKEN).to_hex();
@@ -56,19 +56,19 @@
 }
 
 pub(crate) async fn start(plan: &Plan) -> Site {
-    let site = Site::start(plan).await.expect("the site starts");
-    site.declare(0, &plan.resources).await.expect("the resources are accepted");
+    let site = Site::start(plan).await.expect("site starts");
+    site.declare(0, &plan.resources).await.expect("resources are accepted");
     wait_applied(&site).await;
     site
 }
 
-/// Waits until every daemon has applied what the first one has.
+/// Waits until every daemon has applied all records that the first one has applied now.
 pub(crate) async fn wait_applied(site: &Site) {
     let revision = applied(site, 0).await;
     for index in 0..site.daemons.len() {
-        site.wait(WAIT_LIMIT, "in force", async || applied(site, index).await >= revision)
+        site.wait(WAIT_LIMIT, "revision applied", async || applied(site, index).await >= revision)
             .await
-            .expect("in force");
+            .expect("every daemon applies the revision");
     }
 }
 
@@ -96,13 +96,13 @@
     operator.call(Method::PUT, path, Some(&json!({ "spec": spec }))).await
 }
 
-/// What a caller was told.
+/// Response to a caller, or its absence.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Reply {
     pub(crate) status: u16,
     pub(crate) outcome: String,
     pub(crate) reason: String,
-    /// The payment that the answer is about, if it is a receipt.
+    /// Payment that the response confirms, if its body is a receipt.
     pub(crate) receipt: Option<String>,
     pub(crate) retry_after: bool,
 }
@@ -127,13 +127,13 @@
         }
     }
 
-    /// Outcome and reason in one word.
+    /// Outcome and reason, separated by a slash.
     pub(crate) fn summary(&self) -> String {
         format!("{}/{}", self.outcome, self.reason)
     }
 }
 
-/// A payment; with a key it is its own key.
+/// Payment; if `keyed`, its identifier is also its payment key.
 #[derive(Debug, Clone)]
 pub(crate) struct Payment {
     pub(crate) id: String,
@@ -168,12 +168,12 @@
     }
 }
 
-/// Payments with fresh keys, until each daemon surely owns some of them.
+/// Payments with new keys. With a few dozen, each daemon owns some of the keys.
 pub(crate) fn payments(count: usize) -> Vec<Payment> {
     (0..count).map(|_| Payment::new("pay", true)).collect()
 }
 
-/// Waits until every daemon owns keys and has a guard, so that the site is settled.
+/// Waits until every daemon owns partitions of the keys and has a guard.
 pub(crate) async fn wait_settled(site: &Site) {
     site.wait(WAIT_LIMIT, "settled", async || {
         let status = status(site, 0).await;
@@ -185,11 +185,11 @@
     })
     .await
     .expect("every daemon owns keys and has a guard");
-    // Keys must be younger than the owners' knowledge by twice the skew.
+    // An owner grants only keys created more than twice the skew after its records were complete.
     tokio::time::sleep(Duration::from_millis(150)).await;
 }
 
-/// The most that any payment was run.
+/// Highest number of runs of any payment.
 pub(crate) fn max_runs(site: &Site) -> u32 {
     let runs: BTreeMap<String, u32> = site.fakes.ledger().runs();
     runs.values().copied().max().unwrap_or_default()
--- a/crates/crosspathd/tests/site/config.rs
+++ b/crates/crosspathd/tests/site/config.rs
@@ -1,4 +1,4 @@
-//! A configuration, once accepted, is in force everywhere soon and never reverts.
+//! Accepted configuration changes are applied by all daemons and are never reverted.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_accepted_change_never_reverts() {
+async fn accepted_change_never_reverts() {
     let site = common::start(&common::plan(2)).await;
     let mut seen = [0_u64; common::DAEMONS];
     for value in 1..40_u64 {
@@ -30,16 +30,16 @@
                 continue;
             }
             let now = max_cores(&site, index).await.unwrap_or_default();
-            assert!(now >= *seen, "daemon {index} went from {seen} back to {now}");
+            assert!(now >= *seen, "daemon {index} reverted from {seen} to {now}");
             *seen = now;
         }
     }
     for index in 0..common::DAEMONS {
-        site.wait(Duration::from_secs(5), "in force", async || {
+        site.wait(Duration::from_secs(5), "change applied", async || {
             max_cores(&site, index).await == Some(1_039)
         })
         .await
-        .expect("in force everywhere");
+        .expect("every daemon applies the last change");
     }
 }
 
@@ -62,9 +62,11 @@
     assert_eq!(both, [200, 412]);
     let winner = if a == 200 { 11 } else { 22 };
     for index in 0..common::DAEMONS {
-        site.wait(WAIT_LIMIT, "in force", async || max_cores(&site, index).await == Some(winner))
-            .await
-            .expect("the winner's everywhere");
+        site.wait(WAIT_LIMIT, "change applied", async || {
+            max_cores(&site, index).await == Some(winner)
+        })
+        .await
+        .expect("every daemon applies the accepted change");
     }
 }
 
@@ -91,9 +93,9 @@
     assert!(line.contains("\"new\"") && line.contains("changed"), "{line}");
 }
 
-/// Whoever is told that a change is accepted can read it at once, at the same daemon.
+/// An accepted change can be read immediately from the daemon that accepted it.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_accepted_change_can_be_read_at_once() {
+async fn accepted_change_can_be_read_at_once() {
     let site = common::start(&common::plan(1)).await;
     for round in 0..40 {
         let puts = (0..12).map(|number| {
--- a/crates/crosspathd/tests/site/entry.rs
+++ b/crates/crosspathd/tests/site/entry.rs
@@ -1,4 +1,4 @@
-//! The entry VM of a request, or the owner of its key, is lost while the request is under way.
+//! Loss of the entry VM of a request, or of the owner of its payment key, during the request.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
     site
 }
 
-/// Sends payments through one daemon, and does something in the middle.
+/// Sends payments through one daemon and runs `event` while they are in flight.
 async fn send_during(
     site: &Site,
     through: usize,
@@ -31,7 +31,8 @@
     futures::future::join(futures::future::join_all(sends), middle).await.0
 }
 
-/// Sends again what has no answer yet, and checks that every answer is true and no payment doubles.
+/// Sends the payments again and checks that none runs twice and that none is reported as not run
+/// although it was run.
 async fn check_resent(site: &Site, through: usize, payments: &[Payment]) -> Vec<Reply> {
     let mut replies = Vec::new();
     for payment in payments {
@@ -50,14 +51,16 @@
     let payments = common::payments(8);
     let id = site.daemons[0].pid();
     let kill = async {
-        let pid = nix::unistd::Pid::from_raw(i32::try_from(id.expect("runs")).expect("small"));
+        let pid = nix::unistd::Pid::from_raw(
+            i32::try_from(id.expect("daemon runs")).expect("process id fits i32"),
+        );
         let _ = nix::sys::signal::kill(pid, nix::sys::signal::Signal::SIGKILL);
     };
     let replies = send_during(&site, 0, &payments, kill).await;
     assert!(replies.iter().all(|reply| reply.outcome == "nothing"), "{replies:?}");
     site.daemons[0].kill();
     check_resent(&site, 1, &payments).await;
-    // When the request's own time is over, its owner says so.
+    // After the request's timeout the owner reports its outcome as lost.
     tokio::time::sleep(Duration::from_millis(2_500)).await;
     let later = check_resent(&site, 2, &payments).await;
     let is_permitted = |reply: &Reply| {
@@ -72,7 +75,9 @@
     let payments = common::payments(8);
     let id = site.daemons[2].pid();
     let kill = async {
-        let pid = nix::unistd::Pid::from_raw(i32::try_from(id.expect("runs")).expect("small"));
+        let pid = nix::unistd::Pid::from_raw(
+            i32::try_from(id.expect("daemon runs")).expect("process id fits i32"),
+        );
         let _ = nix::sys::signal::kill(pid, nix::sys::signal::Signal::SIGKILL);
     };
     let replies = send_during(&site, 0, &payments, kill).await;
@@ -97,7 +102,7 @@
         site.daemons[1].thaw();
     };
     send_during(&site, 1, &payments, freeze).await;
-    site.wait_ready(1).await.expect("a member again");
+    site.wait_ready(1).await.expect("member again");
     check_resent(&site, 1, &payments).await;
     check_resent(&site, 2, &payments).await;
 }
@@ -114,11 +119,11 @@
     for reply in check_resent(&site, 1, &payments).await {
         assert_eq!(reply.summary(), "recorded/");
     }
-    // Without a key the request ends with its caller, and the slot is free.
+    // Without a key the request is cancelled with its caller, and its slot becomes free.
     let unkeyed = Payment::new("pay", false);
     let timed_out = tokio::time::timeout(EVENT_DELAY, unkeyed.send(&site, 0)).await;
     assert!(timed_out.is_err());
-    site.wait(WAIT_LIMIT, "slot free", async || {
+    site.wait(WAIT_LIMIT, "slot is free", async || {
         let metrics = crosspath_http::client::Client::new(site.daemons[0].operators, WAIT_LIMIT);
         let answer = metrics.send(http::Request::get("/metrics"), bytes::Bytes::new()).await;
         answer.is_ok_and(|answer| {
@@ -128,7 +133,7 @@
         })
     })
     .await
-    .expect("nothing in flight");
+    .expect("no request in flight");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -137,16 +142,16 @@
     let payments = common::payments(12);
     let replies = send_during(&site, 1, &payments, async {}).await;
     assert!(replies.iter().all(|reply| reply.summary() == "upstream/"), "{replies:?}");
-    // The third daemon's guard is the first: it takes the claims and dies.
+    // The first daemon is the guard of the third: it receives the claims and is killed.
     site.daemons[2].terminate();
     tokio::time::sleep(Duration::from_millis(350)).await;
     site.daemons[0].kill();
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     check_resent(&site, 1, &payments).await;
-    site.restart(0).expect("started");
-    site.restart(2).expect("started");
-    site.wait_ready(0).await.expect("a member again");
-    site.wait_ready(2).await.expect("a member again");
+    site.restart(0).expect("daemon starts");
+    site.restart(2).expect("daemon starts");
+    site.wait_ready(0).await.expect("member again");
+    site.wait_ready(2).await.expect("member again");
     for through in [0, 1, 2] {
         check_resent(&site, through, &payments).await;
     }
--- a/crates/crosspathd/tests/site/isolation.rs
+++ b/crates/crosspathd/tests/site/isolation.rs
@@ -1,4 +1,4 @@
-//! A daemon that is cut off from the log and from its peers, but not from callers and upstreams.
+//! Isolation of a daemon from the log and its peers, but not from callers and upstreams.
 
 use std::time::Duration;
 
@@ -25,7 +25,7 @@
     })
     .await
     .expect("evicted");
-    // Fresh keys are younger than the take-over by twice the skew.
+    // A new owner grants only keys that are newer than its takeover by twice the skew.
     tokio::time::sleep(Duration::from_millis(150)).await;
 }
 
@@ -38,7 +38,7 @@
     for payment in &payments {
         assert_eq!(payment.send(&site, 0).await.summary(), "upstream/");
     }
-    // The cut-off daemon still believes that it owns a third of them.
+    // In the isolated daemon's state it still owns a third of the keys.
     for payment in &payments {
         let reply = payment.send(&site, 1).await;
         assert_eq!(reply.summary(), "unknown/key_not_asked");
@@ -46,8 +46,8 @@
     }
     assert_eq!(common::max_runs(&site), 1);
     site.set_isolated(1, false);
-    site.wait_ready(1).await.expect("a member again");
-    // While partitions are handed to it, their keys are not asked for.
+    site.wait_ready(1).await.expect("member again");
+    // During the handover of partitions to it, their keys are answered with key_not_asked.
     common::wait_settled(&site).await;
     for payment in &payments {
         assert_eq!(payment.send(&site, 1).await.summary(), "recorded/");
@@ -63,8 +63,8 @@
     common::put(&site, 0, "/v1/waves/w", json!({ "pools": ["counter"] })).await.expect("accepted");
     let mut answered = 0;
     for _ in 0..80 {
-        // It knows nothing of the wave, and sends to VMs that drain; they refuse before they run,
-        // and reboot only when they run nothing.
+        // The isolated daemon does not learn of the wave and sends to draining VMs. They refuse
+        // requests before running them, and reboot only when none is running.
         let payments: Vec<_> = (0..5).map(|_| Payment::new("pay", false)).collect();
         let sends = futures::future::join_all(payments.iter().map(|p| p.send(&site, 2))).await;
         for (payment, reply) in payments.iter().zip(sends) {
@@ -77,12 +77,12 @@
     })
     .await
     .expect("the wave ends");
-    let cut: u32 = site.fakes.audits().iter().map(|vm| vm.cut_off).sum();
-    assert_eq!(cut, 0);
+    let interrupted: u32 = site.fakes.audits().iter().map(|vm| vm.cut_off).sum();
+    assert_eq!(interrupted, 0);
     assert!(answered > 380, "{answered} of 400 were answered");
     assert!(common::max_runs(&site) <= 1);
     site.set_isolated(2, false);
-    site.wait_ready(2).await.expect("a member again");
+    site.wait_ready(2).await.expect("member again");
     site.wait(WAIT_LIMIT, "caught up", async || {
         common::applied(&site, 2).await >= common::applied(&site, 0).await
     })
@@ -91,7 +91,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_daemon_without_the_log_keeps_its_lease_from_its_guard() {
+async fn daemon_without_the_log_keeps_its_lease_from_its_guard() {
     let site = start().await;
     site.set_isolated_from_platform(1, true);
     tokio::time::sleep(Duration::from_millis(3_500)).await;
@@ -109,10 +109,10 @@
     .expect("accepted again");
 }
 
-/// Without the log it takes the state from a peer, stops sending to VMs that drain, and the wave
-/// waits for that.
+/// Without the log a daemon reads the state from a peer and stops sending to draining VMs. The wave
+/// waits for this, so that no VM refuses or interrupts a request.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_daemon_without_the_log_follows_its_peers() {
+async fn daemon_without_the_log_follows_its_peers() {
     let site = start().await;
     site.set_isolated_from_platform(1, true);
     common::put(&site, 0, "/v1/waves/w", json!({ "pools": ["counter"] })).await.expect("accepted");
@@ -122,7 +122,7 @@
         let sends = futures::future::join_all(payments.iter().map(|p| p.send(&site, 1))).await;
         assert!(sends.iter().all(|reply| reply.summary() == "upstream/"), "{sends:?}");
         rounds += 1;
-        assert!(rounds < 400, "the wave does not end");
+        assert!(rounds < 400, "the wave did not finish");
     }
     for vm in site.fakes.audits() {
         assert_eq!((vm.reboots, vm.cut_off, vm.refused), (1, 0, 0), "{vm:?}");
--- a/crates/crosspathd/tests/site/jobs.rs
+++ b/crates/crosspathd/tests/site/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs on VMs that fail, and reboots that are done once.
+//! Jobs on VMs that fail, and VMs that are updated during their reboot.
 
 use std::time::{Duration, Instant};
 
@@ -8,7 +8,7 @@
 
 use crate::common::{self, WAIT_LIMIT};
 
-/// Letter 1: urgent work starts within 1.9 s.
+/// Urgent jobs must start within 1.9 s.
 const URGENT_START: Duration = Duration::from_millis(1_900);
 
 async fn assigned_vm(site: &Site, index: usize, job: &str) -> Option<String> {
@@ -21,7 +21,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_job_of_a_failed_vm_starts_elsewhere() {
+async fn job_of_a_failed_vm_starts_elsewhere() {
     let plan = common::plan(3).with(Kind::Job, "fixed", common::job(4, false));
     let site = common::start(&plan).await;
     site.wait(WAIT_LIMIT, "started", async || total_starts(&site) == 1).await.expect("started");
@@ -32,14 +32,14 @@
         .expect("started again");
     let second = assigned_vm(&site, 0, "fixed").await.expect("placed");
     assert_ne!(first, second);
-    // The failed VM comes back: it gets no second copy of the job.
+    // When the failed VM is up again, it gets no second copy of the job.
     site.fakes.set_up(&first.parse().expect("a name"), true);
     tokio::time::sleep(Duration::from_secs(3)).await;
     assert_eq!((total_starts(&site), assigned_vm(&site, 0, "fixed").await), (2, Some(second)));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_urgent_job_starts_soon_after_it_is_declared() {
+async fn urgent_job_starts_soon_after_it_is_declared() {
     let site = common::start(&common::plan(3)).await;
     let mut spec = common::job(4, false);
     spec["class"] = json!("urgent");
@@ -61,7 +61,8 @@
     );
 }
 
-/// A change of the VM's declaration in mid-reboot reboots it no second time.
+/// Updates every VM's resource repeatedly during a wave. A VM must not be rebooted a second time
+/// because its resource changed while it rebooted.
 #[tokio::test(flavor = "multi_thread")]
 async fn vm_updated_during_a_wave_reboots_once() {
     let mut plan = common::plan(3);
@@ -80,11 +81,11 @@
             common::put(&site, number % 3, &path, spec).await.expect("accepted");
         }
         number += 1;
-        assert!(number < 200, "the wave does not end");
+        assert!(number < 200, "the wave did not finish");
     }
     let reboots: Vec<u32> = site.fakes.audits().iter().map(|vm| vm.reboots).collect();
     assert_eq!(reboots, [1, 1, 1]);
-    // A later wave of the same name is another one.
+    // A new wave with the name of a deleted one reboots the VMs again.
     let operator = site.daemons[0].operator();
     let method = crosspath_http::client::Method::DELETE;
     let deleted = operator.call::<serde_json::Value>(method, "/v1/waves/w", None::<&()>).await;
--- a/crates/crosspathd/tests/site/log_faults.rs
+++ b/crates/crosspathd/tests/site/log_faults.rs
@@ -1,4 +1,4 @@
-//! The log is down, slow, loses answers, or forgets.
+//! Faults of the log: outages, slow or lost answers, expired records and unreadable records.
 
 use std::time::Duration;
 
@@ -29,7 +29,7 @@
     })
     .await
     .expect("accepted again");
-    // What was refused was not accepted later behind the operator's back.
+    // The change is stored once it was accepted. A refused change must not take effect later.
     let log = common::get(&site, 0, "/v1/teams/late").await;
     assert_eq!(log["spec"]["max_cores"], 1);
 }
@@ -42,7 +42,7 @@
         site.fakes.set_log_fault(LogFault { lose_answers: 1, ..LogFault::default() });
         let spec = json!({ "max_cores": round });
         let put = common::put(&site, 0, &format!("/v1/teams/lost-{round}"), spec).await;
-        let revision = put.expect("settled")["revision"].as_u64();
+        let revision = put.expect("outcome is resolved")["revision"].as_u64();
         assert!(revision > Some(before));
         let team = common::get(&site, 1, &format!("/v1/teams/lost-{round}")).await;
         site.fakes.set_log_fault(LogFault::default());
@@ -57,19 +57,19 @@
     let answer = common::put(&site, 0, "/v1/teams/slow", json!({ "max_cores": 7 })).await;
     let Err(Error::Status { status, body, .. }) = answer else { panic!("{answer:?}") };
     assert_eq!(status, 504, "{body}");
-    let problem: Value = serde_json::from_str(&body).expect("a problem");
-    let change = problem["change"].as_str().expect("an id to ask for").to_owned();
+    let problem: Value = serde_json::from_str(&body).expect("problem as JSON");
+    let change = problem["change"].as_str().expect("identifier of the change").to_owned();
     site.fakes.set_log_fault(LogFault::default());
-    site.wait(Duration::from_secs(20), "fate known", async || {
+    site.wait(Duration::from_secs(20), "outcome of the change is known", async || {
         common::get(&site, 0, &format!("/v1/changes/{change}")).await["fate"] == "accepted"
     })
     .await
-    .expect("accepted in the end");
+    .expect("change is accepted");
     assert_eq!(common::get(&site, 0, "/v1/teams/slow").await["spec"]["max_cores"], 7);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_fresh_daemon_starts_from_a_peer_while_the_log_is_down() {
+async fn restarted_daemon_starts_from_a_peer_while_the_log_is_down() {
     let mut site = common::start(&common::plan(3)).await;
     let before = common::applied(&site, 0).await;
     site.fakes.set_log_fault(down());
@@ -79,18 +79,20 @@
     assert!(common::applied(&site, 2).await >= before);
     assert_eq!(Payment::new("pay", false).send(&site, 2).await.summary(), "upstream/");
     site.fakes.set_log_fault(LogFault::default());
-    site.wait_ready(2).await.expect("a member again");
+    site.wait_ready(2).await.expect("member again");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_fresh_daemon_starts_from_a_snapshot_when_records_are_gone() {
+async fn restarted_daemon_starts_from_a_snapshot_when_records_are_gone() {
     let mut plan = common::plan(3);
     plan.fakes.log_retention = 60;
     plan.timing["snapshot_every"] = json!(15);
     let mut site = common::start(&plan).await;
     for number in 0..80 {
         let path = format!("/v1/teams/team-{}", number % 7);
-        common::put(&site, number % 3, &path, json!({ "max_cores": number })).await.expect("taken");
+        common::put(&site, number % 3, &path, json!({ "max_cores": number }))
+            .await
+            .expect("accepted");
     }
     site.daemons[2].kill();
     site.restart(2).expect("started");
@@ -105,7 +107,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_record_that_cannot_be_read_stops_every_decision() {
+async fn unreadable_record_halts_every_daemon() {
     let site = common::start(&common::plan(2)).await;
     let log = crosspath_http::client::Client::new(site.fakes.platform, WAIT_LIMIT);
     let newer = json!({ "data": "{\"version\":99,\"entry\":\"teleport\"}" });
@@ -115,7 +117,7 @@
             common::status(&site, index).await["halted"].is_string()
         })
         .await
-        .expect("halted");
+        .expect("daemon halts");
         assert!(!site.daemons[index].is_ready().await);
     }
     let refused = common::put(&site, 0, "/v1/teams/late", json!({ "max_cores": 1 })).await;
--- a/crates/crosspathd/tests/site/main.rs
+++ b/crates/crosspathd/tests/site/main.rs
@@ -1,4 +1,4 @@
-//! Real daemon processes against the stand-ins, under faults.
+//! Tests of daemon processes against the fake platform and upstreams, with injected faults.
 
 mod api;
 mod common;
--- a/crates/crosspathd/tests/site/owner.rs
+++ b/crates/crosspathd/tests/site/owner.rs
@@ -1,5 +1,5 @@
-//! The owner of a payment key is killed, frozen, stopped or replaced: no payment runs twice, and
-//! every key has an owner again soon.
+//! Loss and replacement of the owner of payment keys: no payment runs twice, and new keys are soon
+//! granted again.
 
 use std::time::Duration;
 
@@ -7,9 +7,10 @@
 
 use crate::common::{self, Payment, WAIT_LIMIT};
 
-/// Waits until a fresh key of every partition is likely to be granted through `index`.
+/// Waits until 30 new keys in a row are granted through daemon `index`, so that probably no
+/// partition is without an owner.
 async fn wait_served(site: &Site, index: usize) {
-    site.wait(WAIT_LIMIT, "keys served", async || {
+    site.wait(WAIT_LIMIT, "new keys are granted", async || {
         for payment in common::payments(30) {
             if payment.send(site, index).await.outcome != "upstream" {
                 return false;
@@ -18,7 +19,7 @@
         true
     })
     .await
-    .expect("fresh keys are served again");
+    .expect("new keys are granted again");
 }
 
 async fn resend(site: &Site, index: usize, payments: &[Payment]) -> Vec<String> {
@@ -30,7 +31,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_killed_owner_is_replaced_and_nothing_runs_twice() {
+async fn killed_owner_is_replaced_and_nothing_runs_twice() {
     let mut site = common::start(&common::plan(3)).await;
     common::wait_settled(&site).await;
     let before = common::payments(60);
@@ -47,7 +48,7 @@
     assert!(later.iter().all(is_permitted), "{later:?}");
     assert!(later.iter().any(|summary| summary == "unknown/key_before_owner"), "{later:?}");
     assert_eq!(common::max_runs(&site), 1);
-    site.restart(2).expect("started again");
+    site.restart(2).expect("daemon starts again");
     site.wait_ready(2).await.expect("ready again");
     wait_served(&site, 2).await;
     resend(&site, 2, &before).await;
@@ -55,26 +56,27 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_frozen_owner_does_not_act_when_it_wakes() {
+async fn frozen_owner_runs_no_payment_twice_when_it_resumes() {
     let site = common::start(&common::plan(3)).await;
     common::wait_settled(&site).await;
     site.daemons[1].freeze();
     tokio::time::sleep(Duration::from_millis(300)).await;
-    // Made while the owner is frozen, sent to others, and then to the frozen one as it wakes.
+    // The payments are created while the owner is suspended. They are sent through another daemon
+    // and then through the suspended one as it resumes.
     let payments = common::payments(60);
     wait_served(&site, 0).await;
     let elsewhere = resend(&site, 0, &payments).await;
     site.daemons[1].thaw();
     let woken = resend(&site, 1, &payments).await;
     assert_eq!(common::max_runs(&site), 1, "{elsewhere:?} {woken:?}");
-    site.wait_ready(1).await.expect("a member again");
+    site.wait_ready(1).await.expect("member again");
     wait_served(&site, 1).await;
     resend(&site, 1, &payments).await;
     assert_eq!(common::max_runs(&site), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_planned_stop_hands_every_key_over() {
+async fn graceful_shutdown_hands_over_all_keys() {
     let mut site = common::start(&common::plan(3)).await;
     common::wait_settled(&site).await;
     let before = common::payments(60);
@@ -103,7 +105,7 @@
         assert_eq!(payment.send(&site, 0).await.summary(), "upstream/");
     }
     site.daemons[1].kill();
-    site.restart(1).expect("started again");
+    site.restart(1).expect("daemon starts again");
     site.wait_ready(1).await.expect("ready again");
     let after = resend(&site, 1, &before).await;
     let is_permitted = |summary: &String| {
@@ -122,12 +124,12 @@
     common::wait_settled(&site).await;
     let down = crosspath_fakes::fault::LogFault { down: true, ..Default::default() };
     site.fakes.set_log_fault(down);
-    // Longer than the lease and the tenure.
+    // Longer than the lease and the tenure of an owner.
     tokio::time::sleep(Duration::from_millis(3_500)).await;
     for payment in common::payments(40) {
         assert_eq!(payment.send(&site, 0).await.summary(), "upstream/");
     }
-    // A short stop of one daemon ends no lease for good.
+    // A daemon that was suspended for a short time gets its lease again.
     site.daemons[1].freeze();
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     site.daemons[1].thaw();
--- a/crates/crosspathd/tests/site/payments.rs
+++ b/crates/crosspathd/tests/site/payments.rs
@@ -1,4 +1,5 @@
-//! A payment against every fault of its upstream: never run twice, never "not run" when it was.
+//! Payments under each fault of their upstream: none is run twice, and none is reported as "not
+//! run" although it was run.
 
 use std::time::{Duration, Instant};
 
@@ -10,7 +11,7 @@
     fault: &'static str,
     set: VmFault,
     down: bool,
-    /// Expected word and runs: without a key, then with one.
+    /// Expected summary and number of runs, without a payment key and with one.
     unkeyed: (&'static str, u32),
     keyed: (&'static str, u32),
 }
@@ -92,9 +93,9 @@
                 case.fault
             );
             if reply.outcome == "not_run" {
-                assert!(reply.retry_after, "{}: no time to come back", case.fault);
+                assert!(reply.retry_after, "{}: retry-after is missing", case.fault);
             }
-            // Sent again through another daemon, it is not run again, whatever happened.
+            // A retry through another daemon does not run the payment again.
             if keyed && runs > 0 {
                 for vm in &vms {
                     site.fakes.set_vm_fault(vm, VmFault::default());
@@ -108,14 +109,14 @@
             site.fakes.set_vm_fault(vm, VmFault::default());
             site.fakes.set_up(vm, true);
         }
-        // Until VMs that were taken out as outliers are back.
+        // Wait until VMs that were ejected as outliers are used again.
         tokio::time::sleep(Duration::from_millis(1_200)).await;
     }
     assert!(common::max_runs(&site) <= 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_repeatable_request_goes_to_another_upstream() {
+async fn repeatable_request_goes_to_another_upstream() {
     let site = common::start(&common::plan(4)).await;
     let broken = site.fakes.vms.keys().next().cloned().expect("a VM");
     site.fakes.set_vm_fault(&broken, VmFault { break_before: true, ..VmFault::default() });
@@ -140,7 +141,7 @@
     for vm in &vms {
         site.fakes.set_vm_fault(vm, VmFault::default());
     }
-    // Sent while the late answers come in.
+    // These are sent while the late responses arrive.
     let started = Instant::now();
     while started.elapsed() < Duration::from_secs(1) {
         let payment = Payment::new("pay", false);
@@ -152,7 +153,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_keeps_its_request_and_its_caller() {
+async fn key_keeps_its_request_and_its_caller() {
     let site = common::start(&common::plan(2)).await;
     common::wait_settled(&site).await;
     let payment = Payment::new("pay", true);
--- a/crates/crosspathd/tests/site/stop.rs
+++ b/crates/crosspathd/tests/site/stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop of a daemon, and a drained VM, cut off nothing.
+//! Graceful shutdown of a daemon and draining of a VM, neither of which may interrupt requests.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use crate::common::{self, Payment};
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_planned_stop_cuts_off_no_request() {
+async fn graceful_shutdown_interrupts_no_request() {
     let mut plan = common::plan(3);
     plan.fakes.service_ms.insert("pay".to_owned(), 600);
     let mut site = common::start(&plan).await;
@@ -27,7 +27,7 @@
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    panic!("it did not end: {}", site.log_of(1));
+    panic!("daemon did not exit; its log: {}", site.log_of(1));
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -44,14 +44,14 @@
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     assert!(unready.load(Ordering::Relaxed));
-    // The balancer has not noticed yet: its requests are still served.
+    // A load balancer that has not noticed it yet still gets its requests served.
     assert_eq!(Payment::new("pay", false).send(&site, 0).await.summary(), "upstream/");
 }
 
-/// Every live daemon has stopped sending before the VM itself refuses, and what is in flight there
-/// finishes before the reboot.
+/// All live daemons stop sending before the VM refuses requests, and requests in flight end before
+/// it reboots.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_drain_refuses_and_cuts_off_nothing() {
+async fn drain_refuses_and_interrupts_no_request() {
     let mut plan = common::plan(4);
     plan.fakes.service_ms.insert("pay".to_owned(), 250);
     let site = common::start(&plan).await;
@@ -71,7 +71,7 @@
         if wave["status"]["phase"]["phase"] == "done" {
             break;
         }
-        assert!(rounds < 200, "the wave does not end");
+        assert!(rounds < 200, "the wave did not finish");
     }
     for vm in site.fakes.audits() {
         assert_eq!((vm.reboots, vm.cut_off, vm.refused), (1, 0, 0), "{vm:?}");
@@ -93,5 +93,5 @@
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    panic!("it goes on: {}", site.log_of(0));
+    panic!("daemon did not exit after the second signal; its log: {}", site.log_of(0));
 }
--- a/crates/crosspathd/tests/site/wave.rs
+++ b/crates/crosspathd/tests/site/wave.rs
@@ -1,4 +1,4 @@
-//! Maintenance waves under faults.
+//! Maintenance waves while daemons, VMs or the log fail.
 
 use std::time::Duration;
 
@@ -36,15 +36,15 @@
     put.expect("accepted");
 }
 
-/// Watches the stand-ins until `met`; panics when more VMs are out than the budget allows.
+/// Waits until `met` returns `true`; panics if more than `max` VMs are unavailable at a time.
 async fn watch_budget(site: &Site, max: usize, what: &str, met: impl AsyncFn() -> bool) {
     site.wait(WAVE_LIMIT, what, async || {
         let out = site.fakes.audits().iter().filter(|vm| !vm.up || vm.drained).count();
-        assert!(out <= max, "{out} VMs are out");
+        assert!(out <= max, "{out} VMs are unavailable, at most {max} are allowed");
         met().await
     })
     .await
-    .expect("in time");
+    .expect("condition is met in time with the budget kept");
 }
 
 fn reboots(site: &Site) -> Vec<u32> {
@@ -60,8 +60,8 @@
     site.daemons[0].kill();
     watch_budget(&site, 2, "done", async || phase(&site, 1).await == "done").await;
     assert_eq!(reboots(&site), [1; 6]);
-    let cut: u32 = site.fakes.audits().iter().map(|vm| vm.cut_off + vm.jobs_cut_off).sum();
-    assert_eq!(cut, 0);
+    let interrupted: u32 = site.fakes.audits().iter().map(|vm| vm.cut_off + vm.jobs_cut_off).sum();
+    assert_eq!(interrupted, 0);
     let jobs = common::get(&site, 1, "/v1/jobs").await;
     for job in jobs["items"].as_array().expect("a list") {
         let moves = job["status"]["moves"].as_u64();
@@ -78,7 +78,7 @@
     watch_budget(&site, 2, "done", async || phase(&site, 0).await == "done").await;
     assert_eq!(reboots(&site), [1; 6]);
     site.daemons[2].thaw();
-    site.wait_ready(2).await.expect("a member again");
+    site.wait_ready(2).await.expect("member again");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -118,7 +118,7 @@
             && site.fakes.audits().iter().all(|vm| vm.up && !vm.drained)
     })
     .await
-    .expect("every VM serves again");
+    .expect("all VMs are serving again");
     let refused = site.daemons[0].operator();
     let body = json!({ "phase": { "phase": "running" } });
     let refused = refused.call::<Value>(Method::PUT, "/v1/waves/w/phase", Some(&body)).await;
