--- a/crates/crosspathd/tests/site/wave.rs
+++ b/crates/crosspathd/tests/site/wave.rs
@@ -29,7 +29,8 @@
     wave["status"]["phase"]["phase"].as_str().unwrap_or_default().to_owned()
 }
 
-async fn set_phase(site: &Site, index: usize, phase: Value) {
+/// Sets the phase of the wave. The name is that of the stored change.
+async fn steer(site: &Site, index: usize, phase: Value) {
     let operator = site.daemons[index].operator();
     let body = json!({ "phase": phase });
     let put = operator.call::<Value>(Method::PUT, "/v1/waves/w/phase", Some(&body)).await;
@@ -103,14 +104,14 @@
     create(&site, json!({ "pools": ["counter"] })).await;
     let begun = async || reboots(&site).iter().sum::<u32>() >= 1;
     watch_budget(&site, 2, "begun", begun).await;
-    set_phase(&site, 1, json!({ "phase": "paused", "cause": "operator" })).await;
+    steer(&site, 1, json!({ "phase": "paused", "cause": "operator" })).await;
     tokio::time::sleep(Duration::from_millis(2_500)).await;
     let paused = reboots(&site);
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     assert_eq!(reboots(&site), paused);
     let obstacle = common::get(&site, 0, "/v1/explain/vms/vm-5").await;
     assert_eq!(obstacle["obstacles"][0]["reason"], "paused", "{obstacle}");
-    set_phase(&site, 1, json!({ "phase": "cancelled" })).await;
+    steer(&site, 1, json!({ "phase": "cancelled" })).await;
     site.wait(WAIT_LIMIT, "all serving", async || {
         let vms = common::get(&site, 0, "/v1/vms").await;
         let vms = vms["items"].as_array().cloned().unwrap_or_default();
@@ -149,6 +150,6 @@
     })
     .await
     .expect("recovered");
-    set_phase(&site, 0, json!({ "phase": "running" })).await;
+    steer(&site, 0, json!({ "phase": "running" })).await;
     watch_budget(&site, 4, "done", async || phase(&site, 0).await == "done").await;
 }
