--- a/crates/crosspath_state/src/conflict.rs
+++ b/crates/crosspath_state/src/conflict.rs
@@ -14,9 +14,7 @@
 #[snafu(visibility(pub(crate)))]
 pub enum Conflict {
     /// The resource is not at the expected revision: usually another writer changed it first.
-    #[snafu(display(
-        "{id} is at revision {current}, not the expected one; read it again and retry"
-    ))]
+    #[snafu(display("{id} has changed: it is at revision {current}; read it and decide anew"))]
     Stale {
         /// Resource that the change concerns.
         id: Id,
@@ -53,8 +51,8 @@
     },
     /// The change would exceed the pool's availability budget.
     #[snafu(display(
-        "budget of pool {pool} is exceeded: {voluntary} VMs out for maintenance and {withheld} \
-         failed or reserved for failures, of {max_unavailable} allowed"
+        "budget of pool {pool} is used up: {voluntary} taken out and {withheld} failed or kept \
+         for failures, of {max_unavailable}"
     ))]
     BudgetExceeded {
         /// Name of the pool.
@@ -77,7 +75,7 @@
         min_available: u32,
     },
     /// The change is not allowed in the VM's current phase.
-    #[snafu(display("VM {vm} is in phase {phase}, in which this change is not allowed"))]
+    #[snafu(display("VM {vm} is {phase}, where this step does not start"))]
     WrongPhase {
         /// Name of the VM.
         vm: VmName,
@@ -85,7 +83,7 @@
         phase: String,
     },
     /// The wave is not running, or does not have this VM left to service.
-    #[snafu(display("wave {wave} is not running or VM {vm} is not due for service in it"))]
+    #[snafu(display("wave {wave} does not take out VM {vm} now"))]
     NotInWave {
         /// Name of the wave.
         wave: WaveName,
@@ -107,9 +105,7 @@
         wave: WaveName,
     },
     /// The spec changes a field that is fixed after the declaration.
-    #[snafu(display(
-        "{id}: field {field} cannot be changed; delete the resource and declare it again"
-    ))]
+    #[snafu(display("{id}: field {field} is fixed once declared; delete and declare it anew"))]
     Fixed {
         /// Resource that the change concerns.
         id: Id,
@@ -143,7 +139,7 @@
         job: JobName,
     },
     /// The action is not allowed in the job's current phase.
-    #[snafu(display("job {job} is in a phase in which this action is not allowed"))]
+    #[snafu(display("job {job} is not where this action starts"))]
     JobPhase {
         /// Name of the job.
         job: JobName,
@@ -159,7 +155,7 @@
         max_cores: u32,
     },
     /// The daemon is not a member, or not in this incarnation.
-    #[snafu(display("daemon {daemon} is not a member in this incarnation"))]
+    #[snafu(display("daemon {daemon} is not a member in this life"))]
     NotMember {
         /// Name of the daemon.
         daemon: DaemonName,
