--- a/crates/crosspath_operator/src/route.rs
+++ b/crates/crosspath_operator/src/route.rs
@@ -27,13 +27,15 @@
 const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
 #[derive(Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
+// Error responses name the type.
+#[serde(deny_unknown_fields, expecting = "struct Declaration")]
 struct SpecUpdate {
     spec: Value,
 }
 
 #[derive(Deserialize)]
-#[serde(deny_unknown_fields)]
+// Error responses name the type.
+#[serde(deny_unknown_fields, expecting = "struct Steering")]
 struct PhaseUpdate {
     phase: wave::Phase,
 }
