--- a/crates/crosspath_node/src/map.rs
+++ b/crates/crosspath_node/src/map.rs
@@ -148,8 +148,8 @@
         self.shard(&PoolSlice { pool: Arc::clone(pool), slice })
     }
 
-    /// Shards that may own a job of the pool: that for a finite job first, then that for a
-    /// long-running one. None if either is not assigned yet.
+    /// Shards that may own a job of the pool, the more likely first: that for a finite job, then
+    /// that for a long-running one. None if either is not assigned yet.
     #[must_use]
     pub fn candidate_shards(&self, pool: &Arc<str>, job: JobId) -> Option<Vec<u32>> {
         let candidates = [self.slice_of_job(pool, job), self.long_running_slice(pool)];
