--- a/crates/crosspath_bench/src/baseline.rs
+++ b/crates/crosspath_bench/src/baseline.rs
@@ -2,9 +2,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crosspath_plan::room::Rooms;
+use crosspath_plan::capacity::Capacity;
 use crosspath_plan::view::View;
-use crosspath_plan::wave::Observed;
+use crosspath_plan::wave::Observation;
 use crosspath_plan::{evacuate, place, wave};
 use crosspath_state::name::{PoolName, VmName};
 use crosspath_state::record::{Change, Step};
@@ -17,7 +17,7 @@
 pub struct OneAtATime;
 
 impl Strategy for OneAtATime {
-    fn next_changes(&self, state: &State, observed: &BTreeMap<VmName, Observed>) -> Vec<Change> {
+    fn next_changes(&self, state: &State, observed: &BTreeMap<VmName, Observation>) -> Vec<Change> {
         let changes = Planner.next_changes(state, observed);
         let mut busy_pools: BTreeSet<PoolName> =
             in_maintenance(state).map(|vm| vm.spec.pool.clone()).collect();
@@ -45,7 +45,7 @@
 pub struct FixedBatches;
 
 impl Strategy for FixedBatches {
-    fn next_changes(&self, state: &State, observed: &BTreeMap<VmName, Observed>) -> Vec<Change> {
+    fn next_changes(&self, state: &State, observed: &BTreeMap<VmName, Observation>) -> Vec<Change> {
         let mut changes = Planner.next_changes(state, observed);
         let drain_count = crate::wave::drained_vms(&changes).len();
         changes.retain(|change| !matches!(change, Change::Step { step: Step::Drain { .. }, .. }));
@@ -59,11 +59,11 @@
 fn drain_batches(state: &State) -> Vec<Change> {
     let busy_pools: BTreeSet<&PoolName> = in_maintenance(state).map(|vm| &vm.spec.pool).collect();
     let mut changes = Vec::new();
-    for (name, wave) in state.waves.iter().filter(|(_, w)| !w.status.phase.is_final()) {
+    for (name, wave) in state.waves.iter().filter(|(_, w)| !w.status.phase.is_terminal()) {
         for pool in wave.spec.pools.iter().filter(|pool| !busy_pools.contains(pool)) {
             let Some(spec) = state.pools.get(pool) else { continue };
             let batch_size = spec.spec.max_unavailable.saturating_sub(spec.spec.reserve) as usize;
-            let due = wave.status.due().filter(|vm| {
+            let due = wave.status.remaining().filter(|vm| {
                 let vm = state.vms.get(*vm);
                 vm.is_some_and(|vm| vm.spec.pool == *pool && vm.status.takes_work())
             });
@@ -83,7 +83,7 @@
 pub struct FirstFitMoveAll;
 
 impl Strategy for FirstFitMoveAll {
-    fn next_changes(&self, state: &State, observed: &BTreeMap<VmName, Observed>) -> Vec<Change> {
+    fn next_changes(&self, state: &State, observed: &BTreeMap<VmName, Observation>) -> Vec<Change> {
         let draining =
             state.vms.iter().filter(|(_, vm)| matches!(vm.status, vm::Phase::Draining { .. }));
         let mut placements = Vec::new();
@@ -94,26 +94,26 @@
             return placements;
         }
         let view = View::new(state);
-        let mut rooms = Rooms::new(&view);
-        let mut changes = wave::advance(&view, &mut rooms, observed);
+        let mut capacity = Capacity::new(&view);
+        let mut changes = wave::advance(&view, &mut capacity, observed);
         changes.extend(evacuate::resume(state));
         changes.extend(drain_within_budget(state));
-        changes.extend(place::pending(&view, &mut rooms).changes);
+        changes.extend(place::pending(&view, &mut capacity).changes);
         changes
     }
 }
 
 fn first_fit(state: &State, from: &VmName, pool: &PoolName) -> Vec<Change> {
     let view = View::new(state);
-    let mut rooms = Rooms::new(&view);
+    let mut capacity = Capacity::new(&view);
     let running = state
         .jobs_on(from)
         .filter(|(_, job)| matches!(job.status.phase, job::Phase::Running { .. }));
     let mut changes = Vec::new();
     for (name, job) in running {
-        let target = rooms.of(pool).iter().find(|(_, free)| free.fits(&job.spec));
+        let target = capacity.of(pool).iter().find(|(_, free)| free.fits(&job.spec));
         let Some(to) = target.map(|(vm, _)| vm.clone()) else { continue };
-        rooms.take(pool, &to, &job.spec);
+        capacity.reserve(pool, &to, &job.spec);
         changes.push(place::place(name, to));
     }
     changes
@@ -123,14 +123,15 @@
 fn drain_within_budget(state: &State) -> Vec<Change> {
     let mut used_budget: BTreeMap<PoolName, usize> = BTreeMap::new();
     let mut changes = Vec::new();
-    for (wave_name, wave) in state.waves.iter().filter(|(_, w)| !w.status.phase.is_final()) {
-        for vm in wave.status.due() {
+    for (wave_name, wave) in state.waves.iter().filter(|(_, w)| !w.status.phase.is_terminal()) {
+        for vm in wave.status.remaining() {
             let Some(stored) = state.vms.get(vm).filter(|vm| vm.status.takes_work()) else {
                 continue;
             };
             let pool = &stored.spec.pool;
             let Some(spec) = state.pools.get(pool) else { continue };
-            let budget = crosspath_state::budget::Usage::of(state, pool).free(&spec.spec) as usize;
+            let budget = crosspath_state::budget::Usage::of(state, pool)
+                .allowed_disruptions(&spec.spec) as usize;
             let used = used_budget.entry(pool.clone()).or_default();
             if *used < budget {
                 *used += 1;
--- a/crates/crosspath_fakes/src/log_store.rs
+++ b/crates/crosspath_fakes/src/log_store.rs
@@ -1,4 +1,4 @@
-//! The log.
+//! In-memory log with a retention limit and fault injection.
 
 use std::collections::VecDeque;
 use std::sync::{Mutex, PoisonError};
@@ -11,10 +11,11 @@
 
 use crate::fault::LogFault;
 
-const PAGE: usize = 500;
-const HANG: Duration = Duration::from_secs(3600);
+const MAX_PAGE_RECORDS: usize = 500;
+/// Delay of an answer that is to be lost; longer than any client waits.
+const UNANSWERED_DELAY: Duration = Duration::from_secs(3600);
 
-/// Records, the oldest of which expire.
+/// Log that drops the oldest records beyond its retention limit.
 #[derive(Debug)]
 pub(crate) struct LogStore {
     records: Mutex<VecDeque<Record>>,
@@ -37,7 +38,7 @@
 
     pub(crate) fn set_fault(&self, fault: LogFault) {
         *self.fault.lock().unwrap_or_else(PoisonError::into_inner) = fault;
-        // Whoever waits looks again.
+        // Wakes waiting readers so that they check the fault.
         self.last.send_modify(|_| ());
     }
 
@@ -45,14 +46,15 @@
         *self.fault.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn loses_answer(&self) -> bool {
+    fn take_lost_answer(&self) -> bool {
         let mut fault = self.fault.lock().unwrap_or_else(PoisonError::into_inner);
         let loses = fault.lose_answers > 0;
         fault.lose_answers -= u32::from(loses);
         loses
     }
 
-    /// Appends; none when the log is down and nothing was appended.
+    /// Appends a record and returns its offset. `None` means that the log is down and that nothing
+    /// was appended.
     pub(crate) async fn append(&self, data: String) -> Option<Revision> {
         let slow = Duration::from_millis(self.fault().slow_ms);
         tokio::time::sleep(self.latency + slow).await;
@@ -60,8 +62,8 @@
             return None;
         }
         let offset = self.push(data);
-        if self.loses_answer() {
-            tokio::time::sleep(HANG).await;
+        if self.take_lost_answer() {
+            tokio::time::sleep(UNANSWERED_DELAY).await;
         }
         Some(offset)
     }
@@ -77,13 +79,14 @@
         offset
     }
 
-    /// Reads, waiting for the first record; none when the log is down.
+    /// Reads the records after `after`, waiting at most `wait` for the first. `None` means that the
+    /// log is down.
     pub(crate) async fn read(&self, after: Revision, wait: Duration) -> Option<Page> {
         let mut last = self.last.subscribe();
         let until = Instant::now() + wait;
         tokio::time::sleep(Duration::from_millis(self.fault().slow_ms)).await;
-        let news = last.wait_for(|last| *last > after || self.fault().down);
-        let _ = tokio::time::timeout_at(until, news).await;
+        let available = last.wait_for(|last| *last > after || self.fault().down);
+        let _ = tokio::time::timeout_at(until, available).await;
         if self.fault().down {
             return None;
         }
@@ -96,7 +99,7 @@
         let first = records.front().map_or(last.next(), |record| record.offset);
         let skip = after.next().0.saturating_sub(first.0);
         let skip = usize::try_from(skip).unwrap_or(usize::MAX);
-        let records = records.iter().skip(skip).take(PAGE).cloned().collect();
+        let records = records.iter().skip(skip).take(MAX_PAGE_RECORDS).cloned().collect();
         Page { records, first, last }
     }
 }
--- a/crates/crosspath_node/src/membership.rs
+++ b/crates/crosspath_node/src/membership.rs
@@ -34,8 +34,8 @@
 const OUTAGE_JOIN_TIMEOUT: Duration = Duration::from_millis(250);
 /// Time by which this daemon considers its membership expired earlier than the group does.
 const EXPIRY_MARGIN: Duration = Duration::from_millis(50);
-/// Time for which this daemon goes on acting as owner after the others confirmed an outage. After
-/// it returns, the store assigns no shard to another daemon before a member's TTL has passed.
+/// Time for which this daemon goes on acting as owner after the others confirmed an outage. A store
+/// that returns from an outage assigns no shard to another daemon before a member's TTL has passed.
 const OUTAGE_LEASE: Duration = Duration::from_millis(900);
 /// Interval between reads of the holders of shards, besides the reads after each change of the
 /// group.
@@ -126,7 +126,7 @@
                 });
                 let changed = membership.generation != generation;
                 self.generation = membership.generation;
-                // The next join tells the group that shards assigned to others are free.
+                // The next join informs the group that the shards released here are free.
                 if apply_membership(&node, &membership) {
                     pause = Duration::ZERO;
                 }
@@ -149,7 +149,8 @@
         }
     }
 
-    /// Reads the holders of shards, then waits until the next read is due or a holder is in doubt.
+    /// Reads the holders of shards, then waits until the next read is due or a holder may be
+    /// outdated.
     async fn follow_holders(&mut self) {
         let reading = refresh_holders(Arc::clone(&self.node));
         let read = tokio::time::timeout(CALL_TIMEOUT, reading).await;
@@ -178,11 +179,11 @@
     }
 }
 
-/// Ends ownership of shards that are no longer assigned to this daemon, before the next join tells
-/// the group so, and begins ownership of new ones. Returns whether any shard was released.
+/// Ends ownership of shards that are no longer assigned to this daemon, before the next join
+/// informs the group, and begins ownership of new ones. Returns whether any shard was released.
 fn apply_membership(node: &Arc<Node>, membership: &Membership) -> bool {
     let assigned: BTreeSet<u32> = membership.shards.iter().copied().collect();
-    let units = node.map().by_shard();
+    let pool_slices = node.map().by_shard();
     let mut owned = node.owned();
     let before = owned.len();
     owned.retain(|number, handle| {
@@ -195,11 +196,11 @@
     });
     let released = owned.len() < before;
     for number in assigned {
-        let unit = units.get(&number);
-        if (number == node.fleet_shard() || unit.is_some()) && !owned.contains_key(&number) {
-            let of = unit.map_or_else(|| "fleet".to_owned(), ToString::to_string);
-            log::info!("event=shard_dealt shard={number} unit={of}");
-            owned.insert(number, Handle::start(node, number, unit.cloned()));
+        let pool_slice = pool_slices.get(&number);
+        if (number == node.fleet_shard() || pool_slice.is_some()) && !owned.contains_key(&number) {
+            let unit = pool_slice.map_or_else(|| "fleet".to_owned(), ToString::to_string);
+            log::info!("event=shard_dealt shard={number} unit={unit}");
+            owned.insert(number, Handle::start(node, number, pool_slice.cloned()));
             node.ownership_changed.notify_one();
         }
     }
@@ -211,8 +212,8 @@
 async fn survey_peers(node: &Arc<Node>) {
     let others = node.other_owners();
     let asked_at = clock::now();
-    let asks = others.iter().map(|address| node.peers.call(*address, &Request::StoreStatus));
-    let answered_ago = join_all(asks).await.into_iter().filter_map(|answer| match answer {
+    let calls = others.iter().map(|address| node.peers.call(*address, &Request::StoreStatus));
+    let answered_ago = join_all(calls).await.into_iter().filter_map(|reply| match reply {
         Ok(Reply::StoreStatus { answered_ms_ago }) => Some(Duration::from_millis(answered_ms_ago)),
         _ => None,
     });
--- a/crates/crosspath_peer/src/api.rs
+++ b/crates/crosspath_peer/src/api.rs
@@ -1,15 +1,15 @@
-//! The methods on the wire.
+//! JSON-RPC methods. Their names and parameters are part of the wire protocol.
 
 use crosspath_route::claim::Verdict;
 use jsonrpsee::core::RpcResult;
 use jsonrpsee::proc_macros::rpc;
 
-use crate::message::{Beat, BeatAnswer, Claim, LookUp, Settle, StateCopy, Transfer};
+use crate::message::{Claim, Heartbeat, HeartbeatReply, LookUp, Settle, StateCopy, Transfer};
 
 #[rpc(client, server)]
 pub(crate) trait Api {
     #[method(name = "beat")]
-    async fn beat(&self, beat: Beat) -> RpcResult<BeatAnswer>;
+    async fn heartbeat(&self, beat: Heartbeat) -> RpcResult<HeartbeatReply>;
 
     #[method(name = "claim")]
     async fn claim(&self, claim: Claim) -> RpcResult<Verdict>;
--- a/crates/crosspath_plan/src/room.rs
+++ b/crates/crosspath_plan/src/capacity.rs
@@ -1,4 +1,4 @@
-//! What is free on each VM of a pool.
+//! Free resources of the VMs of a pool.
 
 use std::collections::BTreeMap;
 
@@ -10,22 +10,22 @@
 /// Free resources of one VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Free {
-    /// Cores.
+    /// Free processor cores.
     pub cores: u32,
-    /// Memory, in MB.
+    /// Free memory in MB.
     pub memory_mb: u64,
-    /// Accelerators.
+    /// Free accelerators.
     pub accelerators: u32,
 }
 
 impl Free {
-    /// All of a VM.
+    /// All resources of a VM, as if it ran no job.
     #[must_use]
-    pub fn whole(vm: &vm::Spec) -> Self {
+    pub fn total(vm: &vm::Spec) -> Self {
         Self { cores: vm.cores, memory_mb: vm.memory_mb, accelerators: vm.accelerators }
     }
 
-    /// Whether the job fits.
+    /// Whether the job fits in these resources.
     #[must_use]
     pub fn fits(&self, job: &job::Spec) -> bool {
         job.cores <= self.cores
@@ -33,9 +33,9 @@
             && job.accelerators <= self.accelerators
     }
 
-    /// What is left when the job is placed here.
+    /// Resources that remain when the job is placed here; never below 0.
     #[must_use]
-    pub fn less(&self, job: &job::Spec) -> Self {
+    pub fn minus(&self, job: &job::Spec) -> Self {
         Self {
             cores: self.cores.saturating_sub(job.cores),
             memory_mb: self.memory_mb.saturating_sub(job.memory_mb),
@@ -47,40 +47,40 @@
 /// Free resources by VM.
 pub type Pool = BTreeMap<VmName, Free>;
 
-/// What is free in each pool, less what this round of decisions has taken already.
+/// Free resources by pool, less those reserved earlier in the same round of decisions.
 #[derive(Debug)]
-pub struct Rooms<'a> {
+pub struct Capacity<'a> {
     view: &'a View<'a>,
     pools: BTreeMap<PoolName, Pool>,
 }
 
-impl<'a> Rooms<'a> {
-    /// Nothing is taken yet.
+impl<'a> Capacity<'a> {
+    /// Starts a round, in which nothing is reserved yet.
     #[must_use]
     pub fn new(view: &'a View<'a>) -> Self {
         Self { view, pools: BTreeMap::new() }
     }
 
-    /// Free resources of every VM of `pool` that takes work.
+    /// Free resources of every VM of `pool` that accepts work; computed on first use.
     pub fn of(&mut self, pool: &PoolName) -> &mut Pool {
         let view = self.view;
         self.pools.entry(pool.clone()).or_insert_with(|| free_now(view, pool))
     }
 
-    /// Takes room for a job on a VM.
-    pub fn take(&mut self, pool: &PoolName, vm: &VmName, job: &job::Spec) {
+    /// Reserves a VM's resources for a job.
+    pub fn reserve(&mut self, pool: &PoolName, vm: &VmName, job: &job::Spec) {
         if let Some(free) = self.of(pool).get_mut(vm) {
-            *free = free.less(job);
+            *free = free.minus(job);
         }
     }
 }
 
 fn free_now(view: &View<'_>, pool: &PoolName) -> Pool {
     let serving = view.vms_of(pool).iter().filter(|(_, vm)| vm.status.takes_work());
-    let rooms = serving.map(|(name, vm)| {
+    let capacity = serving.map(|(name, vm)| {
         let jobs = view.jobs_on(name).iter();
-        let free = jobs.fold(Free::whole(&vm.spec), |free, (_, job)| free.less(&job.spec));
+        let free = jobs.fold(Free::total(&vm.spec), |free, (_, job)| free.minus(&job.spec));
         ((*name).clone(), free)
     });
-    rooms.collect()
+    capacity.collect()
 }
--- a/crates/crosspath_plan/src/evacuate.rs
+++ b/crates/crosspath_plan/src/evacuate.rs
@@ -1,20 +1,25 @@
-//! Empties a VM that drains: suspends what can be checkpointed, moves the rest.
+//! Vacates a draining VM: suspends the jobs that can be checkpointed and moves the others.
 //!
-//! A suspended job keeps its place across the reboot and is no move. A job that must move goes to a
-//! VM that the wave serviced already, where it stays for the rest of the wave; only when none has
-//! room does it go to one that is still due.
+//! A suspended job stays on its VM across the reboot, so it does not count as a move. A job that
+//! must move goes to a VM that the wave has already serviced, where it stays for the rest of the
+//! wave. Only if none of those has capacity does it go to a VM that the wave has yet to service.
 
 use crosspath_state::name::{JobName, VmName, WaveName};
 use crosspath_state::record::{Change, JobAction};
 use crosspath_state::{State, job};
 
+use crate::capacity::{self, Capacity};
 use crate::place;
-use crate::room::{self, Rooms};
 use crate::view::View;
 
-/// Changes that empty `vm` for `wave`; jobs that find no room are not among them.
+/// Changes that vacate `vm` for `wave`. Jobs for which no VM has capacity are left out.
 #[must_use]
-pub fn vm(view: &View<'_>, rooms: &mut Rooms<'_>, vm: &VmName, wave: &WaveName) -> Vec<Change> {
+pub fn vacate(
+    view: &View<'_>,
+    capacity: &mut Capacity<'_>,
+    vm: &VmName,
+    wave: &WaveName,
+) -> Vec<Change> {
     let state = view.state;
     let Some(stored) = state.vms.get(vm) else { return Vec::new() };
     let running = view.jobs_on(vm).iter().filter(|(_, job)| is_running(&job.status));
@@ -30,23 +35,23 @@
             changes.push(suspend(name));
             continue;
         }
-        let Some(to) = target(state, rooms.of(pool), wave, &job.spec) else {
+        let Some(to) = destination(state, capacity.of(pool), wave, &job.spec) else {
             continue;
         };
-        rooms.take(pool, &to, &job.spec);
+        capacity.reserve(pool, &to, &job.spec);
         changes.push(place::place(name, to));
     }
     changes
 }
 
-/// Cores of the jobs on a VM that only a move can take out of the way of a reboot.
+/// Cores of the jobs on a VM that cannot be checkpointed and therefore must move before a reboot.
 #[must_use]
-pub fn fixed_cores(view: &View<'_>, vm: &VmName) -> u32 {
-    let fixed = view.jobs_on(vm).iter().filter(|(_, job)| !job.spec.checkpointable);
-    fixed.map(|(_, job)| job.spec.cores).sum()
+pub fn non_checkpointable_cores(view: &View<'_>, vm: &VmName) -> u32 {
+    let unmovable = view.jobs_on(vm).iter().filter(|(_, job)| !job.spec.checkpointable);
+    unmovable.map(|(_, job)| job.spec.cores).sum()
 }
 
-/// Changes that resume what is suspended on VMs that take work again.
+/// Changes that resume the suspended jobs on VMs that accept work again.
 #[must_use]
 pub fn resume(state: &State) -> Vec<Change> {
     let resumable = state.jobs.iter().filter(|(_, job)| match &job.status.phase {
@@ -65,12 +70,18 @@
     Change::Job { job: job.clone(), action: JobAction::Suspend }
 }
 
-/// The fullest serviced VM with room, or else the fullest of those that are due.
-fn target(state: &State, rooms: &room::Pool, wave: &WaveName, job: &job::Spec) -> Option<VmName> {
+/// The VM with the fewest free cores on which the job fits: a VM that is not due for service if
+/// there is one, otherwise one that is.
+fn destination(
+    state: &State,
+    capacity: &capacity::Pool,
+    wave: &WaveName,
+    job: &job::Spec,
+) -> Option<VmName> {
     let wave = state.waves.get(wave).map(|wave| &wave.status);
     let due = |vm: &VmName| {
         wave.is_some_and(|wave| wave.targets.contains(vm) && !wave.serviced.contains(vm))
     };
-    let fitting = rooms.iter().filter(|(_, free)| free.fits(job));
+    let fitting = capacity.iter().filter(|(_, free)| free.fits(job));
     fitting.min_by_key(|(vm, free)| (due(vm), free.cores)).map(|(vm, _)| vm.clone())
 }
--- a/crates/crosspath_plan/src/wave.rs
+++ b/crates/crosspath_plan/src/wave.rs
@@ -1,9 +1,9 @@
-//! Takes VMs through a maintenance wave.
+//! Advances VMs through a maintenance wave.
 //!
-//! A wave starts a VM whenever the pool's budget has room, so that a slow VM holds up none of the
-//! others. Which VM comes first decides how often jobs move: those without jobs that must move come
-//! first, since the VMs already serviced are where such jobs go, and then the ones whose jobs fit
-//! there.
+//! A wave starts draining a VM whenever the pool's budget allows it, so that a slow VM does not
+//! delay the others. The order of the VMs determines how often jobs move. VMs without jobs that
+//! must move come first, because such jobs go to VMs that are already serviced; then come those
+//! whose jobs fit there.
 
 use std::collections::BTreeMap;
 
@@ -13,92 +13,92 @@
 use crosspath_state::{State, Stored, vm, wave};
 use serde::Serialize;
 
+use crate::capacity::Capacity;
 use crate::evacuate;
-use crate::room::Rooms;
 use crate::view::View;
 
-/// What was observed of a VM that is out for maintenance.
+/// Observations of a VM that is in maintenance.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Observed {
-    /// Every member has stopped choosing it and has nothing in flight there.
+pub struct Observation {
+    /// No member selects the VM any more or has requests in flight on it.
     pub daemons_done: bool,
-    /// Its worker refuses new requests, runs none, and runs no job.
+    /// The VM's worker refuses new requests, and runs neither requests nor jobs.
     pub worker_idle: bool,
-    /// Its worker is up after the reboot that was ordered for this step.
+    /// The VM's worker is up after the reboot that was ordered for this step.
     pub rebooted: bool,
 }
 
-/// Why a VM does not go on.
+/// Reason why a VM does not advance to its next step.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(tag = "reason", rename_all = "snake_case")]
 pub enum Obstacle {
-    /// The pool's budget is used up.
+    /// The pool's disruption budget is used up.
     Budget {
-        /// Which pool.
+        /// Name of the pool.
         pool: PoolName,
-        /// What its VMs do.
+        /// Numbers of the pool's VMs that serve, are in maintenance and have failed.
         usage: Usage,
-        /// Its budget.
+        /// Maximum number of unavailable VMs in the pool.
         max_unavailable: u32,
-        /// Kept free for failures.
+        /// Part of the budget that is reserved for failures.
         reserve: u32,
     },
     /// The wave is paused.
     Paused {
-        /// Why.
+        /// Cause of the pause.
         cause: wave::Cause,
     },
-    /// The canary of the pool is not back yet.
+    /// The pool's canary VM has not returned to service yet.
     Canary {
-        /// Which VM.
+        /// Name of the canary VM.
         vm: VmName,
     },
-    /// Some daemon may still send to it.
+    /// A daemon may still send requests to the VM.
     DaemonsNotDone,
-    /// Its worker still runs something.
+    /// The VM's worker still accepts requests, or runs requests or jobs.
     WorkerBusy,
-    /// The platform has not brought it back.
+    /// The VM has not come back from its reboot.
     Rebooting,
 }
 
-/// VMs to drain next, for every running wave.
+/// Changes that start draining the next VMs of every running wave.
 #[must_use]
-pub fn starts(view: &View<'_>) -> Vec<Change> {
+pub fn next_drains(view: &View<'_>) -> Vec<Change> {
     let waves = view.state.waves.iter();
     let running = waves.filter(|(_, wave)| wave.status.phase == wave::Phase::Running);
-    running.flat_map(|(name, wave)| starts_of(view, name, wave)).collect()
+    running.flat_map(|(name, wave)| drains_of_wave(view, name, wave)).collect()
 }
 
 type Wave = Stored<wave::Spec, wave::Status>;
 
-fn starts_of(view: &View<'_>, name: &WaveName, wave: &Wave) -> Vec<Change> {
+fn drains_of_wave(view: &View<'_>, name: &WaveName, wave: &Wave) -> Vec<Change> {
     let pools = wave.spec.pools.iter();
-    let chosen = pools.flat_map(|pool| chosen_of_pool(view, wave, pool));
+    let chosen = pools.flat_map(|pool| drains_of_pool(view, wave, pool));
     chosen.map(|vm| Change::Step { vm, step: Step::Drain { wave: name.clone() } }).collect()
 }
 
-fn chosen_of_pool(view: &View<'_>, wave: &Wave, pool: &PoolName) -> Vec<VmName> {
+fn drains_of_pool(view: &View<'_>, wave: &Wave, pool: &PoolName) -> Vec<VmName> {
     let state = view.state;
     let Some(spec) = state.pools.get(pool).map(|pool| &pool.spec) else {
         return Vec::new();
     };
     let usage = Usage::of(state, pool);
-    let free = usage.free(spec) as usize;
+    let free = usage.allowed_disruptions(spec) as usize;
     let free = match canary(state, wave, pool) {
         Canary::Passed => free,
-        Canary::Wanted => free.min(1),
-        Canary::Out(_) => 0,
+        Canary::Pending => free.min(1),
+        Canary::InMaintenance(_) => 0,
     };
     if free == 0 {
         return Vec::new();
     }
-    ordered(view, wave, pool).into_iter().take(free).collect()
+    candidates(view, wave, pool).into_iter().take(free).collect()
 }
 
 enum Canary {
     Passed,
-    Wanted,
-    Out(VmName),
+    Pending,
+    InMaintenance(VmName),
 }
 
 fn canary(state: &State, wave: &Wave, pool: &PoolName) -> Canary {
@@ -107,62 +107,63 @@
         return Canary::Passed;
     }
     let out = state.vms_of(pool).find(|(_, vm)| vm.status.wave().is_some());
-    out.map_or(Canary::Wanted, |(vm, _)| Canary::Out(vm.clone()))
+    out.map_or(Canary::Pending, |(vm, _)| Canary::InMaintenance(vm.clone()))
 }
 
-/// VMs of the pool that are due and serving, the best to take out first.
-fn ordered(view: &View<'_>, wave: &Wave, pool: &PoolName) -> Vec<VmName> {
+/// VMs of the pool that are due for service and in use, the cheapest to drain first.
+fn candidates(view: &View<'_>, wave: &Wave, pool: &PoolName) -> Vec<VmName> {
     let status = &wave.status;
     let is_due = |vm: &VmName| {
         status.targets.contains(vm) && !status.serviced.contains(vm) && !status.failed.contains(vm)
     };
     let serving = view.vms_of(pool).iter().filter(|(_, vm)| vm.status.takes_work());
     let due = serving.map(|(name, _)| *name).filter(|name| is_due(name));
-    let mut rooms = Rooms::new(view);
-    let serviced = rooms.of(pool).iter().filter(|(vm, _)| status.serviced.contains(*vm));
-    let room: u32 = serviced.map(|(_, free)| free.cores).sum();
-    let mut keyed: Vec<_> = due.map(|vm| (burden(view, vm, room), vm.clone())).collect();
+    let mut capacity = Capacity::new(view);
+    let serviced = capacity.of(pool).iter().filter(|(vm, _)| status.serviced.contains(*vm));
+    let free_cores: u32 = serviced.map(|(_, free)| free.cores).sum();
+    let mut keyed: Vec<_> = due.map(|vm| (move_cost(view, vm, free_cores), vm.clone())).collect();
     keyed.sort();
     keyed.into_iter().map(|(_, vm)| vm).collect()
 }
 
-/// Whether jobs would have to move to VMs that are still due, and how large they are.
-fn burden(view: &View<'_>, vm: &VmName, room: u32) -> (bool, u32) {
-    let cores = evacuate::fixed_cores(view, vm);
-    (cores > room, cores)
+/// Cost of draining a VM: whether its jobs exceed the `free_cores` of the serviced VMs, so that
+/// some would move to VMs that are still due; and the cores of the jobs that must move.
+fn move_cost(view: &View<'_>, vm: &VmName, free_cores: u32) -> (bool, u32) {
+    let cores = evacuate::non_checkpointable_cores(view, vm);
+    (cores > free_cores, cores)
 }
 
-/// Next changes for the VMs that are out, given what was observed of each.
+/// Next changes for the VMs in maintenance, given the observations of each.
 #[must_use]
 pub fn advance(
     view: &View<'_>,
-    rooms: &mut Rooms<'_>,
-    observed: &BTreeMap<VmName, Observed>,
+    capacity: &mut Capacity<'_>,
+    observed: &BTreeMap<VmName, Observation>,
 ) -> Vec<Change> {
     let mut changes = Vec::new();
     for (name, vm) in view.state.vms.iter().filter(|(_, vm)| vm.status.wave().is_some()) {
-        let seen = observed.get(name).copied().unwrap_or_default();
-        changes.extend(advance_vm(view, rooms, name, &vm.status, seen));
+        let observation = observed.get(name).copied().unwrap_or_default();
+        changes.extend(advance_vm(view, capacity, name, &vm.status, observation));
     }
     changes
 }
 
 fn advance_vm(
     view: &View<'_>,
-    rooms: &mut Rooms<'_>,
+    capacity: &mut Capacity<'_>,
     name: &VmName,
     phase: &vm::Phase,
-    seen: Observed,
+    observation: Observation,
 ) -> Vec<Change> {
     let step = |step| vec![Change::Step { vm: name.clone(), step }];
     match phase {
         vm::Phase::Draining { wave } if is_cancelled(view.state, wave) => step(Step::Undrain),
         vm::Phase::Draining { wave } => {
-            let changes = evacuate::vm(view, rooms, name, wave);
-            let ready = changes.is_empty() && seen.daemons_done && seen.worker_idle;
+            let changes = evacuate::vacate(view, capacity, name, wave);
+            let ready = changes.is_empty() && observation.daemons_done && observation.worker_idle;
             if ready { step(Step::Reboot) } else { changes }
         }
-        vm::Phase::Rebooting { .. } if seen.rebooted => step(Step::Return),
+        vm::Phase::Rebooting { .. } if observation.rebooted => step(Step::Return),
         _ => Vec::new(),
     }
 }
@@ -172,33 +173,33 @@
     phase.is_none_or(|phase| *phase == wave::Phase::Cancelled)
 }
 
-/// Why `vm` does not go on; none when it is not due, or can go on.
+/// Reason why `vm` does not advance; none when it can advance or is not due for service.
 #[must_use]
-pub fn obstacle(state: &State, vm: &VmName, seen: Observed) -> Option<Obstacle> {
+pub fn obstacle(state: &State, vm: &VmName, observation: Observation) -> Option<Obstacle> {
     let stored = state.vms.get(vm)?;
     match &stored.status {
-        vm::Phase::Draining { .. } if !seen.daemons_done => Some(Obstacle::DaemonsNotDone),
-        vm::Phase::Draining { .. } if !seen.worker_idle => Some(Obstacle::WorkerBusy),
-        vm::Phase::Rebooting { .. } if !seen.rebooted => Some(Obstacle::Rebooting),
+        vm::Phase::Draining { .. } if !observation.daemons_done => Some(Obstacle::DaemonsNotDone),
+        vm::Phase::Draining { .. } if !observation.worker_idle => Some(Obstacle::WorkerBusy),
+        vm::Phase::Rebooting { .. } if !observation.rebooted => Some(Obstacle::Rebooting),
         vm::Phase::Serving => {
-            let mut open = state.waves.values().filter(|wave| !wave.status.phase.is_final());
-            let wave = open.find(|wave| wave.status.due().any(|due| due == vm))?;
-            start_obstacle(state, wave, &stored.spec.pool)
+            let mut open = state.waves.values().filter(|wave| !wave.status.phase.is_terminal());
+            let wave = open.find(|wave| wave.status.remaining().any(|due| due == vm))?;
+            drain_obstacle(state, wave, &stored.spec.pool)
         }
         _ => None,
     }
 }
 
-fn start_obstacle(state: &State, wave: &Wave, pool: &PoolName) -> Option<Obstacle> {
+fn drain_obstacle(state: &State, wave: &Wave, pool: &PoolName) -> Option<Obstacle> {
     if let wave::Phase::Paused { cause } = wave.status.phase {
         return Some(Obstacle::Paused { cause });
     }
-    if let Canary::Out(vm) = canary(state, wave, pool) {
+    if let Canary::InMaintenance(vm) = canary(state, wave, pool) {
         return Some(Obstacle::Canary { vm });
     }
     let spec = &state.pools.get(pool)?.spec;
     let usage = Usage::of(state, pool);
     let (max_unavailable, reserve) = (spec.max_unavailable, spec.reserve);
-    let blocked = usage.free(spec) == 0;
+    let blocked = usage.allowed_disruptions(spec) == 0;
     blocked.then(|| Obstacle::Budget { pool: pool.clone(), usage, max_unavailable, reserve })
 }
--- a/crates/crosspath_route/src/dispatch.rs
+++ b/crates/crosspath_route/src/dispatch.rs
@@ -1,11 +1,13 @@
-//! Which request gets which slot of which VM of one pool.
+//! Admission, queueing and load balancing of the requests for one pool.
 //!
-//! A request gets a free slot at once or waits. Those that wait are served urgent first, with a
-//! floor for batch and in turn between callers. Batch never takes the last slots. A request that
-//! cannot be answered before its deadline is refused when it arrives, before anything was sent.
+//! A request gets a free slot at once or waits. Urgent requests are served before batch requests,
+//! which are guaranteed a share of the grants; within a class, callers are served in turn. Batch
+//! requests never occupy the last slots. A request that is expected to miss its deadline is refused
+//! on arrival, before anything is sent.
 //!
-//! A VM is chosen as the better of two taken at random, by requests in flight over its slots, in
-//! this daemon's own data centre while a slot is free there.
+//! VMs are chosen by the power of two choices: of two random candidates, the one with fewer
+//! requests in flight per slot. VMs in the daemon's own data centre are preferred while one has a
+//! free slot.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,84 +18,84 @@
 use rand::{Rng, RngExt as _};
 
 use crate::answer::{Final, NotRun};
-use crate::line::Line;
-use crate::outlier::{Health, MAX_OUT_DIVISOR};
+use crate::fair_queue::FairQueue;
+use crate::outlier::{Health, MAX_EJECTED_DIVISOR};
 
 const SLOW_START: Duration = Duration::from_secs(2);
 const SMOOTHING: f64 = 0.1;
 const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Marks one waiting request.
+/// Identifier of a request for a slot, unique within the daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// A VM as this daemon may use it.
+/// VM to which this daemon may send requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Target {
-    /// Which VM.
+    /// Name of the VM.
     pub vm: VmName,
-    /// This daemon's part of its slots.
+    /// Number of the VM's slots that this daemon may use.
     pub slots: u32,
-    /// Whether it is in this daemon's data centre.
+    /// Whether the VM is in this daemon's data centre.
     pub local: bool,
 }
 
-/// A request for a slot.
+/// Request for a slot of any VM of the pool.
 #[derive(Debug, Clone)]
-pub struct Ask {
-    /// Its ticket.
+pub struct Request {
+    /// Identifier under which the slot is granted, expires or is cancelled.
     pub ticket: Ticket,
-    /// Who sent it.
+    /// Caller whose turn in the queue it uses.
     pub caller: CallerName,
-    /// How urgent it is.
+    /// Priority class.
     pub class: Class,
-    /// When its final answer is due.
+    /// Time at which the caller must have its final answer.
     pub deadline: Monotonic,
 }
 
-/// Answer to a request for a slot.
+/// Result of a request for a slot.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Offer {
-    /// It has a slot of this VM.
+pub enum Admission {
+    /// The request has a slot of this VM.
     Assigned(VmName),
-    /// It waits; a [`Grant`] follows, or its ticket expires.
+    /// The request waits until a [`Grant`] follows or its ticket expires.
     Waiting,
-    /// It is refused.
+    /// The request is refused with this answer.
     Refused(Final),
 }
 
-/// A slot for a request that waited.
+/// Slot granted to a request that waited.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Grant {
-    /// Whose.
+    /// Ticket of the request.
     pub ticket: Ticket,
-    /// Of this VM.
+    /// VM that has the slot.
     pub vm: VmName,
-    /// For a request of this class.
+    /// Priority class of the request.
     pub class: Class,
 }
 
-/// How the use of a slot ended.
+/// How the use of a slot ended, as evidence on the VM's health.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Use {
-    /// The upstream answered after this time.
+pub enum Completion {
+    /// The upstream responded after this time.
     Answered(Duration),
     /// The upstream failed.
     Failed,
-    /// The upstream says that it takes no requests.
+    /// The upstream reported that it accepts no requests.
     Refused,
-    /// The caller went away, or the slot was not used.
+    /// The caller disconnected, or the slot was not used.
     Abandoned,
 }
 
-/// Bounds of a pool's queue.
+/// Limits of a pool's queue and of its batch requests.
 #[derive(Debug, Clone, Copy)]
 pub struct Bounds {
-    /// Requests that may wait.
+    /// Maximum number of waiting requests, over both classes.
     pub queue: usize,
-    /// Percent of the slots that batch may take.
+    /// Maximum percentage of the slots that batch requests occupy.
     pub batch_ceiling_percent: u32,
-    /// One of this many grants goes to batch that waits.
+    /// One in this many grants goes to a batch request, if one waits.
     pub batch_floor_every: u32,
 }
 
@@ -102,60 +104,60 @@
     slots: u32,
     local: bool,
     active: bool,
-    since: Monotonic,
+    active_since: Monotonic,
     in_flight: u32,
     health: Health,
 }
 
 impl Backend {
-    fn usable(&self, now: Monotonic) -> u32 {
-        let age = now.since(self.since);
+    fn usable_slots(&self, now: Monotonic) -> u32 {
+        let age = now.since(self.active_since);
         if age >= SLOW_START || !self.active {
             return self.slots * u32::from(self.active);
         }
-        let part = age.as_secs_f64() / SLOW_START.as_secs_f64();
-        // A part of a few slots; the first one is free at once.
-        ((f64::from(self.slots) * part).ceil() as u32).clamp(1.min(self.slots), self.slots)
+        let fraction = age.as_secs_f64() / SLOW_START.as_secs_f64();
+        // Rounded up and at least 1: the first slot is usable at once.
+        ((f64::from(self.slots) * fraction).ceil() as u32).clamp(1.min(self.slots), self.slots)
     }
 
     fn is_free(&self, now: Monotonic) -> bool {
-        self.in_flight < self.usable(now)
+        self.in_flight < self.usable_slots(now)
     }
 
     fn load(&self) -> f64 {
-        f64::from(self.in_flight + self.health.weight() + 1) / f64::from(self.slots.max(1))
+        f64::from(self.in_flight + self.health.load_penalty() + 1) / f64::from(self.slots.max(1))
     }
 }
 
-/// Slots and waiting requests of one pool at this daemon.
+/// Dispatcher of one pool at this daemon: its slots and its waiting requests.
 #[derive(Debug)]
 pub struct Dispatch {
     bounds: Bounds,
     backends: BTreeMap<VmName, Backend>,
-    urgent: Line,
-    batch: Line,
+    urgent: FairQueue,
+    batch: FairQueue,
     batch_in_flight: u32,
     grants_since_batch: u32,
-    service: Option<Duration>,
+    service_time: Option<Duration>,
 }
 
 impl Dispatch {
-    /// Makes a pool without VMs.
+    /// Creates a dispatcher for a pool that has no VMs yet.
     #[must_use]
     pub fn new(bounds: Bounds) -> Self {
         Self {
             bounds,
             backends: BTreeMap::new(),
-            urgent: Line::default(),
-            batch: Line::default(),
+            urgent: FairQueue::default(),
+            batch: FairQueue::default(),
             batch_in_flight: 0,
             grants_since_batch: 0,
-            service: None,
+            service_time: None,
         }
     }
 
-    /// Says which VMs take work from now on. A VM that is no longer among them gets nothing more;
-    /// what it runs is still counted.
+    /// Replaces the set of VMs that accept requests. A VM that is no longer in the set gets no new
+    /// requests; those that it still runs remain counted.
     pub fn set_targets(
         &mut self,
         targets: &[Target],
@@ -165,23 +167,25 @@
         for backend in self.backends.values_mut() {
             backend.active = false;
         }
-        let first = self.backends.is_empty();
+        let pool_was_empty = self.backends.is_empty();
         for target in targets {
-            let warm = if first { Monotonic(0) } else { now };
+            let newcomer_since = if pool_was_empty { Monotonic(0) } else { now };
             let known = self.backends.get(&target.vm);
-            let since = known.filter(|known| known.slots > 0).map_or(warm, |known| known.since);
+            let active_since = known
+                .filter(|known| known.slots > 0)
+                .map_or(newcomer_since, |known| known.active_since);
             let backend = self.backends.entry(target.vm.clone()).or_insert_with(|| Backend {
                 slots: 0,
                 local: target.local,
                 active: false,
-                since,
+                active_since,
                 in_flight: 0,
                 health: Health::default(),
             });
             backend.slots = target.slots;
             backend.local = target.local;
             backend.active = true;
-            backend.since = since;
+            backend.active_since = active_since;
         }
         for backend in self.backends.values_mut().filter(|backend| !backend.active) {
             backend.slots = 0;
@@ -190,13 +194,13 @@
         self.grant(now, rng)
     }
 
-    /// Requests that run on a VM.
+    /// Number of this daemon's requests in flight on a VM.
     #[must_use]
     pub fn in_flight(&self, vm: &VmName) -> u32 {
         self.backends.get(vm).map_or(0, |backend| backend.in_flight)
     }
 
-    /// Requests that wait, by class.
+    /// Number of waiting requests of a class.
     #[must_use]
     pub fn waiting(&self, class: Class) -> usize {
         match class {
@@ -205,113 +209,114 @@
         }
     }
 
-    /// Asks for a slot at `now`.
-    pub fn offer(&mut self, ask: Ask, now: Monotonic, rng: &mut impl Rng) -> Offer {
-        if let Some(refusal) = self.refusal(&ask, now) {
-            return Offer::Refused(refusal);
+    /// Assigns a slot to a request at `now`, queues the request, or refuses it.
+    pub fn admit(&mut self, request: Request, now: Monotonic, rng: &mut impl Rng) -> Admission {
+        if let Some(refusal) = self.refusal(&request, now) {
+            return Admission::Refused(refusal);
         }
-        let skips_none = self.waiting(ask.class) == 0;
-        let starts = skips_none && self.may_start(ask.class);
-        let chosen = starts.then(|| self.choose(now, rng)).flatten();
+        let queue_is_empty = self.waiting(request.class) == 0;
+        let may_start = queue_is_empty && self.may_start(request.class);
+        let chosen = may_start.then(|| self.select_vm(now, rng)).flatten();
         if let Some(vm) = chosen {
-            self.start(&vm, ask.class);
-            return Offer::Assigned(vm);
+            self.start(&vm, request.class);
+            return Admission::Assigned(vm);
         }
-        match ask.class {
-            Class::Urgent => self.urgent.push(ask),
-            Class::Batch => self.batch.push(ask),
+        match request.class {
+            Class::Urgent => self.urgent.push(request),
+            Class::Batch => self.batch.push(request),
         }
-        Offer::Waiting
+        Admission::Waiting
     }
 
-    fn refusal(&self, ask: &Ask, now: Monotonic) -> Option<Final> {
+    fn refusal(&self, request: &Request, now: Monotonic) -> Option<Final> {
         let slots = self.slots();
         if slots == 0 {
             return Some(Final::not_run(NotRun::NoUpstream, MIN_RETRY_AFTER));
         }
         let waiting = self.urgent.len() + self.batch.len();
-        let wait = self.wait(ask, slots);
+        let wait = self.expected_wait(request, slots);
         let retry_after = wait.max(MIN_RETRY_AFTER);
         if waiting >= self.bounds.queue {
             return Some(Final::not_run(NotRun::QueueFull, retry_after));
         }
-        let due = now.after(wait + self.service.unwrap_or_default());
-        (due >= ask.deadline).then(|| Final::not_run(NotRun::TooLate, retry_after))
+        let due = now.after(wait + self.service_time.unwrap_or_default());
+        (due >= request.deadline).then(|| Final::not_run(NotRun::TooLate, retry_after))
     }
 
-    /// How long the request is expected to wait.
-    fn wait(&self, ask: &Ask, slots: u32) -> Duration {
+    /// Estimated queueing time: the mean service time for each round of the requests ahead.
+    fn expected_wait(&self, request: &Request, slots: u32) -> Duration {
         let urgent = self.urgent.len();
-        let (ahead, slots) = match ask.class {
-            Class::Urgent => (self.urgent.ahead_of(&ask.caller), slots),
-            Class::Batch => (urgent + self.batch.ahead_of(&ask.caller), self.batch_ceiling()),
+        let (ahead, slots) = match request.class {
+            Class::Urgent => (self.urgent.ahead_of(&request.caller), slots),
+            Class::Batch => (urgent + self.batch.ahead_of(&request.caller), self.batch_ceiling()),
         };
         let rounds = ahead as f64 / f64::from(slots.max(1));
-        self.service.unwrap_or_default().mul_f64(rounds)
+        self.service_time.unwrap_or_default().mul_f64(rounds)
     }
 
-    /// Says how the use of a slot ended; the slot may go to requests that wait.
+    /// Releases a slot and grants free slots to waiting requests.
     pub fn release(
         &mut self,
         vm: &VmName,
         class: Class,
-        end: Use,
+        end: Completion,
         now: Monotonic,
         rng: &mut impl Rng,
     ) -> Vec<Grant> {
         self.batch_in_flight -= u32::from(class == Class::Batch).min(self.batch_in_flight);
-        let may_go_out = self.may_go_out(now);
+        let may_eject = self.may_eject(now);
         if let Some(backend) = self.backends.get_mut(vm) {
             backend.in_flight = backend.in_flight.saturating_sub(1);
             match end {
-                Use::Answered(_) => backend.health.succeeded(),
-                Use::Failed => backend.health.failed(may_go_out, now),
-                Use::Refused => backend.health.refused(now),
-                Use::Abandoned => {}
+                Completion::Answered(_) => backend.health.record_success(),
+                Completion::Failed => backend.health.record_failure(may_eject, now),
+                Completion::Refused => backend.health.record_refusal(now),
+                Completion::Abandoned => {}
             }
-            let gone = !backend.active && backend.in_flight == 0;
-            if gone {
+            let has_left = !backend.active && backend.in_flight == 0;
+            if has_left {
                 self.backends.remove(vm);
             }
         }
-        if let Use::Answered(time) = end {
-            self.learn(time);
+        if let Completion::Answered(time) = end {
+            self.record_service_time(time);
         }
         self.grant(now, rng)
     }
 
-    fn learn(&mut self, time: Duration) {
-        let known = self.service.unwrap_or(time);
-        self.service = Some(known.mul_f64(1.0 - SMOOTHING) + time.mul_f64(SMOOTHING));
+    fn record_service_time(&mut self, time: Duration) {
+        let known = self.service_time.unwrap_or(time);
+        self.service_time = Some(known.mul_f64(1.0 - SMOOTHING) + time.mul_f64(SMOOTHING));
     }
 
-    /// Takes a request out that no longer waits for its slot.
+    /// Removes a request that no longer waits for a slot.
     pub fn cancel(&mut self, ticket: Ticket) {
-        self.urgent.remove(|ask| ask.ticket == ticket);
-        self.batch.remove(|ask| ask.ticket == ticket);
+        self.urgent.remove(|request| request.ticket == ticket);
+        self.batch.remove(|request| request.ticket == ticket);
     }
 
-    /// Takes out the requests whose deadline has come.
+    /// Removes the waiting requests whose deadline has passed and returns their tickets.
     pub fn expire(&mut self, now: Monotonic) -> Vec<Ticket> {
-        let mut expired = self.urgent.expired(now);
-        expired.extend(self.batch.expired(now));
+        let mut expired = self.urgent.remove_expired(now);
+        expired.extend(self.batch.remove_expired(now));
         expired
     }
 
-    /// Gives free slots to requests that wait, as after slow start or the return of an outlier.
+    /// Grants free slots to waiting requests. Slots also become free without a release: during slow
+    /// start and when the ejection of an outlier ends.
     pub fn grant(&mut self, now: Monotonic, rng: &mut impl Rng) -> Vec<Grant> {
         let mut grants = Vec::new();
         while let Some(class) = self.next_class() {
-            let Some(vm) = self.choose(now, rng) else {
+            let Some(vm) = self.select_vm(now, rng) else {
                 break;
             };
-            let line = match class {
+            let queue = match class {
                 Class::Urgent => &mut self.urgent,
                 Class::Batch => &mut self.batch,
             };
-            let Some(ask) = line.pop() else { break };
+            let Some(request) = queue.pop() else { break };
             self.start(&vm, class);
-            grants.push(Grant { ticket: ask.ticket, vm, class });
+            grants.push(Grant { ticket: request.ticket, vm, class });
         }
         grants
     }
@@ -352,15 +357,15 @@
         }
     }
 
-    fn may_go_out(&self, now: Monotonic) -> bool {
+    fn may_eject(&self, now: Monotonic) -> bool {
         let active = self.backends.values().filter(|backend| backend.active);
-        let out = active.clone().filter(|backend| backend.health.is_out(now)).count();
-        (out + 1) * MAX_OUT_DIVISOR <= active.count()
+        let ejected = active.clone().filter(|backend| backend.health.is_ejected(now)).count();
+        (ejected + 1) * MAX_EJECTED_DIVISOR <= active.count()
     }
 
-    fn choose(&self, now: Monotonic, rng: &mut impl Rng) -> Option<VmName> {
+    fn select_vm(&self, now: Monotonic, rng: &mut impl Rng) -> Option<VmName> {
         let free = || self.backends.iter().filter(|(_, backend)| backend.is_free(now));
-        let healthy = || free().filter(|(_, backend)| !backend.health.is_out(now));
+        let healthy = || free().filter(|(_, backend)| !backend.health.is_ejected(now));
         let local: Vec<_> = healthy().filter(|(_, backend)| backend.local).collect();
         if !local.is_empty() {
             return Some(better_of_two(&local, rng));
--- a/crates/crosspath_state/src/fold.rs
+++ b/crates/crosspath_state/src/apply.rs
@@ -1,4 +1,4 @@
-//! The fold: one record in, the next state out.
+//! Application of log records: one record in, the next state out.
 
 mod jobs;
 mod members;
@@ -12,18 +12,18 @@
 use crate::state::{LastWrite, State};
 use crate::time::Wall;
 
-/// What one record did.
+/// Effect of one record on the state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Applied {
-    /// A batch was folded; one verdict for each change.
+    /// A batch was applied; one result for each of its changes, in order.
     Batch(Vec<Result<Revision, Conflict>>),
-    /// A second copy, or one from an earlier life of its writer; dropped.
+    /// The batch was a duplicate or came from an earlier incarnation of its writer; it was ignored.
     Dropped,
-    /// A part of a snapshot; nothing changed.
+    /// A chunk of a snapshot; only the offset advanced.
     Snapshot,
 }
 
-/// A record that is not the next one.
+/// The offset of a record does not follow the last applied one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 #[snafu(display("record {offset} does not follow {applied}; start from a snapshot"))]
 pub struct Gap {
@@ -31,7 +31,7 @@
     offset: Revision,
 }
 
-/// What a change is told of the batch around it.
+/// Properties of the batch that a change belongs to.
 pub(crate) struct Context<'a> {
     pub(crate) offset: Revision,
     pub(crate) writer: &'a Writer,
@@ -39,11 +39,11 @@
 }
 
 impl State {
-    /// Folds the record at `offset`.
+    /// Applies the record at `offset`.
     ///
     /// # Errors
     ///
-    /// [`Gap`] when `offset` is not the next one; the state is as it was.
+    /// [`Gap`] if `offset` is not the next one; the state is then unchanged.
     pub fn apply(&mut self, offset: Revision, entry: &Entry) -> Result<Applied, Gap> {
         let applied = self.applied;
         ensure!(offset == applied.next(), GapSnafu { applied, offset });
@@ -58,27 +58,27 @@
         let writer = &batch.id.writer;
         let write = LastWrite { incarnation: writer.incarnation, sequence: batch.id.sequence };
         let last = self.writers.get(&writer.daemon);
-        let newer = last.is_none_or(|last| is_newer(*last, write));
-        if !newer {
+        let is_new = last.is_none_or(|last| is_newer(*last, write));
+        if !is_new {
             return Applied::Dropped;
         }
         self.writers.insert(writer.daemon.clone(), write);
         let context = Context { offset, writer, written_at: batch.written_at };
         let verdicts = batch.changes.iter();
-        let verdicts = verdicts.map(|change| self.change(&context, change).map(|()| offset));
+        let verdicts = verdicts.map(|change| self.apply_change(&context, change).map(|()| offset));
         Applied::Batch(verdicts.collect())
     }
 
-    fn change(&mut self, context: &Context<'_>, change: &Change) -> Result<(), Conflict> {
+    fn apply_change(&mut self, context: &Context<'_>, change: &Change) -> Result<(), Conflict> {
         match change {
             Change::Put { id, spec, expected } => self.put(context, id, spec, *expected),
             Change::Delete { id, expected } => self.delete(id, *expected),
-            Change::Step { vm, step } => self.step(context, vm, step),
-            Change::Failure { vm, seen_at } => self.failure(context, vm, *seen_at),
-            Change::Recovery { vm } => self.recovery(context, vm),
-            Change::Steer { wave, phase } => self.steer(context, wave, phase),
-            Change::Job { job, action } => self.job(context, job, action),
-            Change::Member(membership) => self.membership(context, membership),
+            Change::Step { vm, step } => self.apply_step(context, vm, step),
+            Change::Failure { vm, seen_at } => self.record_failure(context, vm, *seen_at),
+            Change::Recovery { vm } => self.record_recovery(context, vm),
+            Change::Steer { wave, phase } => self.set_wave_phase(context, wave, phase),
+            Change::Job { job, action } => self.apply_job_action(context, job, action),
+            Change::Member(membership) => self.apply_membership(context, membership),
         }
     }
 }
--- a/crates/crosspath_state/src/lease.rs
+++ b/crates/crosspath_state/src/lease.rs
@@ -1,16 +1,17 @@
-//! Leases between a member and its guard, without the log.
+//! Leases between a member and its guard, which work without the log.
 //!
-//! The guard promises in each heartbeat answer not to evict the member for a while; the member
-//! counts the promise from before it asked, the guard from after it answered, each on its own
-//! clock and with the drift of the rates on the safe side. So a member that is paused or cut off
-//! stops before it can be evicted, and an outage of the log alone stops nobody.
+//! With each heartbeat reply the guard grants a lease: it will not evict the member for a given
+//! time. The member counts that time from before its request, the guard from when it grants the
+//! lease, each on its own clock and with the clocks' drift on the safe side. A member that is
+//! paused or cut off therefore stops before it can be evicted, and an outage of the log alone
+//! stops no member.
 //!
-//! A guard that was evicted must stop promising, or the members that it guarded could never be
-//! evicted by whoever inherits them. It may not know of its eviction, so it promises only for a
-//! bounded time, the tenure, after its own lease was last valid, and the heir waits that long. The
-//! tenure is longer than a lease: were a valid lease needed at every promise, one daemon that is
-//! gone during an outage of the log, or one moment without heartbeats, would end every lease around
-//! the ring, with nobody left to promise first.
+//! A guard that was evicted must stop granting leases, otherwise its successor could never evict
+//! the members that it guarded. It may not know of its eviction, so it grants leases only for a
+//! bounded time after its own lease was last valid, the tenure, and the successor waits that long.
+//! The tenure is longer than a lease. If every grant required a valid lease, then a single daemon
+//! that is gone during an outage of the log, or a moment without heartbeats, would end every lease
+//! around the ring, and no daemon could grant the first new one.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -22,59 +23,59 @@
 
 const MILLION: u64 = 1_000_000;
 
-/// Length of a promise and the largest drift between two clocks' rates.
+/// Durations of leases and the largest drift between the rates of two clocks.
 #[derive(Debug, Clone, Copy)]
 pub struct Terms {
-    /// Length of a promise.
+    /// Length of a lease.
     pub lease: Duration,
-    /// How long a guard goes on promising after its own lease was last valid.
+    /// How long a guard goes on granting leases after its own lease was last valid.
     pub tenure: Duration,
-    /// Largest drift, in parts per million.
+    /// Largest drift between two clocks, in parts per million.
     pub drift_ppm: u32,
 }
 
 impl Terms {
-    /// How long the member counts on a promise of `span`.
-    fn held(self, span: Duration) -> Duration {
-        scale(span, MILLION - u64::from(self.drift_ppm))
+    /// How long the member relies on a lease of `duration`.
+    fn shortened_by_drift(self, duration: Duration) -> Duration {
+        scale(duration, MILLION - u64::from(self.drift_ppm))
     }
 
-    /// How long the guard waits after a promise of `span`.
-    fn waited(self, span: Duration) -> Duration {
-        scale(span, MILLION + u64::from(self.drift_ppm))
+    /// How long the guard must wait for a lease of `duration` to expire at the member.
+    fn lengthened_by_drift(self, duration: Duration) -> Duration {
+        scale(duration, MILLION + u64::from(self.drift_ppm))
     }
 }
 
-fn scale(span: Duration, ppm: u64) -> Duration {
-    let millis = u64::try_from(span.as_millis()).unwrap_or(u64::MAX);
+fn scale(duration: Duration, ppm: u64) -> Duration {
+    let millis = u64::try_from(duration.as_millis()).unwrap_or(u64::MAX);
     Duration::from_millis(millis.saturating_mul(ppm) / MILLION)
 }
 
-/// The member's side: promises that this daemon got.
+/// The member's side: leases that other daemons granted to this one.
 #[derive(Debug, Default)]
 pub struct Holder {
-    until: BTreeMap<DaemonName, Monotonic>,
-    naming: Option<DaemonName>,
+    valid_until: BTreeMap<DaemonName, Monotonic>,
+    pending_guard: Option<DaemonName>,
 }
 
 impl Holder {
-    /// Notes a promise of `span` from `guard`, asked for at `asked_at`.
-    pub fn promised(
+    /// Records a lease of `duration` from `guard` that was requested at `requested_at`.
+    pub fn record_grant(
         &mut self,
         terms: Terms,
         guard: &DaemonName,
-        asked_at: Monotonic,
-        span: Duration,
+        requested_at: Monotonic,
+        duration: Duration,
     ) {
-        let until = asked_at.after(terms.held(span));
-        let entry = self.until.entry(guard.clone()).or_insert(until);
+        let until = requested_at.after(terms.shortened_by_drift(duration));
+        let entry = self.valid_until.entry(guard.clone()).or_insert(until);
         *entry = until.max(*entry);
     }
 
-    /// Notes that a record that names `guard` is on its way; until it is settled, the promise of
-    /// that guard is needed too.
-    pub fn naming(&mut self, guard: Option<DaemonName>) {
-        self.naming = guard;
+    /// Sets the guard that a record being appended names. Until the fate of that record is known,
+    /// a lease from that guard is required too.
+    pub fn set_pending_guard(&mut self, guard: Option<DaemonName>) {
+        self.pending_guard = guard;
     }
 
     /// Whether this daemon may act as the member `own` at `now`.
@@ -85,40 +86,42 @@
         }
         let member = state.members.get(&own.daemon);
         let guard = member.and_then(|member| member.guard.as_ref());
-        let mut needed = guard.into_iter().chain(self.naming.as_ref());
-        needed.all(|guard| self.until.get(guard).is_some_and(|until| now < *until))
+        let mut needed = guard.into_iter().chain(self.pending_guard.as_ref());
+        needed.all(|guard| self.valid_until.get(guard).is_some_and(|until| now < *until))
     }
 }
 
-/// Since when this daemon guards a member, and whether another one did before.
+/// Since when this daemon guards a member, and whether it inherited it from an evicted guard or
+/// from one that left.
 #[derive(Debug, Clone, Copy)]
-struct Duty {
+struct Assignment {
     since: Monotonic,
     inherited: bool,
 }
 
-impl Duty {
-    /// When no promise can be left that was given before this daemon's own.
-    fn clear_at(self, terms: Terms) -> Monotonic {
-        let earlier = if self.inherited { terms.tenure } else { Duration::ZERO };
-        self.since.after(terms.waited(earlier + terms.lease))
+impl Assignment {
+    /// When every lease that a previous guard may have granted has expired.
+    fn earlier_leases_expired_at(self, terms: Terms) -> Monotonic {
+        let previous_tenure = if self.inherited { terms.tenure } else { Duration::ZERO };
+        self.since.after(terms.lengthened_by_drift(previous_tenure + terms.lease))
     }
 }
 
-/// The guard's side: promises that this daemon gave, and whom it may evict.
+/// The guard's side: leases that this daemon granted, and the members it may evict.
 #[derive(Debug, Default)]
-pub struct Guardian {
+pub struct Grantor {
     last_valid: Option<Monotonic>,
     was_valid: bool,
-    /// Evicts nobody before this: heartbeats may have been missed here, not there.
-    not_before: Monotonic,
-    given: BTreeMap<Writer, Monotonic>,
-    duties: BTreeMap<Writer, Duty>,
+    /// No eviction before this time: after this daemon's own lease became invalid, missing
+    /// heartbeats may be its own fault and not the member's.
+    no_eviction_before: Monotonic,
+    granted_until: BTreeMap<Writer, Monotonic>,
+    assignments: BTreeMap<Writer, Assignment>,
     evicting: BTreeSet<Writer>,
 }
 
-impl Guardian {
-    /// Notes at `now` whom this daemon guards, and whether its own lease is valid.
+impl Grantor {
+    /// Updates at `now` which members this daemon guards, and whether its own lease is valid.
     pub fn observe(
         &mut self,
         terms: Terms,
@@ -130,22 +133,23 @@
         if valid {
             self.last_valid = Some(now);
         } else if self.was_valid {
-            self.not_before = now.after(terms.waited(terms.lease));
+            self.no_eviction_before = now.after(terms.lengthened_by_drift(terms.lease));
         }
         self.was_valid = valid;
         let guarded: BTreeMap<Writer, bool> = guarded(state, own).collect();
-        self.duties.retain(|member, duty| guarded.get(member) == Some(&duty.inherited));
+        self.assignments
+            .retain(|member, assignment| guarded.get(member) == Some(&assignment.inherited));
         self.evicting.retain(|member| guarded.contains_key(member));
         for (member, inherited) in guarded {
-            self.duties.entry(member).or_insert(Duty { since: now, inherited });
+            self.assignments.entry(member).or_insert(Assignment { since: now, inherited });
         }
-        self.given.retain(|member, _| state.is_member(member));
+        self.granted_until.retain(|member, _| state.is_member(member));
     }
 
-    /// The promise for `member` at `now`, if this daemon can give one.
+    /// Grants `member` a lease at `now` and returns its length, if this daemon may grant one.
     ///
     /// `valid` says whether this daemon's own lease is valid.
-    pub fn promise(
+    pub fn grant(
         &mut self,
         terms: Terms,
         state: &State,
@@ -156,34 +160,40 @@
         if valid {
             self.last_valid = Some(now);
         }
-        let backed = self.last_valid.is_some_and(|at| now < at.after(terms.held(terms.tenure)));
-        let able = backed && state.is_member(member) && !self.evicting.contains(member);
-        if !able {
+        let within_tenure = self
+            .last_valid
+            .is_some_and(|at| now < at.after(terms.shortened_by_drift(terms.tenure)));
+        let may_grant = within_tenure && state.is_member(member) && !self.evicting.contains(member);
+        if !may_grant {
             return None;
         }
-        self.given.insert(member.clone(), now.after(terms.waited(terms.lease)));
+        self.granted_until
+            .insert(member.clone(), now.after(terms.lengthened_by_drift(terms.lease)));
         Some(terms.lease)
     }
 
-    /// Members that may be evicted at `now`; from then on they get no promise.
+    /// Members that may be evicted at `now`; from then on they are granted no lease.
     pub fn evictable(&mut self, terms: Terms, now: Monotonic) -> Vec<Writer> {
-        let lapsed = |member: &Writer, duty: Duty| {
-            let given = self.given.get(member).copied().unwrap_or_default();
-            now > given.max(duty.clear_at(terms)).max(self.not_before)
+        let expired = |member: &Writer, assignment: Assignment| {
+            let granted_until = self.granted_until.get(member).copied().unwrap_or_default();
+            now > granted_until
+                .max(assignment.earlier_leases_expired_at(terms))
+                .max(self.no_eviction_before)
         };
-        let lapsed = self.duties.iter().filter(|(member, duty)| lapsed(member, **duty));
-        let lapsed: Vec<Writer> = lapsed.map(|(member, _)| member.clone()).collect();
-        self.evicting.extend(lapsed.iter().cloned());
-        lapsed
+        let expired =
+            self.assignments.iter().filter(|(member, assignment)| expired(member, **assignment));
+        let expired: Vec<Writer> = expired.map(|(member, _)| member.clone()).collect();
+        self.evicting.extend(expired.iter().cloned());
+        expired
     }
 
-    /// Notes that an eviction was certainly not recorded.
-    pub fn spare(&mut self, member: &Writer) {
+    /// Allows leases for `member` again after its eviction has certainly not been recorded.
+    pub fn cancel_eviction(&mut self, member: &Writer) {
         self.evicting.remove(member);
     }
 }
 
-/// Members that `own` may evict, and whether it inherited them.
+/// Members that `own` guards, and whether it inherited each of them.
 fn guarded(state: &State, own: &Writer) -> impl Iterator<Item = (Writer, bool)> {
     let member = state.is_member(own);
     let members = state.members.iter().filter(move |_| member);
--- a/crates/crosspath_state/src/name.rs
+++ b/crates/crosspath_state/src/name.rs
@@ -22,14 +22,14 @@
     text: String,
 }
 
-fn check(text: &str) -> Result<(), InvalidName> {
+fn validate(text: &str) -> Result<(), InvalidName> {
     let allowed = |byte: u8| matches!(byte, b'a'..=b'z' | b'0'..=b'9' | b'-' | b'.');
     let valid = !text.is_empty() && text.len() <= MAX_LEN && text.bytes().all(allowed);
     ensure!(valid, InvalidNameSnafu { text });
     Ok(())
 }
 
-macro_rules! names {
+macro_rules! name_types {
     ($($(#[$doc:meta])* $name:ident;)*) => {$(
         $(#[$doc])*
         #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, JsonSchema)]
@@ -37,17 +37,17 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Checks `text` and makes it a name.
+            /// Creates a name from `text`.
             ///
             /// # Errors
             ///
-            /// [`InvalidName`] when `text` breaks the rules for names.
+            /// [`InvalidName`] if `text` breaks the rules for names.
             pub fn new(text: &str) -> Result<Self, InvalidName> {
-                check(text)?;
+                validate(text)?;
                 Ok(Self(Arc::from(text)))
             }
 
-            /// The name as text.
+            /// Returns the name as a string.
             #[must_use]
             pub fn as_str(&self) -> &str {
                 &self.0
@@ -82,27 +82,27 @@
     )*};
 }
 
-names! {
-    /// A caller: a shop agent, a donation page or a feed.
+name_types! {
+    /// Name of a caller: a shop agent, a donation page or a feed.
     CallerName;
-    /// A data centre (a hall, a zone).
+    /// Name of a data centre (a hall or a zone).
     DataCentre;
-    /// A daemon of the system.
+    /// Name of a `crosspathd` daemon.
     DaemonName;
-    /// A job.
+    /// Name of a job.
     JobName;
-    /// A pool of VMs.
+    /// Name of a pool of VMs.
     PoolName;
-    /// A rack inside a data centre.
+    /// Name of a rack inside a data centre.
     Rack;
-    /// A service that callers ask for.
+    /// Name of a service that callers send requests to.
     ServiceName;
-    /// A team that owns jobs.
+    /// Name of a team that owns jobs.
     TeamName;
-    /// A VM of a pool.
+    /// Name of a VM in a pool.
     VmName;
-    /// A maintenance wave.
+    /// Name of a maintenance wave.
     WaveName;
-    /// Any resource, its kind known from elsewhere.
+    /// Name of a resource whose kind is stated elsewhere.
     ResourceName;
 }
--- a/crates/crosspath_state/tests/state/main.rs
+++ b/crates/crosspath_state/tests/state/main.rs
@@ -1,6 +1,6 @@
-//! Tests of the state and its fold.
+//! Tests of the state and of the application of records.
 
 mod common;
-mod fold;
 mod lease;
+mod replay;
 mod rules;
--- a/crates/crosspath_upstream/src/lib.rs
+++ b/crates/crosspath_upstream/src/lib.rs
@@ -1,8 +1,8 @@
-//! HTTP towards upstreams.
+//! HTTP client for upstreams.
 //!
-//! A request goes out on a connection of its own for as long as it lasts. A connection whose
-//! request was answered whole is kept for the next one; any other is closed, so that a late answer
-//! can never meet another request. A failure says whether any byte can have reached the upstream.
+//! Each request has a connection to itself while it runs. A connection is reused only after the
+//! whole response has arrived; otherwise it is closed, so that a late response can never be taken
+//! for that of another request. A failure tells whether any byte can have reached the upstream.
 
 mod body;
 mod connection;
@@ -16,34 +16,34 @@
 use http_body_util::Full;
 use tokio::time::Instant;
 
-pub use body::Streamed;
-use connection::{Connection, Sent};
+pub use body::StreamingBody;
+use connection::{Connection, SendResult};
 
-/// Idle connections kept for each upstream.
+/// Maximum number of idle connections to each upstream.
 pub const MAX_IDLE: usize = 8;
 
-/// How an exchange failed.
+/// Failure of an exchange before the head of the response arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, snafu::Snafu)]
 pub enum Failure {
     /// No byte of the request can have reached the upstream.
-    #[snafu(display("the request was not sent"))]
+    #[snafu(display("request was not sent to the upstream"))]
     NotSent,
     /// The connection broke after the request may have been sent.
-    #[snafu(display("the connection broke"))]
+    #[snafu(display("connection to the upstream broke after the request may have been sent"))]
     Broken,
-    /// No answer came in time.
-    #[snafu(display("no answer in time"))]
-    Late,
+    /// No response arrived before the deadline.
+    #[snafu(display("upstream did not respond before the deadline"))]
+    Timeout,
 }
 
-/// Idle connections by upstream.
+/// Idle connections by the address of the upstream.
 #[derive(Debug, Default)]
-pub(crate) struct Idle {
+pub(crate) struct IdlePool {
     connections: Mutex<HashMap<SocketAddr, Vec<Connection>>>,
 }
 
-impl Idle {
-    fn take(&self, address: SocketAddr) -> Option<Connection> {
+impl IdlePool {
+    fn acquire(&self, address: SocketAddr) -> Option<Connection> {
         let mut connections = self.connections.lock().unwrap_or_else(PoisonError::into_inner);
         let idle = connections.get_mut(&address)?;
         while let Some(connection) = idle.pop() {
@@ -54,7 +54,7 @@
         None
     }
 
-    pub(crate) fn keep(&self, connection: Connection) {
+    pub(crate) fn release(&self, connection: Connection) {
         let mut connections = self.connections.lock().unwrap_or_else(PoisonError::into_inner);
         let idle = connections.entry(connection.address()).or_default();
         if idle.len() < MAX_IDLE {
@@ -68,28 +68,29 @@
     }
 }
 
-/// A client of all upstreams.
+/// HTTP client for all upstreams; clones share their idle connections.
 #[derive(Debug, Clone, Default)]
 pub struct Upstreams {
-    idle: Arc<Idle>,
+    idle: Arc<IdlePool>,
 }
 
 impl Upstreams {
-    /// Sends a request and gives the answer as it streams in, all of it before `deadline`.
+    /// Sends a request and returns the response with a streaming body, which fails at `deadline` if
+    /// it is not complete.
     ///
     /// # Errors
     ///
-    /// [`Failure`], which says whether the request can have reached the upstream.
+    /// [`Failure`], which tells whether the request can have reached the upstream.
     pub async fn send(
         &self,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
         deadline: Instant,
-    ) -> Result<Response<Streamed>, Failure> {
-        let request = match self.idle.take(address) {
+    ) -> Result<Response<StreamingBody>, Failure> {
+        let request = match self.idle.acquire(address) {
             None => request,
             Some(connection) => match self.exchange(connection, request, deadline).await {
-                Ok(answer) => return Ok(answer),
+                Ok(response) => return Ok(response),
                 // The upstream closed the connection while it was idle.
                 Err((Failure::NotSent, Some(request))) => *request,
                 Err((failure, _)) => return Err(failure),
@@ -107,20 +108,20 @@
         mut connection: Connection,
         request: Request<Full<Bytes>>,
         deadline: Instant,
-    ) -> Result<Response<Streamed>, (Failure, Option<Box<Request<Full<Bytes>>>>)> {
+    ) -> Result<Response<StreamingBody>, (Failure, Option<Box<Request<Full<Bytes>>>>)> {
         let sent = tokio::time::timeout_at(deadline, connection.send(request)).await;
         match sent {
-            Ok(Sent::Answered(answer)) => {
+            Ok(SendResult::Answered(response)) => {
                 let idle = Arc::clone(&self.idle);
-                Ok(answer.map(|body| Streamed::new(body, connection, idle, deadline)))
+                Ok(response.map(|body| StreamingBody::new(body, connection, idle, deadline)))
             }
-            Ok(Sent::Not(request)) => Err((Failure::NotSent, Some(request))),
-            Ok(Sent::Broken) => Err((Failure::Broken, None)),
-            Err(_) => Err((Failure::Late, None)),
+            Ok(SendResult::NotSent(request)) => Err((Failure::NotSent, Some(request))),
+            Ok(SendResult::Broken) => Err((Failure::Broken, None)),
+            Err(_) => Err((Failure::Timeout, None)),
         }
     }
 
-    /// Closes the idle connections to an upstream, as when it leaves.
+    /// Closes the idle connections to an upstream, as when it leaves the pool.
     pub fn close_idle(&self, address: SocketAddr) {
         self.idle.close(address);
     }
--- a/crates/crosspathd/src/boot.rs
+++ b/crates/crosspathd/src/bootstrap.rs
@@ -1,19 +1,21 @@
-//! Where a daemon gets its state when it cannot fold the log from its start.
+//! Restores the state from a snapshot or from peers when the log cannot be replayed from its start.
 
 use std::sync::Arc;
 
 use crosspath_log::{Page, Record};
 use crosspath_state::State;
 use crosspath_state::record::{Entry, Revision};
-use crosspath_state::snapshot::Assembly;
+use crosspath_state::snapshot::Assembler;
 
 use crate::core::Core;
 use crate::follower;
 
-/// Starts from the newest whole snapshot that the log still holds.
+/// Restores the newest complete snapshot in the log and applies the records after it.
+///
+/// `first` is the first revision that the log still holds.
 pub(crate) async fn from_snapshot(core: &Core, first: Revision) {
     let mut records = Vec::new();
-    let mut assembly = Assembly::default();
+    let mut assembly = Assembler::default();
     let mut newest: Option<State> = None;
     let mut after = Revision(first.0.saturating_sub(1));
     loop {
@@ -24,7 +26,7 @@
         };
         after = last.offset;
         for record in &page.records {
-            newest = snapshot(&mut assembly, record).or(newest);
+            newest = complete_snapshot(&mut assembly, record).or(newest);
         }
         let Page { records: more, last, .. } = page;
         records.extend(more);
@@ -37,17 +39,17 @@
         tokio::time::sleep(core.settings.timing.log_wait).await;
         return;
     };
-    core.outcomes().skipped();
+    core.outcomes().mark_incomplete();
     log::info!("event=started_from_snapshot revision={}", state.applied);
     for record in records.iter().filter(|record| record.offset > Revision::default()) {
-        if record.offset > state.applied && !follower::fold(core, &mut state, record) {
+        if record.offset > state.applied && !follower::apply_record(core, &mut state, record) {
             return;
         }
     }
-    publish_later(core, state);
+    publish_if_newer(core, state);
 }
 
-fn snapshot(assembly: &mut Assembly, record: &Record) -> Option<State> {
+fn complete_snapshot(assembly: &mut Assembler, record: &Record) -> Option<State> {
     let Ok(Entry::Snapshot(chunk)) = Entry::decode(&record.data) else {
         return None;
     };
@@ -60,33 +62,37 @@
     }
 }
 
-/// Without the log, takes the state of a peer that is ahead of the own one.
+/// Copies a peer's state while the log is unavailable.
+///
+/// A peer whose state is ahead of the local one is asked. If none is known and this daemon has not
+/// caught up yet, every peer is asked.
 pub(crate) async fn from_peers(core: &Core) {
     let applied = core.state().applied;
-    let ahead = core.seen().iter().find(|(_, seen)| seen.applied > applied).map(|(n, _)| n.clone());
-    let fresh = !core.is_caught_up();
-    let asked: Vec<_> = match ahead {
+    let ahead =
+        core.peer_states().iter().find(|(_, peer)| peer.applied > applied).map(|(n, _)| n.clone());
+    let catching_up = !core.is_caught_up();
+    let candidates: Vec<_> = match ahead {
         Some(name) => core.links.iter().filter(|(peer, _)| **peer == name).collect(),
-        None if fresh => core.links.iter().collect(),
+        None if catching_up => core.links.iter().collect(),
         None => Vec::new(),
     };
-    for (name, link) in asked {
+    for (name, link) in candidates {
         let Ok(copy) = link.state().await else { continue };
         if copy.state.digest() != copy.digest {
             log::warn!("event=peer_state_unusable peer={name}");
             continue;
         }
         log::info!("event=took_state_of_peer peer={name} revision={}", copy.state.applied);
-        core.outcomes().skipped();
-        publish_later(core, copy.state);
+        core.outcomes().mark_incomplete();
+        publish_if_newer(core, copy.state);
     }
     if core.state().applied > Revision::default() {
         core.set_caught_up();
     }
 }
 
-/// A daemon never goes back to a lower revision.
-fn publish_later(core: &Core, state: State) {
+/// Publishes `state` unless its revision is not higher: a daemon never returns to a lower revision.
+fn publish_if_newer(core: &Core, state: State) {
     if state.applied > core.state().applied {
         core.publish(Arc::new(state));
     }
--- a/crates/crosspathd/src/core.rs
+++ b/crates/crosspathd/src/core.rs
@@ -1,4 +1,4 @@
-//! The tables that the daemon's tasks share.
+//! State shared by the daemon's tasks.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -11,7 +11,7 @@
 use crosspath_route::claim::{Bounds, Table};
 use crosspath_settings::Settings;
 use crosspath_state::State;
-use crosspath_state::lease::{Guardian, Holder, Terms};
+use crosspath_state::lease::{Grantor, Holder, Terms};
 use crosspath_state::name::{DaemonName, VmName};
 use crosspath_state::record::{Incarnation, Revision, Writer};
 use crosspath_state::vm;
@@ -23,19 +23,19 @@
 use crate::clock;
 use crate::committer::Committer;
 use crate::outcomes::Outcomes;
-use crate::peers::Seen;
+use crate::peers::PeerState;
 use crate::pools::Pools;
 
-const HISTORY: usize = 256;
+const MAX_HISTORY: usize = 256;
 
-/// Promises given and got.
+/// Lease grants that this daemon has received (`holder`) and given (`grantor`).
 #[derive(Debug, Default)]
 pub(crate) struct Leases {
     pub(crate) holder: Holder,
-    pub(crate) guardian: Guardian,
+    pub(crate) grantor: Grantor,
 }
 
-/// Everything that the tasks share; see the crate for the order of the locks.
+/// State shared by all tasks. The crate documentation defines the lock order.
 #[derive(Debug)]
 pub struct Core {
     pub(crate) settings: Settings,
@@ -51,20 +51,20 @@
     pub(crate) pools: Pools,
     leases: Mutex<Leases>,
     claims: Mutex<Table>,
-    seen: Mutex<BTreeMap<DaemonName, Seen>>,
+    peer_states: Mutex<BTreeMap<DaemonName, PeerState>>,
     outcomes: Mutex<Outcomes>,
     history: Mutex<VecDeque<Arc<State>>>,
     frozen: RwLock<BTreeSet<u16>>,
     halted: RwLock<Option<String>>,
-    own: RwLock<Writer>,
+    own_writer: RwLock<Writer>,
     caught_up: AtomicBool,
     log_up: AtomicBool,
     stopping: AtomicBool,
 }
 
-/// What [`Core::new`] is given.
+/// Arguments of [`Core::new`].
 #[derive(Debug)]
-pub(crate) struct Parts {
+pub(crate) struct Dependencies {
     pub(crate) settings: Settings,
     pub(crate) log: Arc<dyn Log>,
     pub(crate) worker: Arc<dyn Worker>,
@@ -78,8 +78,8 @@
 }
 
 impl Core {
-    pub(crate) fn new(parts: Parts) -> Self {
-        let settings = parts.settings;
+    pub(crate) fn new(dependencies: Dependencies) -> Self {
+        let settings = dependencies.settings;
         let bounds = Bounds {
             keys: settings.limits.keys as usize,
             answer_bytes: usize::try_from(settings.limits.answers_total_bytes)
@@ -91,23 +91,23 @@
             Writer { daemon: settings.name.clone(), incarnation: Incarnation(clock::wall().0) };
         Self {
             pools: Pools::new(&settings),
-            log: parts.log,
-            worker: parts.worker,
-            vm_list: parts.vm_list,
-            links: parts.links,
-            committer: parts.committer,
+            log: dependencies.log,
+            worker: dependencies.worker,
+            vm_list: dependencies.vm_list,
+            links: dependencies.links,
+            committer: dependencies.committer,
             upstreams: Upstreams::default(),
             metrics: Metrics::default(),
             state: watch::Sender::default(),
             stage: watch::Sender::default(),
             leases: Mutex::default(),
             claims: Mutex::new(Table::new(bounds)),
-            seen: Mutex::default(),
+            peer_states: Mutex::default(),
             outcomes: Mutex::default(),
             history: Mutex::default(),
             frozen: RwLock::default(),
             halted: RwLock::default(),
-            own: RwLock::new(own),
+            own_writer: RwLock::new(own),
             caught_up: AtomicBool::new(false),
             log_up: AtomicBool::new(false),
             stopping: AtomicBool::new(false),
@@ -123,45 +123,47 @@
         lock(&self.claims)
     }
 
-    pub(crate) fn seen(&self) -> MutexGuard<'_, BTreeMap<DaemonName, Seen>> {
-        lock(&self.seen)
+    pub(crate) fn peer_states(&self) -> MutexGuard<'_, BTreeMap<DaemonName, PeerState>> {
+        lock(&self.peer_states)
     }
 
     pub(crate) fn outcomes(&self) -> MutexGuard<'_, Outcomes> {
         lock(&self.outcomes)
     }
 
-    /// The state now.
+    /// The state published last.
     pub(crate) fn state(&self) -> Arc<State> {
         self.state.borrow().clone()
     }
 
-    /// Replaces the state by a later one.
+    /// Publishes a later state and adds it to the history.
     pub(crate) fn publish(&self, state: Arc<State>) {
         self.metrics.set_applied_revision(state.applied.0);
         let mut history = lock(&self.history);
         history.push_back(Arc::clone(&state));
-        if history.len() > HISTORY {
+        if history.len() > MAX_HISTORY {
             history.pop_front();
         }
         drop(history);
         self.state.send_replace(state);
     }
 
-    /// The newest kept state that is not after `revision`; none when that is too old.
+    /// The newest state in the history that is not after `revision`; `None` if `revision` is older
+    /// than the history.
     pub(crate) fn state_at(&self, revision: Revision) -> Option<Arc<State>> {
         let history = lock(&self.history);
         history.iter().rev().find(|state| state.applied <= revision).cloned()
     }
 
-    /// This daemon in its present life.
-    pub(crate) fn own(&self) -> Writer {
-        self.own.read().unwrap_or_else(PoisonError::into_inner).clone()
+    /// Name and current incarnation of this daemon, under which it writes to the log.
+    pub(crate) fn own_writer(&self) -> Writer {
+        self.own_writer.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Starts a new life, after `last` at the earliest: what the old one knew no longer counts.
-    pub(crate) fn begin_life(&self, last: Incarnation) {
-        let mut own = self.own.write().unwrap_or_else(PoisonError::into_inner);
+    /// Starts a new incarnation, later than `last` and the current one. The leases of the old
+    /// incarnation are dropped.
+    pub(crate) fn begin_incarnation(&self, last: Incarnation) {
+        let mut own = self.own_writer.write().unwrap_or_else(PoisonError::into_inner);
         let next = clock::wall().0.max(last.0 + 1).max(own.incarnation.0 + 1);
         own.incarnation = Incarnation(next);
         drop(own);
@@ -173,31 +175,32 @@
         Terms { lease: timing.lease, tenure: timing.tenure, drift_ppm: timing.drift_ppm }
     }
 
-    /// Whether this daemon may act as a member now.
+    /// Whether this daemon may currently act as a member.
     pub(crate) fn lease_is_valid(&self) -> bool {
-        let (state, own) = (self.state(), self.own());
+        let (state, own) = (self.state(), self.own_writer());
         self.halted().is_none() && self.leases().holder.is_valid(&state, &own, clock::monotonic())
     }
 
-    /// Stops deciding on partitions that are being handed over.
+    /// Stops deciding on claims in partitions that are being handed over.
     pub(crate) fn freeze(&self, partitions: &BTreeSet<u16>) {
         let mut frozen = self.frozen.write().unwrap_or_else(PoisonError::into_inner);
         frozen.extend(partitions);
     }
 
-    /// Decides again on partitions, if this daemon still owns them.
-    pub(crate) fn thaw(&self, partitions: &BTreeSet<u16>) {
+    /// Undoes [`Self::freeze`]. Whether this daemon still owns the partitions is checked elsewhere.
+    pub(crate) fn unfreeze(&self, partitions: &BTreeSet<u16>) {
         let mut frozen = self.frozen.write().unwrap_or_else(PoisonError::into_inner);
         frozen.retain(|partition| !partitions.contains(partition));
     }
 
-    /// Whether this daemon decides on keys of a partition that it owns.
+    /// Whether this daemon may decide on keys of a partition, provided that it owns the partition.
     pub(crate) fn may_decide(&self, partition: u16) -> bool {
         let frozen = self.frozen.read().unwrap_or_else(PoisonError::into_inner);
         !frozen.contains(&partition) && self.lease_is_valid()
     }
 
-    /// The member that plans: the first by name. An optimisation; the fold checks every plan.
+    /// The member that plans: the first by name. A single planner is an optimization only; every
+    /// planned change is checked when it is applied.
     pub(crate) fn planner(state: &State) -> Option<&DaemonName> {
         state.members.keys().next()
     }
@@ -206,7 +209,8 @@
         Self::planner(&self.state()) == Some(&self.settings.name) && self.lease_is_valid()
     }
 
-    /// Requests in flight here on VMs that take no new work.
+    /// Number of this daemon's requests in flight on each draining VM; VMs without any are left
+    /// out.
     pub(crate) fn draining_in_flight(&self) -> Vec<(VmName, u32)> {
         let state = self.state();
         let draining = state.vms.iter();
@@ -215,7 +219,7 @@
         counts.filter(|(_, count)| *count > 0).collect()
     }
 
-    /// Stops deciding for good, and says why.
+    /// Stops this daemon from deciding until it is restarted. The first cause is kept.
     pub(crate) fn halt(&self, cause: String) {
         let mut halted = self.halted.write().unwrap_or_else(PoisonError::into_inner);
         if halted.is_none() {
@@ -256,7 +260,7 @@
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Whether the balancer should send callers here.
+    /// Whether the load balancer should send callers to this daemon.
     pub(crate) fn is_ready(&self) -> bool {
         self.is_caught_up() && !self.is_stopping() && self.halted().is_none()
     }
--- a/crates/crosspathd/src/gateway.rs
+++ b/crates/crosspathd/src/gateway.rs
@@ -1,4 +1,4 @@
-//! A caller's request, from its arrival to its final answer.
+//! Handles a caller's request from its arrival to the final answer.
 
 mod attempt;
 
@@ -11,21 +11,21 @@
 use crosspath_route::claim::{Outcome, Request};
 use crosspath_route::key::Key;
 use crosspath_route::quota::Quota;
-use crosspath_route::verdict::Budget;
+use crosspath_route::retry::Budget;
 use crosspath_settings::token::Hash;
 use crosspath_state::job::Class;
 use crosspath_state::name::{CallerName, ServiceName};
 use crosspath_state::resource::Service;
 use sha2::{Digest as _, Sha256};
 
-use crate::claims::{self, Claimed};
+use crate::claims::{self, Decision};
 use crate::clock;
 use crate::core::Core;
 use attempt::Attempts;
 
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Answers callers.
+/// Runs callers' requests within their quotas and retry budget.
 #[derive(Debug)]
 pub(crate) struct Gateway {
     core: Arc<Core>,
@@ -33,17 +33,18 @@
     budget: Mutex<Budget>,
 }
 
-/// Counts a request from its arrival to its final answer, however it ends.
-struct Counted {
+/// Counts a request in the caller's quota and in the metrics from its admission until it is
+/// dropped, however the request ends.
+struct InFlight {
     gateway: Arc<Gateway>,
     caller: CallerName,
     class: Class,
     started: crosspath_state::time::Monotonic,
 }
 
-impl Drop for Counted {
+impl Drop for InFlight {
     fn drop(&mut self) {
-        self.gateway.quota.lock().unwrap_or_else(PoisonError::into_inner).leave(&self.caller);
+        self.gateway.quota.lock().unwrap_or_else(PoisonError::into_inner).release(&self.caller);
         let latency = clock::monotonic().since(self.started);
         self.gateway.core.metrics.end_request(self.class, &self.caller, latency);
     }
@@ -54,25 +55,26 @@
         Self { core, quota: Mutex::default(), budget: Mutex::default() }
     }
 
-    fn enter(self: &Arc<Self>, caller: &CallerName, class: Class) -> Option<Counted> {
+    fn admit(self: &Arc<Self>, caller: &CallerName, class: Class) -> Option<InFlight> {
         let max = self.core.state().callers.get(caller).map_or(0, |c| c.spec.max_in_flight);
-        let entered = self.quota.lock().unwrap_or_else(PoisonError::into_inner).enter(caller, max);
-        if !entered {
+        let admitted =
+            self.quota.lock().unwrap_or_else(PoisonError::into_inner).try_acquire(caller, max);
+        if !admitted {
             return None;
         }
         self.core.metrics.begin_request(class, caller);
         let (gateway, caller) = (Arc::clone(self), caller.clone());
-        Some(Counted { gateway, caller, class, started: clock::monotonic() })
+        Some(InFlight { gateway, caller, class, started: clock::monotonic() })
     }
 
-    async fn run_counted(self: Arc<Self>, payment: Payment, service: Service) -> Reply {
+    async fn run_admitted(self: Arc<Self>, payment: Payment, service: Service) -> Reply {
         let class = service.class;
-        let Some(counted) = self.enter(&payment.caller, class) else {
-            return Reply::Final(unasked(&payment, NotRun::CallerQuota));
+        let Some(in_flight) = self.admit(&payment.caller, class) else {
+            return Reply::Final(refused_before_claim(&payment, NotRun::CallerQuota));
         };
-        let most = Duration::from_millis(service.timeout_ms);
-        let timeout = payment.timeout.map_or(most, |timeout| timeout.min(most));
-        let deadline = counted.started.after(timeout);
+        let max_timeout = Duration::from_millis(service.timeout_ms);
+        let timeout = payment.timeout.map_or(max_timeout, |timeout| timeout.min(max_timeout));
+        let deadline = in_flight.started.after(timeout);
         let attempts = Attempts { gateway: &self, payment: &payment, service: &service, deadline };
         match payment.key {
             None => attempts.run().await,
@@ -80,22 +82,22 @@
         }
     }
 
-    /// Claims the key, runs the request, and records how it ended.
+    /// Claims the key, runs the request, and records its outcome under the key.
     async fn run_keyed(&self, attempts: Attempts<'_>, key: Key) -> Reply {
         let payment = attempts.payment;
         let request = Request { key, caller: payment.caller.clone(), digest: digest(payment) };
         let left = attempts.deadline.since(clock::monotonic());
         match claims::claim(&self.core, &request, left).await {
-            Claimed::Granted => {}
-            Claimed::Recorded(verdict) => return Reply::Recorded(verdict),
-            Claimed::Final(answer) => return Reply::Final(answer),
+            Decision::Granted => {}
+            Decision::Recorded(verdict) => return Reply::Recorded(verdict),
+            Decision::Final(answer) => return Reply::Final(answer),
         }
-        let (reply, outcome) = attempts.run_whole(self.core.settings.limits.answer_bytes).await;
+        let (reply, outcome) = attempts.run_buffered(self.core.settings.limits.answer_bytes).await;
         claims::settle(&self.core, &request, outcome).await;
         reply
     }
 
-    fn count(&self, class: Class, reply: &Reply) {
+    fn count_response(&self, class: Class, reply: &Reply) {
         let (outcome, reason) = match reply {
             Reply::Upstream(_) => ("upstream", "answered"),
             Reply::Recorded(_) => ("recorded", "answered"),
@@ -105,7 +107,7 @@
     }
 }
 
-/// Digest of what must be the same when a key is sent again.
+/// Digest of the parts that must be identical when a request is sent again with the same key.
 fn digest(payment: &Payment) -> String {
     let mut hasher = Sha256::new();
     for part in [payment.method.as_str(), &payment.path] {
@@ -116,12 +118,12 @@
     hex::encode(hasher.finalize())
 }
 
-/// The handler's own type, so that requests can outlive their connection.
+/// Handler for callers. It shares the gateway, so that a request can outlive its connection.
 #[derive(Debug)]
-pub(crate) struct Callers(pub(crate) Arc<Gateway>);
+pub(crate) struct CallerHandler(pub(crate) Arc<Gateway>);
 
 #[async_trait]
-impl Handler for Callers {
+impl Handler for CallerHandler {
     fn caller(&self, token: &str) -> Option<CallerName> {
         let hash = Hash::of(token).to_hex();
         let state = self.0.core.state();
@@ -138,19 +140,20 @@
         let gateway = Arc::clone(&self.0);
         let service = gateway.core.state().services.get(&payment.service).cloned();
         let Some(service) = service.map(|service| service.spec) else {
-            return Reply::Final(unasked(&payment, NotRun::NoUpstream));
+            return Reply::Final(refused_before_claim(&payment, NotRun::NoUpstream));
         };
         let class = service.class;
         let keyed = payment.key.is_some();
-        let running = Arc::clone(&gateway).run_counted(payment, service);
+        let running = Arc::clone(&gateway).run_admitted(payment, service);
         let reply = if keyed {
-            // Goes on when the caller is gone, so that a re-send finds the outcome.
+            // Continues after the caller disconnects, so that a retry by the caller finds the
+            // outcome.
             let ended = tokio::spawn(running).await;
             ended.unwrap_or_else(|_| Reply::Final(Final::unknown(Unknown::OutcomeLost)))
         } else {
             running.await
         };
-        gateway.count(class, &reply);
+        gateway.count_response(class, &reply);
         reply
     }
 
@@ -164,21 +167,21 @@
         }
     }
 
-    fn rejected(&self, rejection: &Rejection) {
+    fn count_rejected(&self, rejection: &Rejection) {
         self.0.core.metrics.count_rejection(rejection.reason());
     }
 }
 
-/// The answer to a request that was refused before its key was asked for: an earlier request with
-/// the key may have been run.
-fn unasked(payment: &Payment, reason: NotRun) -> Final {
+/// Answer to a request that is refused before its key was claimed. With a key the outcome is
+/// unknown, because an earlier request with the same key may have run.
+fn refused_before_claim(payment: &Payment, reason: NotRun) -> Final {
     match payment.key {
         None => Final::not_run(reason, RETRY_AFTER),
         Some(_) => Final::unknown(Unknown::KeyNotAsked),
     }
 }
 
-/// How a request that ended with `answer` is recorded under its key.
+/// Outcome that is recorded under the key of a request that ended with `answer`.
 fn outcome_of(answer: Answer) -> Outcome {
     match answer {
         Answer::NotRun(_) => Outcome::NotRun,
--- a/crates/crosspathd/src/gateway/attempt.rs
+++ b/crates/crosspathd/src/gateway/attempt.rs
@@ -1,4 +1,4 @@
-//! Sending a request to upstreams until one answers or nothing more may be tried.
+//! Sends a request to upstreams until one responds or no further attempt is permitted.
 
 use std::pin::Pin;
 use std::sync::PoisonError;
@@ -11,11 +11,11 @@
 use crosspath_http::body::{self, BoxError};
 use crosspath_route::answer::{Final, NotRun, Unknown};
 use crosspath_route::claim::{Outcome, Recorded};
-use crosspath_route::dispatch::Use;
-use crosspath_route::verdict::{self, Failure, Known, Verdict};
+use crosspath_route::dispatch::Completion;
+use crosspath_route::retry::{self, Decision, FailedAttempt, Failure};
 use crosspath_state::resource::Service;
 use crosspath_state::time::Monotonic;
-use crosspath_upstream::{self as upstream, Streamed};
+use crosspath_upstream::{self as upstream, StreamingBody};
 use http::{HeaderValue, Request, Response, StatusCode, header};
 use http_body_util::{BodyExt as _, Full, Limited};
 use hyper::body::Frame;
@@ -23,15 +23,15 @@
 
 use super::{Gateway, outcome_of};
 use crate::clock;
-use crate::pools::{Slot, Wish};
+use crate::pools::{Slot, SlotRequest};
 
-/// Header by which an upstream says that it refused a request before running it.
+/// Header with which an upstream states that it refused a request before running it.
 const NOT_RUN: &str = "request-not-run";
 
-/// Largest answer to a request with a key; it is read whole before it is passed on.
-const MAX_KEYED_ANSWER: usize = 4 * 1024 * 1024;
+/// Largest response to a request with a key; it is buffered completely before it is forwarded.
+const MAX_KEYED_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
 
-/// One request on its way to upstreams.
+/// All attempts to run one request.
 pub(super) struct Attempts<'a> {
     pub(super) gateway: &'a Gateway,
     pub(super) payment: &'a Payment,
@@ -39,81 +39,87 @@
     pub(super) deadline: Monotonic,
 }
 
-/// An upstream's answer and the slot that it still uses.
-struct Answered {
-    answer: Response<Streamed>,
+/// Response of an upstream, and the slot that it occupies until its body ends.
+struct UpstreamResponse {
+    response: Response<StreamingBody>,
     slot: Slot,
     sent_at: Monotonic,
 }
 
 impl Attempts<'_> {
-    /// Runs the request and passes the answer on as it streams in.
+    /// Runs the request and forwards the response as it streams in.
     pub(super) async fn run(&self) -> Reply {
-        match self.answered().await {
-            Ok(answered) => {
-                let Answered { answer, slot, sent_at } = answered;
-                let answer = answer.map(|inner| Passing::new(inner, slot, sent_at).boxed_unsync());
-                Reply::Upstream(cleaned(answer))
+        match self.send_until_final().await {
+            Ok(upstream_response) => {
+                let UpstreamResponse { response, slot, sent_at } = upstream_response;
+                let response =
+                    response.map(|inner| ForwardedBody::new(inner, slot, sent_at).boxed_unsync());
+                Reply::Upstream(without_hop_by_hop(response))
             }
             Err(answer) => Reply::Final(answer),
         }
     }
 
-    /// Runs the request, reads the whole answer, and says how to record it.
-    pub(super) async fn run_whole(&self, kept: u64) -> (Reply, Outcome) {
-        let Answered { answer, mut slot, sent_at } = match self.answered().await {
-            Ok(answered) => answered,
+    /// Runs the request, reads the complete response, and returns it with the outcome to record. A
+    /// body larger than `max_recorded_bytes` is not recorded.
+    pub(super) async fn run_buffered(&self, max_recorded_bytes: u64) -> (Reply, Outcome) {
+        let UpstreamResponse { response, mut slot, sent_at } = match self.send_until_final().await {
+            Ok(upstream_response) => upstream_response,
             Err(answer) => return (Reply::Final(answer), outcome_of(answer.answer)),
         };
-        let (head, streamed) = answer.into_parts();
-        let Ok(whole) = Limited::new(streamed, MAX_KEYED_ANSWER).collect().await else {
-            slot.ended(Use::Failed);
-            let cut = Unknown::UpstreamCut;
-            return (Reply::Final(Final::unknown(cut)), Outcome::Unknown(cut));
+        let (head, streamed) = response.into_parts();
+        let Ok(whole) = Limited::new(streamed, MAX_KEYED_RESPONSE_BYTES).collect().await else {
+            slot.set_completion(Completion::Failed);
+            let reason = Unknown::UpstreamCut;
+            return (Reply::Final(Final::unknown(reason)), Outcome::Unknown(reason));
         };
-        slot.ended(Use::Answered(clock::monotonic().since(sent_at)));
+        slot.set_completion(Completion::Answered(clock::monotonic().since(sent_at)));
         let bytes = whole.to_bytes();
-        let outcome = record(&head, &bytes, kept);
-        (Reply::Upstream(cleaned(Response::from_parts(head, body::full(bytes)))), outcome)
+        let outcome = recorded_outcome(&head, &bytes, max_recorded_bytes);
+        (
+            Reply::Upstream(without_hop_by_hop(Response::from_parts(head, body::full(bytes)))),
+            outcome,
+        )
     }
 
-    async fn answered(&self) -> Result<Answered, Final> {
+    async fn send_until_final(&self) -> Result<UpstreamResponse, Final> {
         self.budget().deposit();
-        let mut maybe_run = false;
+        let mut may_have_run = false;
         for attempts in 1.. {
-            let slot = self.slot().await.map_err(|refusal| refused(refusal, maybe_run))?;
+            let slot = self.slot().await.map_err(|refusal| refusal_after(refusal, may_have_run))?;
             let failure = match self.attempt(slot).await {
-                Ok(answered) => return Ok(answered),
+                Ok(upstream_response) => return Ok(upstream_response),
                 Err(failure) => failure,
             };
-            let left = self.deadline.since(clock::monotonic());
-            let repeatable = self.service.repeatable;
-            let known = Known { failure, maybe_run, repeatable, attempts, left };
-            maybe_run |= !failure.certainly_not_run();
-            match verdict::decide(known, &mut self.budget()) {
-                Verdict::Retry => self.gateway.core.metrics.count_retry(),
-                Verdict::Final(answer) => return Err(answer),
+            let remaining = self.deadline.since(clock::monotonic());
+            let idempotent = self.service.repeatable;
+            let failed_attempt =
+                FailedAttempt { failure, may_have_run, idempotent, attempts, remaining };
+            may_have_run |= !failure.certainly_not_run();
+            match retry::decide(failed_attempt, &mut self.budget()) {
+                Decision::Retry => self.gateway.core.metrics.count_retry(),
+                Decision::Final(answer) => return Err(answer),
             }
         }
         Err(Final::not_run(NotRun::UpstreamRefused, Duration::from_secs(1)))
     }
 
-    fn budget(&self) -> std::sync::MutexGuard<'_, verdict::Budget> {
+    fn budget(&self) -> std::sync::MutexGuard<'_, retry::Budget> {
         self.gateway.budget.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     async fn slot(&self) -> Result<Slot, Final> {
         let core = &self.gateway.core;
-        let asked_at = clock::monotonic();
+        let requested_at = clock::monotonic();
         let (pool, caller) = (&self.service.pool, &self.payment.caller);
         let class = self.service.class;
-        let wish = Wish { pool, caller, class, deadline: self.deadline };
-        let slot = core.pools.acquire(wish).await;
-        core.metrics.observe_slot_wait(class, caller, clock::monotonic().since(asked_at));
+        let slot_request = SlotRequest { pool, caller, class, deadline: self.deadline };
+        let slot = core.pools.acquire(slot_request).await;
+        core.metrics.observe_slot_wait(class, caller, clock::monotonic().since(requested_at));
         slot
     }
 
-    async fn attempt(&self, mut slot: Slot) -> Result<Answered, Failure> {
+    async fn attempt(&self, mut slot: Slot) -> Result<UpstreamResponse, Failure> {
         let core = &self.gateway.core;
         let vm = core.state().vms.get(slot.vm()).map(|vm| vm.spec.address);
         let Some(address) = vm else {
@@ -128,18 +134,18 @@
             return Err(Failure::NotSent);
         };
         match core.upstreams.send(address, request, Instant::now() + left).await {
-            Ok(answer) if is_refusal(&answer) => {
-                slot.ended(Use::Refused);
+            Ok(response) if is_refusal(&response) => {
+                slot.set_completion(Completion::Refused);
                 core.upstreams.close_idle(address);
                 Err(Failure::Refused)
             }
-            Ok(answer) => Ok(Answered { answer, slot, sent_at }),
+            Ok(response) => Ok(UpstreamResponse { response, slot, sent_at }),
             Err(failure) => {
-                slot.ended(Use::Failed);
+                slot.set_completion(Completion::Failed);
                 Err(match failure {
                     upstream::Failure::NotSent => Failure::NotSent,
                     upstream::Failure::Broken => Failure::Broken,
-                    upstream::Failure::Late => Failure::Late,
+                    upstream::Failure::Timeout => Failure::Timeout,
                 })
             }
         }
@@ -164,23 +170,28 @@
     }
 }
 
-/// A refusal of a further attempt must not deny what an earlier one may have done.
-fn refused(refusal: Final, maybe_run: bool) -> Final {
-    if maybe_run { Final::unknown(Unknown::UpstreamCut) } else { refusal }
+/// Answer when a further attempt is refused: unknown if an earlier attempt may have run the
+/// request.
+fn refusal_after(refusal: Final, may_have_run: bool) -> Final {
+    if may_have_run { Final::unknown(Unknown::UpstreamCut) } else { refusal }
 }
 
-fn is_refusal(answer: &Response<Streamed>) -> bool {
-    answer.status() == StatusCode::SERVICE_UNAVAILABLE && answer.headers().contains_key(NOT_RUN)
+fn is_refusal(response: &Response<StreamingBody>) -> bool {
+    response.status() == StatusCode::SERVICE_UNAVAILABLE && response.headers().contains_key(NOT_RUN)
 }
 
-fn cleaned(mut answer: Response<Body>) -> Response<Body> {
-    strip_hop_by_hop(answer.headers_mut());
-    answer
+fn without_hop_by_hop(mut response: Response<Body>) -> Response<Body> {
+    strip_hop_by_hop(response.headers_mut());
+    response
 }
 
-fn record(head: &http::response::Parts, bytes: &Bytes, kept: u64) -> Outcome {
+fn recorded_outcome(
+    head: &http::response::Parts,
+    bytes: &Bytes,
+    max_recorded_bytes: u64,
+) -> Outcome {
     let status = head.status.as_u16();
-    if bytes.len() as u64 > kept {
+    if bytes.len() as u64 > max_recorded_bytes {
         return Outcome::AnsweredLarge { status };
     }
     let kind = head.headers.get(header::CONTENT_TYPE).and_then(|kind| kind.to_str().ok());
@@ -188,29 +199,30 @@
     Outcome::Answered(Recorded { status, content_type, body: bytes.to_vec() })
 }
 
-/// An answer on its way to the caller; its slot is free when it is whole, or given up.
-struct Passing {
-    inner: Streamed,
+/// Body forwarded to the caller. It holds its slot until it is dropped, and records on the slot how
+/// the response ended.
+struct ForwardedBody {
+    inner: StreamingBody,
     slot: Slot,
     sent_at: Monotonic,
 }
 
-impl Passing {
-    fn new(inner: Streamed, slot: Slot, sent_at: Monotonic) -> Self {
-        let mut passing = Self { inner, slot, sent_at };
-        if hyper::body::Body::is_end_stream(&passing.inner) {
-            passing.answered();
+impl ForwardedBody {
+    fn new(inner: StreamingBody, slot: Slot, sent_at: Monotonic) -> Self {
+        let mut body = Self { inner, slot, sent_at };
+        if hyper::body::Body::is_end_stream(&body.inner) {
+            body.record_completion();
         }
-        passing
+        body
     }
 
-    fn answered(&mut self) {
+    fn record_completion(&mut self) {
         let time = clock::monotonic().since(self.sent_at);
-        self.slot.ended(Use::Answered(time));
+        self.slot.set_completion(Completion::Answered(time));
     }
 }
 
-impl hyper::body::Body for Passing {
+impl hyper::body::Body for ForwardedBody {
     type Data = Bytes;
     type Error = BoxError;
 
@@ -222,16 +234,16 @@
             Poll::Pending => Poll::Pending,
             Poll::Ready(Some(Ok(frame))) => {
                 if hyper::body::Body::is_end_stream(&self.inner) {
-                    self.answered();
+                    self.record_completion();
                 }
                 Poll::Ready(Some(Ok(frame)))
             }
             Poll::Ready(Some(Err(error))) => {
-                self.slot.ended(Use::Failed);
+                self.slot.set_completion(Completion::Failed);
                 Poll::Ready(Some(Err(error.into())))
             }
             Poll::Ready(None) => {
-                self.answered();
+                self.record_completion();
                 Poll::Ready(None)
             }
         }
--- a/crates/crosspathd/src/logging.rs
+++ b/crates/crosspathd/src/logging.rs
@@ -1,7 +1,7 @@
-//! Logs on standard output, one line for each event, that never hold the daemon up.
+//! Non-blocking logging to standard output, one line for each event.
 //!
-//! A reader that does not keep up costs lines, not time: a line that cannot be written at once is
-//! dropped, and the next one that can tells how many were.
+//! A slow reader must not delay the daemon. A line that cannot be written immediately is dropped,
+//! and the number of dropped lines is logged before the next line that can be written.
 
 use std::io;
 use std::os::fd::AsFd as _;
@@ -10,7 +10,7 @@
 use nix::errno::Errno;
 use nix::fcntl::{FcntlArg, OFlag, fcntl};
 
-/// Starts logging as `RUST_LOG` says, from `info` on where it says nothing.
+/// Starts logging with the filter in `RUST_LOG`, or at level `info` if that is not set.
 pub(crate) fn start() {
     let mut builder = Builder::from_env(Env::default().default_filter_or("info"));
     if let Err(error) = make_non_blocking() {
@@ -18,7 +18,7 @@
         log::warn!("event=logs_may_block error=\"{error}\"");
         return;
     }
-    builder.target(Target::Pipe(Box::new(Lossy::default()))).init();
+    builder.target(Target::Pipe(Box::new(LossyWriter::default()))).init();
 }
 
 fn make_non_blocking() -> Result<(), Errno> {
@@ -27,14 +27,14 @@
     fcntl(stdout.as_fd(), FcntlArg::F_SETFL(flags | OFlag::O_NONBLOCK)).map(drop)
 }
 
-/// Writes whole lines, or none of a line.
+/// Writes each line completely or drops it.
 #[derive(Debug, Default)]
-struct Lossy {
+struct LossyWriter {
     dropped: u64,
 }
 
-impl Lossy {
-    fn tell_dropped(&mut self) {
+impl LossyWriter {
+    fn report_dropped(&mut self) {
         let line = format!("event=log_lines_dropped count={}\n", self.dropped);
         if nix::unistd::write(io::stdout().as_fd(), line.as_bytes()).is_ok() {
             self.dropped = 0;
@@ -42,13 +42,13 @@
     }
 }
 
-impl io::Write for Lossy {
+impl io::Write for LossyWriter {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         if self.dropped > 0 {
-            self.tell_dropped();
+            self.report_dropped();
         }
-        // A pipe takes lines of this length whole or not at all. There is nowhere to tell of a
-        // standard output that is gone.
+        // A pipe accepts a line of this length completely or not at all. If standard output is
+        // closed, there is nowhere to report that.
         if nix::unistd::write(io::stdout().as_fd(), line).is_err() {
             self.dropped += 1;
         }
--- a/crates/crosspathd/src/pools.rs
+++ b/crates/crosspathd/src/pools.rs
@@ -1,4 +1,4 @@
-//! Slots of every pool, and the requests that wait for them.
+//! Slots of all pools, and the queues of requests for them.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -6,8 +6,10 @@
 use std::time::Duration;
 
 use crosspath_route::answer::{Final, NotRun};
-use crosspath_route::dispatch::{Ask, Bounds, Dispatch, Grant, Offer, Target, Ticket, Use};
-use crosspath_route::split::Place;
+use crosspath_route::dispatch::{
+    Admission, Bounds, Completion, Dispatch, Grant, Request, Target, Ticket,
+};
+use crosspath_route::split::Position;
 use crosspath_settings::Settings;
 use crosspath_state::State;
 use crosspath_state::job::Class;
@@ -17,12 +19,12 @@
 
 use crate::clock;
 
-/// Slots of every pool.
+/// Slots of all pools at this daemon.
 #[derive(Debug)]
 pub(crate) struct Pools {
     pools: RwLock<BTreeMap<PoolName, Arc<Pool>>>,
     bounds: Bounds,
-    place: Place,
+    position: Position,
     data_centre: DataCentre,
     tickets: AtomicU64,
 }
@@ -38,13 +40,13 @@
     waiters: HashMap<Ticket, oneshot::Sender<Slot>>,
 }
 
-/// A slot of a VM; it is free again when this is dropped.
+/// A slot of a VM, released when dropped.
 #[derive(Debug)]
 pub(crate) struct Slot {
     pool: Arc<Pool>,
     vm: VmName,
     class: Class,
-    end: Use,
+    completion: Completion,
 }
 
 impl Slot {
@@ -52,9 +54,9 @@
         &self.vm
     }
 
-    /// Says how the use ended; without a word it counts as abandoned.
-    pub(crate) fn ended(&mut self, end: Use) {
-        self.end = end;
+    /// Sets how the use of the slot ended. It counts as abandoned if this is never called.
+    pub(crate) fn set_completion(&mut self, completion: Completion) {
+        self.completion = completion;
     }
 }
 
@@ -64,7 +66,7 @@
         let grants = self.pool.lock().dispatch.release(
             &self.vm,
             self.class,
-            self.end,
+            self.completion,
             now,
             &mut rand::rng(),
         );
@@ -72,18 +74,18 @@
     }
 }
 
-enum Asked {
+enum Acquisition {
     Assigned(Slot),
     Waiting(oneshot::Receiver<Slot>),
 }
 
-/// Takes a request out of the queue when whoever waits goes away.
-struct Waiting<'a> {
+/// Removes a request from the queue when its waiting task ends or is cancelled.
+struct CancelOnDrop<'a> {
     pool: &'a Arc<Pool>,
     ticket: Ticket,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for CancelOnDrop<'_> {
     fn drop(&mut self) {
         let mut queue = self.pool.lock();
         queue.dispatch.cancel(self.ticket);
@@ -98,31 +100,41 @@
         self.queue.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn ask(self: &Arc<Self>, wish: &Wish<'_>, ticket: Ticket) -> Result<Asked, Final> {
-        let (class, deadline) = (wish.class, wish.deadline);
-        let ask = Ask { ticket, caller: wish.caller.clone(), class, deadline };
+    fn request_slot(
+        self: &Arc<Self>,
+        request: &SlotRequest<'_>,
+        ticket: Ticket,
+    ) -> Result<Acquisition, Final> {
+        let (class, deadline) = (request.class, request.deadline);
+        let request = Request { ticket, caller: request.caller.clone(), class, deadline };
         let mut queue = self.lock();
-        match queue.dispatch.offer(ask, clock::monotonic(), &mut rand::rng()) {
-            Offer::Assigned(vm) => {
+        match queue.dispatch.admit(request, clock::monotonic(), &mut rand::rng()) {
+            Admission::Assigned(vm) => {
                 drop(queue);
                 let pool = Arc::clone(self);
-                Ok(Asked::Assigned(Slot { pool, vm, class, end: Use::Abandoned }))
+                Ok(Acquisition::Assigned(Slot {
+                    pool,
+                    vm,
+                    class,
+                    completion: Completion::Abandoned,
+                }))
             }
-            Offer::Refused(refusal) => Err(refusal),
-            Offer::Waiting => {
+            Admission::Refused(refusal) => Err(refusal),
+            Admission::Waiting => {
                 let (waiter, granted) = oneshot::channel();
                 queue.waiters.insert(ticket, waiter);
-                Ok(Asked::Waiting(granted))
+                Ok(Acquisition::Waiting(granted))
             }
         }
     }
 
-    /// Hands granted slots over; one that nobody waits for any more is freed again at once.
+    /// Delivers granted slots to their waiters. A slot without a waiter is released immediately.
     fn deliver(self: &Arc<Self>, grants: Vec<Grant>) {
         for grant in grants {
             let waiter = self.lock().waiters.remove(&grant.ticket);
             let pool = Arc::clone(self);
-            let slot = Slot { pool, vm: grant.vm, class: grant.class, end: Use::Abandoned };
+            let slot =
+                Slot { pool, vm: grant.vm, class: grant.class, completion: Completion::Abandoned };
             match waiter {
                 Some(waiter) => drop(waiter.send(slot)),
                 None => drop(slot),
@@ -131,9 +143,9 @@
     }
 }
 
-/// A request for a slot.
+/// Request for a slot, valid until its deadline.
 #[derive(Debug)]
-pub(crate) struct Wish<'a> {
+pub(crate) struct SlotRequest<'a> {
     pub(crate) pool: &'a PoolName,
     pub(crate) caller: &'a CallerName,
     pub(crate) class: Class,
@@ -149,14 +161,14 @@
             batch_floor_every: limits.batch_floor_every,
         };
         let before = settings.peers.iter().filter(|peer| peer.name < settings.name).count();
-        let place = Place {
+        let position = Position {
             index: u32::try_from(before).unwrap_or(u32::MAX),
             daemons: u32::try_from(settings.peers.len() + 1).unwrap_or(u32::MAX),
         };
         Self {
             pools: RwLock::default(),
             bounds,
-            place,
+            position,
             data_centre: settings.data_centre.clone(),
             tickets: AtomicU64::new(0),
         }
@@ -183,7 +195,7 @@
         Arc::clone(pool)
     }
 
-    /// Says which VMs take work: those that serve, less those that are known to be leaving.
+    /// Updates the VMs that accept work: those whose phase allows it, except `leaving` ones.
     pub(crate) fn update(&self, state: &State, leaving: &BTreeSet<VmName>) {
         for name in state.pools.keys() {
             let serving = state
@@ -192,7 +204,7 @@
             let targets = serving.map(|(vm, stored)| {
                 let total = stored.spec.slots.min(stored.spec.connections);
                 let local = stored.spec.data_centre == self.data_centre;
-                Target { vm: vm.clone(), slots: self.place.part(vm, total), local }
+                Target { vm: vm.clone(), slots: self.position.share(vm, total), local }
             });
             let targets: Vec<_> = targets.collect();
             let pool = self.pool_or_new(name);
@@ -202,7 +214,7 @@
         }
     }
 
-    /// Gives out slots that became free by time alone.
+    /// Grants slots that became available by the passage of time alone.
     pub(crate) fn tick(&self) {
         for pool in self.all() {
             let grants = pool.lock().dispatch.grant(clock::monotonic(), &mut rand::rng());
@@ -210,23 +222,23 @@
         }
     }
 
-    /// Requests in flight on a VM, in whatever pool it was.
+    /// Number of requests in flight on a VM, over all pools: the VM may have changed its pool.
     pub(crate) fn in_flight(&self, vm: &VmName) -> u32 {
         self.all().iter().map(|pool| pool.lock().dispatch.in_flight(vm)).sum()
     }
 
-    /// Waits for a slot.
-    pub(crate) async fn acquire(&self, wish: Wish<'_>) -> Result<Slot, Final> {
-        let Some(pool) = self.pool(wish.pool) else {
+    /// Waits for a slot until the deadline of the request.
+    pub(crate) async fn acquire(&self, request: SlotRequest<'_>) -> Result<Slot, Final> {
+        let Some(pool) = self.pool(request.pool) else {
             return Err(Final::not_run(NotRun::NoUpstream, Duration::from_secs(1)));
         };
         let ticket = Ticket(self.tickets.fetch_add(1, Ordering::Relaxed));
-        let granted = match pool.ask(&wish, ticket)? {
-            Asked::Assigned(slot) => return Ok(slot),
-            Asked::Waiting(granted) => granted,
+        let granted = match pool.request_slot(&request, ticket)? {
+            Acquisition::Assigned(slot) => return Ok(slot),
+            Acquisition::Waiting(granted) => granted,
         };
-        let _waiting = Waiting { pool: &pool, ticket };
-        let left = wish.deadline.since(clock::monotonic());
+        let _cancel_on_drop = CancelOnDrop { pool: &pool, ticket };
+        let left = request.deadline.since(clock::monotonic());
         match tokio::time::timeout(left, granted).await {
             Ok(Ok(slot)) => Ok(slot),
             _ => Err(Final::not_run(NotRun::TooLate, Duration::from_secs(1))),
--- a/crates/crosspathd/src/watcher.rs
+++ b/crates/crosspathd/src/watcher.rs
@@ -1,8 +1,8 @@
-//! Watches for VMs that fail, come back, or leave.
+//! Detects VMs that fail, recover, or leave.
 //!
-//! The platform's list lags, so it only raises the question; a VM is recorded as failed when its
-//! worker does not say that it is up either. A VM that is listed as leaving gets no new work from
-//! this daemon, whatever the log says.
+//! The platform's VM list lags, so a difference from the state is only a suspicion: a VM is
+//! recorded as failed if its worker does not report that it is up either. A VM that is listed as
+//! leaving gets no new work from this daemon, whatever its phase in the log.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -18,16 +18,17 @@
 use crate::core::Core;
 
 const MIN_INTERVAL: Duration = Duration::from_secs(1);
-/// Keeps the list, at about 35 bytes a VM, under 3 KB a second however many VMs there are.
+/// Limits the transfer of the list, about 35 bytes a VM, to less than 3 KB a second for any number
+/// of VMs.
 const INTERVAL_PER_VM: Duration = Duration::from_millis(12);
-const TICK: Duration = Duration::from_millis(100);
+const POOL_TICK: Duration = Duration::from_millis(100);
 
-/// Keeps the pools' VMs up to date with the state and with the list.
+/// Keeps the VMs of the pools up to date with the state and the VM list.
 pub(crate) async fn run(core: Arc<Core>) {
     let mut leaving = BTreeSet::new();
     let mut states = core.state.subscribe();
-    let mut next_look = Instant::now();
-    let mut tick = tokio::time::interval(TICK);
+    let mut next_poll = Instant::now();
+    let mut tick = tokio::time::interval(POOL_TICK);
     loop {
         tokio::select! {
             changed = states.changed() => if changed.is_err() { return },
@@ -35,11 +36,11 @@
                 core.pools.tick();
                 continue;
             }
-            () = sleep_until(next_look) => {
-                next_look = Instant::now() + interval(&core.state());
+            () = sleep_until(next_poll) => {
+                next_poll = Instant::now() + poll_interval(&core.state());
                 let Ok(list) = core.vm_list.list().await else { continue };
                 if core.is_planner() {
-                    record(&core, &list).await;
+                    record_changes(&core, &list).await;
                 }
                 let listed = list.iter().filter(|entry| entry.liveness == Liveness::Leaving);
                 leaving = listed.map(|entry| entry.vm.clone()).collect();
@@ -50,33 +51,33 @@
     }
 }
 
-fn interval(state: &State) -> Duration {
+fn poll_interval(state: &State) -> Duration {
     let vms = u32::try_from(state.vms.len()).unwrap_or(u32::MAX);
     MIN_INTERVAL.max(INTERVAL_PER_VM.saturating_mul(vms))
 }
 
-async fn record(core: &Core, list: &[Entry]) {
+async fn record_changes(core: &Core, list: &[Entry]) {
     let state = core.state();
     let mut changes = Vec::new();
     for entry in list {
-        let Some(liveness) = question(&state, entry) else {
+        let Some(liveness) = differing_liveness(&state, entry) else {
             continue;
         };
         let up = core.worker.report(&entry.vm).await.is_ok_and(|report| report.up);
-        changes.extend(change(&entry.vm, liveness, up));
+        changes.extend(confirmed_change(&entry.vm, liveness, up));
     }
     if changes.is_empty() {
         return;
     }
-    let result = core.committer.commit_surely(changes).await;
+    let result = core.committer.commit_until_final(changes).await;
     log::info!("event=vm_failures_recorded done={}", result.is_ok());
 }
 
-/// What the list says, where it differs from the state.
-fn question(state: &State, entry: &Entry) -> Option<Liveness> {
+/// Liveness of a VM according to the list, if it differs from the state.
+fn differing_liveness(state: &State, entry: &Entry) -> Option<Liveness> {
     let phase = &state.vms.get(&entry.vm)?.status;
     let differs = match (phase, entry.liveness) {
-        // The platform brings it back, or the wave shows that it does not.
+        // The platform restarts the VM; if it does not, the wave detects that.
         (vm::Phase::Rebooting { .. }, _) => false,
         (vm::Phase::Failed { .. }, liveness) => liveness == Liveness::Live,
         (_, liveness) => liveness == Liveness::Down,
@@ -84,7 +85,7 @@
     differs.then_some(entry.liveness)
 }
 
-fn change(vm: &VmName, liveness: Liveness, up: bool) -> Option<Change> {
+fn confirmed_change(vm: &VmName, liveness: Liveness, up: bool) -> Option<Change> {
     let vm = vm.clone();
     match (liveness, up) {
         (Liveness::Down, false) => Some(Change::Failure { vm, seen_at: clock::wall() }),
--- a/crates/crosspathd/tests/site/config.rs
+++ b/crates/crosspathd/tests/site/config.rs
@@ -1,17 +1,17 @@
-//! A configuration, once accepted, is in force everywhere soon and never reverts.
+//! Accepted configuration changes are applied by all daemons and are never reverted.
 
 use std::time::Duration;
 
 use serde_json::json;
 
-use crate::common::{self, SOON};
+use crate::common::{self, WAIT_LIMIT};
 
 async fn max_cores(site: &crosspath_fakes::site::Site, index: usize) -> Option<u64> {
     common::get(site, index, "/v1/teams/team").await["spec"]["max_cores"].as_u64()
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_accepted_change_never_reverts() {
+async fn accepted_change_never_reverts() {
     let site = common::start(&common::plan(2)).await;
     let mut seen = [0_u64; common::DAEMONS];
     for value in 1..40_u64 {
@@ -30,21 +30,21 @@
                 continue;
             }
             let now = max_cores(&site, index).await.unwrap_or_default();
-            assert!(now >= *seen, "daemon {index} went from {seen} back to {now}");
+            assert!(now >= *seen, "daemon {index} reverted from {seen} to {now}");
             *seen = now;
         }
     }
     for index in 0..common::DAEMONS {
-        site.wait(Duration::from_secs(5), "in force", async || {
+        site.wait(Duration::from_secs(5), "change applied", async || {
             max_cores(&site, index).await == Some(1_039)
         })
         .await
-        .expect("in force everywhere");
+        .expect("every daemon applies the last change");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn of_two_operators_one_wins_and_the_other_is_told() {
+async fn only_one_of_two_concurrent_conditional_changes_is_accepted() {
     let site = common::start(&common::plan(2)).await;
     let before = common::get(&site, 0, "/v1/teams/team").await["revision"].as_u64();
     let change = |index: usize, cores: u64| {
@@ -62,14 +62,16 @@
     assert_eq!(both, [200, 412]);
     let winner = if a == 200 { 11 } else { 22 };
     for index in 0..common::DAEMONS {
-        site.wait(SOON, "in force", async || max_cores(&site, index).await == Some(winner))
-            .await
-            .expect("the winner's everywhere");
+        site.wait(WAIT_LIMIT, "change applied", async || {
+            max_cores(&site, index).await == Some(winner)
+        })
+        .await
+        .expect("every daemon applies the accepted change");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_watch_tells_every_change_once_it_is_folded() {
+async fn watch_reports_applied_changes() {
     use http_body_util::BodyExt as _;
     let site = common::start(&common::plan(1)).await;
     let from = common::applied(&site, 0).await;
@@ -85,15 +87,15 @@
     assert_eq!(answer.status(), 200);
     let mut body = answer.into_body();
     common::put(&site, 0, "/v1/teams/new", json!({ "max_cores": 3 })).await.expect("accepted");
-    let frame = tokio::time::timeout(SOON, body.frame()).await.expect("in time");
+    let frame = tokio::time::timeout(WAIT_LIMIT, body.frame()).await.expect("in time");
     let line = frame.expect("a frame").expect("whole").into_data().expect("data");
     let line = String::from_utf8(line.to_vec()).expect("text");
     assert!(line.contains("\"new\"") && line.contains("changed"), "{line}");
 }
 
-/// Whoever is told that a change is accepted can read it at once, at the same daemon.
+/// An accepted change can be read immediately from the daemon that accepted it.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_accepted_change_can_be_read_at_once() {
+async fn accepted_change_can_be_read_at_once() {
     let site = common::start(&common::plan(1)).await;
     for round in 0..40 {
         let puts = (0..12).map(|number| {
--- a/crates/crosspathd/tests/site/main.rs
+++ b/crates/crosspathd/tests/site/main.rs
@@ -1,10 +1,10 @@
-//! Real daemon processes against the stand-ins, under faults.
+//! Tests of daemon processes against the fake platform and upstreams, with injected faults.
 
 mod api;
 mod common;
 mod config;
-mod cut;
 mod entry;
+mod isolation;
 mod jobs;
 mod log_faults;
 mod owner;
--- a/crates/crosspathd/tests/site/wave.rs
+++ b/crates/crosspathd/tests/site/wave.rs
@@ -1,4 +1,4 @@
-//! Maintenance waves under faults.
+//! Maintenance waves while daemons, VMs or the log fail.
 
 use std::time::Duration;
 
@@ -7,9 +7,9 @@
 use crosspath_state::resource::Kind;
 use serde_json::{Value, json};
 
-use crate::common::{self, SOON};
+use crate::common::{self, WAIT_LIMIT};
 
-const LONG: Duration = Duration::from_secs(40);
+const WAVE_LIMIT: Duration = Duration::from_secs(40);
 
 fn plan() -> Plan {
     let mut plan = common::plan(6)
@@ -29,6 +29,7 @@
     wave["status"]["phase"]["phase"].as_str().unwrap_or_default().to_owned()
 }
 
+/// Sets the phase of the wave. The name is that of the stored change.
 async fn steer(site: &Site, index: usize, phase: Value) {
     let operator = site.daemons[index].operator();
     let body = json!({ "phase": phase });
@@ -36,15 +37,15 @@
     put.expect("accepted");
 }
 
-/// Watches the stand-ins until `met`; panics when more VMs are out than the budget allows.
+/// Waits until `met` returns `true`; panics if more than `max` VMs are unavailable at a time.
 async fn watch_budget(site: &Site, max: usize, what: &str, met: impl AsyncFn() -> bool) {
-    site.wait(LONG, what, async || {
+    site.wait(WAVE_LIMIT, what, async || {
         let out = site.fakes.audits().iter().filter(|vm| !vm.up || vm.drained).count();
-        assert!(out <= max, "{out} VMs are out");
+        assert!(out <= max, "{out} VMs are unavailable, at most {max} are allowed");
         met().await
     })
     .await
-    .expect("in time");
+    .expect("condition is met in time with the budget kept");
 }
 
 fn reboots(site: &Site) -> Vec<u32> {
@@ -52,7 +53,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_wave_services_every_vm_once_while_its_planner_dies() {
+async fn wave_services_every_vm_once_when_its_planner_is_killed() {
     let mut site = common::start(&plan()).await;
     create(&site, json!({ "pools": ["counter"] })).await;
     let half = async || reboots(&site).iter().sum::<u32>() >= 2;
@@ -60,8 +61,8 @@
     site.daemons[0].kill();
     watch_budget(&site, 2, "done", async || phase(&site, 1).await == "done").await;
     assert_eq!(reboots(&site), [1; 6]);
-    let cut: u32 = site.fakes.audits().iter().map(|vm| vm.cut_off + vm.jobs_cut_off).sum();
-    assert_eq!(cut, 0);
+    let interrupted: u32 = site.fakes.audits().iter().map(|vm| vm.cut_off + vm.jobs_cut_off).sum();
+    assert_eq!(interrupted, 0);
     let jobs = common::get(&site, 1, "/v1/jobs").await;
     for job in jobs["items"].as_array().expect("a list") {
         let moves = job["status"]["moves"].as_u64();
@@ -71,18 +72,18 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_frozen_daemon_holds_a_wave_up_no_longer_than_its_lease() {
+async fn frozen_daemon_delays_a_wave_at_most_until_its_lease_expires() {
     let site = common::start(&plan()).await;
     site.daemons[2].freeze();
     create(&site, json!({ "pools": ["counter"] })).await;
     watch_budget(&site, 2, "done", async || phase(&site, 0).await == "done").await;
     assert_eq!(reboots(&site), [1; 6]);
     site.daemons[2].thaw();
-    site.wait_ready(2).await.expect("a member again");
+    site.wait_ready(2).await.expect("member again");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_wave_waits_while_the_log_is_away_and_goes_on() {
+async fn wave_resumes_after_a_log_outage() {
     let site = common::start(&plan()).await;
     create(&site, json!({ "pools": ["counter"] })).await;
     let begun = async || reboots(&site).iter().sum::<u32>() >= 1;
@@ -96,7 +97,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_paused_wave_starts_nothing_and_a_cancelled_one_gives_vms_back() {
+async fn paused_wave_starts_no_reboot_and_cancelled_wave_returns_vms_to_service() {
     let mut plan = plan();
     plan.fakes.reboot_ms = 800;
     let site = common::start(&plan).await;
@@ -111,14 +112,14 @@
     let obstacle = common::get(&site, 0, "/v1/explain/vms/vm-5").await;
     assert_eq!(obstacle["obstacles"][0]["reason"], "paused", "{obstacle}");
     steer(&site, 1, json!({ "phase": "cancelled" })).await;
-    site.wait(SOON, "all serving", async || {
+    site.wait(WAIT_LIMIT, "all serving", async || {
         let vms = common::get(&site, 0, "/v1/vms").await;
         let vms = vms["items"].as_array().cloned().unwrap_or_default();
         vms.iter().all(|vm| vm["status"]["phase"] == "serving")
             && site.fakes.audits().iter().all(|vm| vm.up && !vm.drained)
     })
     .await
-    .expect("every VM serves again");
+    .expect("all VMs are serving again");
     let refused = site.daemons[0].operator();
     let body = json!({ "phase": { "phase": "running" } });
     let refused = refused.call::<Value>(Method::PUT, "/v1/waves/w/phase", Some(&body)).await;
@@ -135,13 +136,15 @@
     for vm in &victims {
         site.fakes.set_up(vm, false);
     }
-    site.wait(SOON, "paused", async || phase(&site, 0).await == "paused").await.expect("paused");
+    site.wait(WAIT_LIMIT, "paused", async || phase(&site, 0).await == "paused")
+        .await
+        .expect("paused");
     let wave = common::get(&site, 0, "/v1/waves/w").await;
     assert_eq!(wave["status"]["phase"]["cause"], "correlated_failures");
     for vm in &victims {
         site.fakes.set_up(vm, true);
     }
-    site.wait(SOON, "recovered", async || {
+    site.wait(WAIT_LIMIT, "recovered", async || {
         let pool = common::get(&site, 0, "/v1/pools/counter").await;
         pool["status"]["failed"] == 0
     })
