--- a/crates/crosspath_node/src/fleet.rs
+++ b/crates/crosspath_node/src/fleet.rs
@@ -109,7 +109,7 @@
                 return history;
             }
             Err(error) => {
-                log::info!("event=fleet_history_read_failed error=\"{error}\"");
+                log::info!("event=fleet_unread error=\"{error}\"");
                 tokio::time::sleep(backoff.pause(rand::random())).await;
             }
         }
--- a/crates/crosspath_node/src/listing.rs
+++ b/crates/crosspath_node/src/listing.rs
@@ -79,8 +79,8 @@
         self.pending = None;
         match read {
             Ok(Ok(vms)) => return Some(List { requested_at, vms }),
-            Ok(Err(error)) => log::info!("event=vm_list_failed error=\"{error}\""),
-            Err(error) => log::error!("event=vm_list_failed error=\"{error}\""),
+            Ok(Err(error)) => log::info!("event=vms_unread error=\"{error}\""),
+            Err(error) => log::error!("event=vms_unread error=\"{error}\""),
         }
         None
     }
